--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -27,9 +27,9 @@
 from knotwalk.control_plane import claim_group, claim_groups
 from knotwalk.control_plane.claim_group import Home
 from knotwalk.control_plane.claim_groups import CLAIMS, MESSAGES, ClaimGroups
-from knotwalk.runtime import call
+from knotwalk.runtime import http_client
+from knotwalk.runtime.http_server import Listener, answer, app, body
 from knotwalk.runtime.logs import clock
-from knotwalk.runtime.serve import Listener, answer, app, body
 from knotwalk.runtime.settings import Machine, Settings, Tolerance
 from knotwalk.shared_state import messages
 from knotwalk.shared_state.claims import Outcome
@@ -51,7 +51,7 @@
         time.sleep(SYNC)
 
 
-class FarCaller(call.Caller):
+class FarCaller(http_client.Caller):
     """Calls to machines some way off."""
 
     async def send(self, *given: object, **options: object) -> tuple[int, dict[str, str], bytes]:
@@ -62,7 +62,7 @@
         return found
 
 
-def home(number: int, folder: str, caller: call.Caller) -> Home:
+def home(number: int, folder: str, caller: http_client.Caller) -> Home:
     """What the groups of one process share."""
     addresses = [f"127.0.0.1:{PORT + n}" for n in range(MACHINES)]
     settings = Settings(
@@ -131,7 +131,7 @@
         os._exit(0)
 
 
-def cost(caller: call.Caller) -> list[float]:
+def cost(caller: http_client.Caller) -> list[float]:
     """Seconds of the processor, bytes of bodies and calls so far."""
     moved = sum(caller.sent.values()) + sum(caller.received.values())
     return [time.process_time(), moved, caller.calls]
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -20,10 +20,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from knotwalk.configuration.control import History, judge
+from knotwalk.configuration.change_requests import History, judge
+from knotwalk.configuration.documents import read_configuration
 from knotwalk.configuration.index import Index, canonical_host
 from knotwalk.configuration.objects import Configuration, Route
-from knotwalk.configuration.read import read_configuration
 from knotwalk.consensus.orders import Entry, Save
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.replicated_state import ReplicatedState
--- a/knotwalk/cli/__main__.py
+++ b/knotwalk/cli/__main__.py
@@ -13,12 +13,12 @@
 
 from knotwalk.cli import check as checks, compare, past, show
 from knotwalk.cli.offer import NoAnswer, Operator
-from knotwalk.configuration.control import Unreadable, parsed
+from knotwalk.configuration.change_requests import Unreadable, parsed
+from knotwalk.configuration.documents import Invalid, document, read_configuration, version_number, version_text
 from knotwalk.configuration.objects import Configuration, Limits
-from knotwalk.configuration.read import Invalid, document, read_configuration, version_number, version_text
 from knotwalk.consensus.store import StoreBroken
-from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
+from knotwalk.runtime.http_client import Caller
 
 PATIENCE = 3.0
 
--- a/knotwalk/cli/check.py
+++ b/knotwalk/cli/check.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from knotwalk.cli.words import count
-from knotwalk.configuration.read import NAMED, Invalid, read_configuration, shown
+from knotwalk.configuration.documents import NAMED, Invalid, read_configuration, shown
 from knotwalk.runtime.errors import SettingsError
 from knotwalk.runtime.settings import Settings, parse
 
--- a/knotwalk/cli/offer.py
+++ b/knotwalk/cli/offer.py
@@ -7,10 +7,10 @@
 from typing import Any, NamedTuple
 from urllib.parse import urlsplit
 
+from knotwalk.configuration.documents import read_configuration, version_text
 from knotwalk.configuration.objects import Configuration
-from knotwalk.configuration.read import read_configuration, version_text
-from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
+from knotwalk.runtime.http_client import Caller
 
 PATIENCE = 6.0  # for one answer: a core says after 4 s that it does not know
 TRIES = 8  # of one call without a clear answer: past an election, and a core that has gone
--- a/knotwalk/cli/past.py
+++ b/knotwalk/cli/past.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
+from knotwalk.configuration.documents import document
 from knotwalk.configuration.objects import Configuration
-from knotwalk.configuration.read import document
 from knotwalk.configuration.tenants import without_keys
 from knotwalk.consensus.store import read
 from knotwalk.control_plane.replicated_state import ReplicatedState
--- a/knotwalk/configuration/control.py
+++ b/knotwalk/configuration/change_requests.py
@@ -14,9 +14,7 @@
 import re
 from dataclasses import dataclass
 
-from knotwalk.configuration.history import History, Standing
-from knotwalk.configuration.objects import Configuration, Limits
-from knotwalk.configuration.read import (
+from knotwalk.configuration.documents import (
     Invalid,
     document,
     patched,
@@ -25,6 +23,8 @@
     version_number,
     version_text,
 )
+from knotwalk.configuration.history import History, Standing
+from knotwalk.configuration.objects import Configuration, Limits
 
 # A route is about 350 bytes: room for some 45,000 of them, and no more memory than a small core has.
 MOST_BYTES = 16 * 1024 * 1024
--- a/knotwalk/configuration/history.py
+++ b/knotwalk/configuration/history.py
@@ -17,7 +17,7 @@
 from array import array
 from bisect import bisect_left
 
-from knotwalk.configuration.read import version_number
+from knotwalk.configuration.documents import version_number
 
 # A week of 2,700 changes a day, and a little more: longer than any caller repeats a call. 0.5 MB.
 REMEMBERED = 20_000
--- a/knotwalk/control_plane/__main__.py
+++ b/knotwalk/control_plane/__main__.py
@@ -15,7 +15,7 @@
 import sys
 from zlib import crc32
 
-from knotwalk.configuration.read import document
+from knotwalk.configuration.documents import document
 from knotwalk.consensus.orders import Pace
 from knotwalk.consensus.store import Store, StoreBroken
 from knotwalk.control_plane.admissions import Admissions
@@ -27,15 +27,15 @@
 from knotwalk.control_plane.list_poller import ListPoller
 from knotwalk.control_plane.peer_api import PeerApi
 from knotwalk.control_plane.slice_manager import SliceManager
-from knotwalk.discovery.board import Board
 from knotwalk.discovery.loads import Loads
+from knotwalk.discovery.view_publisher import Board
 from knotwalk.leases.orders import Pace as KeysPace
 from knotwalk.runtime import logs
-from knotwalk.runtime.call import Caller
-from knotwalk.runtime.life import FIGURES_AFTER, Ending, live
+from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_server import Listener
+from knotwalk.runtime.lifecycle import FIGURES_AFTER, Ending, live
 from knotwalk.runtime.logs import log_info
 from knotwalk.runtime.loop_delay import LoopDelay
-from knotwalk.runtime.serve import Listener
 from knotwalk.runtime.settings import Settings
 from knotwalk.shared_state.answers import MEMORY_PART, Answers
 
--- a/knotwalk/control_plane/account.py
+++ b/knotwalk/control_plane/account.py
@@ -8,12 +8,12 @@
 from collections import Counter
 from typing import Any
 
+from knotwalk.configuration.documents import version_text
 from knotwalk.configuration.index import Index
-from knotwalk.configuration.read import version_text
 from knotwalk.consensus.machine import Machine
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.discovery.board import Board
 from knotwalk.discovery.loads import Loads
+from knotwalk.discovery.view_publisher import Board
 from knotwalk.discovery.view_types import WIDTH, entry
 
 EDGES_SPAN = 10.0  # seconds after which an edge that was not heard of counts as gone
--- a/knotwalk/control_plane/admissions.py
+++ b/knotwalk/control_plane/admissions.py
@@ -15,9 +15,9 @@
 from sanic import HTTPResponse, Request
 
 from knotwalk.configuration.objects import Configuration
-from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.serve import answer, body
+from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_server import answer, body
 from knotwalk.shared_state.answers import Answers, Phase
 from knotwalk.shared_state.claims import UNAVAILABLE as CLAIMS_UNAVAILABLE, ClaimResult, Outcome
 from knotwalk.shared_state.held_tokens import Attempt, HeldTokens
--- a/knotwalk/control_plane/allowances.py
+++ b/knotwalk/control_plane/allowances.py
@@ -13,10 +13,10 @@
 
 from knotwalk.control_plane.consensus_driver import ConsensusDriver
 from knotwalk.control_plane.list_poller import ListPoller
-from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
+from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_server import answer, body
 from knotwalk.runtime.logs import clock, log_info
-from knotwalk.runtime.serve import answer, body
 from knotwalk.runtime.settings import Settings
 from knotwalk.shared_state.buckets import Buckets
 from knotwalk.shared_state.escrow import Escrow, Taken
--- a/knotwalk/control_plane/consensus_driver.py
+++ b/knotwalk/control_plane/consensus_driver.py
@@ -16,7 +16,7 @@
 from knotwalk.control_plane.compaction import Compaction
 from knotwalk.control_plane.peer_lanes import PATIENCE as PATIENCE, PeerLanes
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.runtime.call import Caller
+from knotwalk.runtime.http_client import Caller
 from knotwalk.runtime.logs import clock, log_exception, log_info, log_warning
 
 HANG = 0.6  # a write that takes longer costs leadership: others serve meanwhile
--- a/knotwalk/control_plane/control.py
+++ b/knotwalk/control_plane/control.py
@@ -7,13 +7,13 @@
 
 from sanic import HTTPResponse, Request, Sanic
 
-from knotwalk.configuration.control import DISK_PART, MOST_BYTES, UNKNOWN, judge, reading, refused_place
-from knotwalk.configuration.read import difference, document, version_text
-from knotwalk.configuration.unknown import unknown_words
+from knotwalk.configuration.change_requests import DISK_PART, MOST_BYTES, UNKNOWN, judge, reading, refused_place
+from knotwalk.configuration.documents import difference, document, version_text
+from knotwalk.configuration.unknown_kinds import unknown_words
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost, NotLeader
 from knotwalk.control_plane.replicated_state import DONE
+from knotwalk.runtime.http_server import answer, app
 from knotwalk.runtime.logs import clock, log_info, log_warning
-from knotwalk.runtime.serve import answer, app
 
 PATIENCE = 4.0  # for an agreement; a core that lost its majority says so instead of holding the operator
 LATER = {"Retry-After": "60"}  # s; of an order too old to be told, which another try won't change
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost, NotLeader
-from knotwalk.discovery.board import Board
-from knotwalk.discovery.listing import Listing, Unusable
+from knotwalk.discovery.node_listing import Listing, Unusable
+from knotwalk.discovery.view_publisher import Board
 from knotwalk.discovery.view_types import Node, entry, node_of
 from knotwalk.leases.ledger import ranges
 from knotwalk.leases.tenure import PROOF, Tenure, hand_over, reassign
-from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
+from knotwalk.runtime.http_client import Caller
 from knotwalk.runtime.logs import clock, log_info, log_warning
 from knotwalk.runtime.settings import Settings
 
--- a/knotwalk/control_plane/peer_api.py
+++ b/knotwalk/control_plane/peer_api.py
@@ -15,15 +15,15 @@
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost, NotLeader
 from knotwalk.control_plane.list_poller import ListPoller
 from knotwalk.control_plane.slice_manager import SliceManager
-from knotwalk.discovery.board import Board
 from knotwalk.discovery.loads import Loads
 from knotwalk.discovery.reachability import unreached_nodes
+from knotwalk.discovery.view_publisher import Board
 from knotwalk.discovery.view_types import FRESH, KEYS
 from knotwalk.leases.tenure import ASK, PROOF
-from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
+from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_server import answer, app, body, packed
 from knotwalk.runtime.logs import clock, log_warning
-from knotwalk.runtime.serve import answer, app, body, packed
 
 Handler = Callable[[Request], Awaitable[HTTPResponse]]
 
--- a/knotwalk/control_plane/peer_lanes.py
+++ b/knotwalk/control_plane/peer_lanes.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
+from knotwalk.runtime.http_client import Caller
 
 PATIENCE = 0.6  # for a peer: a lost message is repeated by the machine's own pace
 WAITING_MOST = 256  # messages for a peer that does not answer; the machine repeats what matters
--- a/knotwalk/control_plane/replicated_state.py
+++ b/knotwalk/control_plane/replicated_state.py
@@ -10,10 +10,10 @@
 
 from __future__ import annotations
 
-from knotwalk.configuration.control import UNKNOWN
+from knotwalk.configuration.change_requests import UNKNOWN
+from knotwalk.configuration.documents import Invalid, document, patched, read_configuration
 from knotwalk.configuration.history import History, Standing
 from knotwalk.configuration.objects import Configuration
-from knotwalk.configuration.read import Invalid, document, patched, read_configuration
 from knotwalk.leases.ledger import Change, Ledger
 
 # Of snapshots; raised when older programs could not read them. 2: rows of the ledger tell of an `early` lease. 3:
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -7,16 +7,16 @@
 from collections.abc import Awaitable, Callable
 
 from knotwalk.control_plane.consensus_driver import ConsensusDriver
-from knotwalk.discovery.board import Board
 from knotwalk.discovery.loads import Loads
 from knotwalk.discovery.reachability import PeerReachability, UnreachedNodes
+from knotwalk.discovery.view_publisher import Board
 from knotwalk.leases.evidence import Event, Evidence, HolderCleared, NodeUnreachable
 from knotwalk.leases.keeper import Keeper
 from knotwalk.leases.orders import REFUSED, UNSENT, Grant, Pace, Propose, Release
 from knotwalk.placement.capacity import Report, utilizations
 from knotwalk.placement.placer import Placer
-from knotwalk.runtime.call import Caller, Refused
 from knotwalk.runtime.errors import PeerError
+from knotwalk.runtime.http_client import Caller, Refused
 from knotwalk.runtime.logs import clock, log_exception, log_info, log_warning
 from knotwalk.runtime.units import text
 
--- a/knotwalk/discovery/cluster_view.py
+++ b/knotwalk/discovery/cluster_view.py
@@ -1,17 +1,17 @@
 """The cluster view that the core spreads and the edges act on: configuration, nodes, owner lines; changes, not wholes.
 
-A `Board` (`discovery.board`) stands in each core program; a `ClusterView` in each edge program. Each topic has an order
-that only rises (the index in the agreed log; for nodes the poller's term and turn), so a cluster view never goes back,
-whichever core it hears. A cluster view that has nothing yet may begin with a provisional one, from a core that only
-just started. Of that one only the configuration has an order, since it is committed; lists and lines of any fresh core
-replace it.
+A `Board` (`discovery.view_publisher`) stands in each core program; a `ClusterView` in each edge program. Each topic has
+an order that only rises (the index in the agreed log; for nodes the poller's term and turn), so a cluster view never
+goes back, whichever core it hears. A cluster view that has nothing yet may begin with a provisional one, from a core
+that only just started. Of that one only the configuration has an order, since it is committed; lists and lines of any
+fresh core replace it.
 """
 
 from __future__ import annotations
 
+from knotwalk.configuration.documents import Invalid, patched, read_configuration
 from knotwalk.configuration.index import Index
 from knotwalk.configuration.objects import Configuration
-from knotwalk.configuration.read import Invalid, patched, read_configuration
 from knotwalk.configuration.tenants import TenantKeys, tenant_keys
 from knotwalk.discovery.view_types import Node, Sharding, node_of
 
--- a/knotwalk/discovery/board.py
+++ b/knotwalk/discovery/view_publisher.py
@@ -8,7 +8,7 @@
 import json
 from collections import deque
 
-from knotwalk.configuration.read import difference
+from knotwalk.configuration.documents import difference
 from knotwalk.discovery.view_types import SLICES, Node, entry
 
 # Changes of the configuration kept to be sent alone. Together they stay smaller than the whole, so a board
--- a/knotwalk/edge/__main__.py
+++ b/knotwalk/edge/__main__.py
@@ -23,7 +23,7 @@
 from knotwalk.edge.limits import Refusals, needs_ask
 from knotwalk.edge.link import Link
 from knotwalk.edge.operations import Operations
-from knotwalk.runtime.life import FIGURES_AFTER, Ending, live
+from knotwalk.runtime.lifecycle import FIGURES_AFTER, Ending, live
 from knotwalk.runtime.logs import clock, log_info
 from knotwalk.runtime.settings import Settings
 
--- a/knotwalk/edge/caller.py
+++ b/knotwalk/edge/caller.py
@@ -1,4 +1,4 @@
-"""An edge's calls to a core: JSON over HTTP/1.1 on httptools, with the interface of `runtime.call.Caller.json`.
+"""An edge's calls to a core: JSON over HTTP/1.1 on httptools, with the interface of `runtime.http_client.Caller.json`.
 
 An edge makes one call at a time, and starts and memory are priced: aiohttp was over half of what an edge imports.
 """
@@ -16,8 +16,8 @@
 
 import httptools
 
+from knotwalk.runtime.compression import ENCODING, unpack
 from knotwalk.runtime.errors import PeerError, value
-from knotwalk.runtime.packing import ENCODING, unpack
 
 # Seconds after which an idle connection is not used again: less than half of what a core keeps one open for.
 IDLE = 8.0
--- a/knotwalk/runtime/serve.py
+++ b/knotwalk/runtime/http_server.py
@@ -7,8 +7,8 @@
 from sanic.exceptions import SanicException
 from sanic.log import access_logger, error_logger, logger as sanic_logger
 
+from knotwalk.runtime.compression import ENCODING, pack
 from knotwalk.runtime.logs import log_exception
-from knotwalk.runtime.packing import ENCODING, pack
 
 BODY_MOST = 64 * 1024 * 1024
 
--- a/knotwalk/runtime/metrics.py
+++ b/knotwalk/runtime/metrics.py
@@ -2,7 +2,7 @@
 
 Nothing is gathered for it but plain counts: the figures are read off the program's state when somebody asks, and the
 library that writes the format is loaded by the first question, on a thread, since loading takes a tenth of a second of
-a core. This module is itself loaded a while after the start (`life.FIGURES_AFTER`), for which a loss of all waits.
+a core. This module is itself loaded a while after the start (`lifecycle.FIGURES_AFTER`), for which a loss of all waits.
 Names are stated in docs/guides/system.md and never change.
 
 Source: Prometheus, "Exposition formats", text format 0.0.4.
--- a/knotwalk/runtime/settings.py
+++ b/knotwalk/runtime/settings.py
@@ -109,7 +109,7 @@
     platform: Platform = Platform()
     mark: Mark | None = None  # of the file that this was read from
     contracts: list[str] = field(default_factory=list)  # names of the parts of the rules that are in force
-    metrics_port: int | None = None  # of the program's arguments, not of the file: see `runtime.life`
+    metrics_port: int | None = None  # of the program's arguments, not of the file: see `runtime.lifecycle`
 
     def at(self, name: str) -> Address:
         """Where this role listens for `name`; SettingsError if the file does not say."""
--- a/tests/simulation/judges.py
+++ b/tests/simulation/judges.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from knotwalk.configuration.read import document
+from knotwalk.configuration.documents import document
 from tests.simulation.loop import VirtualLoop
 from tests.simulation.register import Register
 
--- a/tests/simulation/mistakes.py
+++ b/tests/simulation/mistakes.py
@@ -11,7 +11,7 @@
 from typing import Any
 from unittest import mock
 
-from knotwalk.configuration import control as verdicts
+from knotwalk.configuration import change_requests as verdicts
 from knotwalk.consensus import elections, following, leading, membership
 from knotwalk.consensus.machine import Machine
 from knotwalk.consensus.members import quorum
--- a/tests/simulation/programs.py
+++ b/tests/simulation/programs.py
@@ -24,7 +24,7 @@
 )
 from knotwalk.control_plane.compaction import Compaction
 from knotwalk.edge import link
-from knotwalk.runtime import life, logs
+from knotwalk.runtime import lifecycle, logs
 from knotwalk.runtime.settings import Bounds, Machine, Platform, Settings, Tolerance
 from knotwalk.shared_state import messages
 from tests.simulation.disk import Disk, Store
@@ -89,7 +89,7 @@
         put(program, "os", SimpleNamespace(urandom=chance.randbytes, getpid=lambda: 1, _exit=_exit))
         put(peer_api, "app", App)
         put(control, "app", App)
-        put(life.Ending, "listen", lambda ending: None)
+        put(lifecycle.Ending, "listen", lambda ending: None)
         put(Compaction, "due", lambda made, *worth: _due(made, compact))
         put(consensus_machine, "TRAIL", trail)
         for room in (messages, claim_group, claim_groups):
--- a/tests/simulation/wire.py
+++ b/tests/simulation/wire.py
@@ -12,8 +12,8 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from knotwalk.runtime.call import Refused
 from knotwalk.runtime.errors import PeerError, value
+from knotwalk.runtime.http_client import Refused
 from tests.simulation.loop import PROCESS, Process, VirtualLoop
 
 DELAY = 0.0014  # seconds one way
@@ -178,7 +178,7 @@
 
 
 class Caller:
-    """In place of `runtime.call.Caller` and `edge.caller.Caller`: the same interface, over the wire of the world."""
+    """In place of `runtime.http_client.Caller` and `edge.caller.Caller`: the same interface, over the world's wire."""
 
     def __init__(self, wire: Wire, resets: bool = False):
         self.wire, self.resets = wire, resets
@@ -223,7 +223,7 @@
 
 
 class Listener:
-    """In place of `runtime.serve.Listener`."""
+    """In place of `runtime.http_server.Listener`."""
 
     def __init__(self, wire: Wire, made: App):
         self.wire, self.made, self.at = wire, made, ""
--- a/tests/standins/village.py
+++ b/tests/standins/village.py
@@ -22,8 +22,8 @@
 
 from aiohttp import web
 
-from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
+from knotwalk.runtime.http_client import Caller
 
 from .documents import BASE, FIRST, HOST, SHARED, TENANT_CONTRACTS, key_header
 from .holders import HoldingNode, Watch
--- a/tests/system/test_admission_calls.py
+++ b/tests/system/test_admission_calls.py
@@ -17,8 +17,8 @@
 from knotwalk.edge.admission_calls import AdmissionCalls
 from knotwalk.edge.node_answer import Answer
 from knotwalk.edge.operation_steps import AT_ONCE, Patience, Step, UntoldEnds, repeated, run_end, step, stored
+from knotwalk.runtime.http_server import Listener, app
 from knotwalk.runtime.logs import clock
-from knotwalk.runtime.serve import Listener, app
 from knotwalk.runtime.settings import parse
 from knotwalk.shared_state.answers import OVERHEAD, Answers, Phase, size_of
 from knotwalk.shared_state.claims import GRANTED, UNAVAILABLE as CLAIMS_UNAVAILABLE
--- a/tests/system/test_caller.py
+++ b/tests/system/test_caller.py
@@ -7,8 +7,8 @@
 from unittest import mock
 
 from knotwalk.edge.caller import Caller, Connection, Line
+from knotwalk.runtime.compression import pack
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.packing import pack
 
 WELL = b'HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{"a":1}'
 CHUNKED = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{"a\r\n4\r\n":1}\r\n0\r\n\r\n'
--- a/tests/system/test_cli.py
+++ b/tests/system/test_cli.py
@@ -15,15 +15,15 @@
 
 from knotwalk.cli import __main__ as cli, check, offer, show
 from knotwalk.cli.compare import differences
-from knotwalk.configuration.control import History, judge, reading
-from knotwalk.configuration.read import document, read_configuration
+from knotwalk.configuration.change_requests import History, judge, reading
+from knotwalk.configuration.documents import document, read_configuration
 from knotwalk.consensus.machine import Machine
 from knotwalk.consensus.orders import Entry, Pace, Save, Saved
 from knotwalk.consensus.store import Store, StoreBroken, read
 from knotwalk.control_plane import account
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.discovery.board import Board
 from knotwalk.discovery.loads import Loads
+from knotwalk.discovery.view_publisher import Board
 from knotwalk.discovery.view_types import WIDTH, Node
 from knotwalk.leases.ledger import SLICES
 from knotwalk.runtime.errors import PeerError
--- a/tests/system/test_cli_tenants.py
+++ b/tests/system/test_cli_tenants.py
@@ -5,12 +5,12 @@
 import unittest
 
 from knotwalk.cli import show
-from knotwalk.configuration.read import Invalid, read_configuration
+from knotwalk.configuration.documents import Invalid, read_configuration
 from knotwalk.consensus.orders import Entry, Save
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane import account
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.discovery.board import Board
+from knotwalk.discovery.view_publisher import Board
 from tests.standins.documents import FIRST, route, tenant
 from tests.system.test_cli import FileCase, configure, run
 
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -10,12 +10,9 @@
 from hypothesis import given, settings, strategies as some
 
 from benchmarks import configuration as sizes
-from knotwalk.configuration import control
-from knotwalk.configuration.control import History, judge, parsed, reading
-from knotwalk.configuration.history import REMEMBERED
-from knotwalk.configuration.index import Index, canonical_host
-from knotwalk.configuration.objects import Configuration, Limits, Route, Service, Tenant
-from knotwalk.configuration.read import (
+from knotwalk.configuration import change_requests
+from knotwalk.configuration.change_requests import History, judge, parsed, reading
+from knotwalk.configuration.documents import (
     Invalid,
     apply_difference,
     difference,
@@ -25,9 +22,12 @@
     version_number,
     version_text,
 )
+from knotwalk.configuration.history import REMEMBERED
+from knotwalk.configuration.index import Index, canonical_host
+from knotwalk.configuration.objects import Configuration, Limits, Route, Service, Tenant
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.discovery.board import Board
 from knotwalk.discovery.cluster_view import ClusterView
+from knotwalk.discovery.view_publisher import Board
 
 OPENAPI = pathlib.Path(__file__).parents[2] / "openapi" / "control.yaml"
 
@@ -456,7 +456,13 @@
         ):
             with self.subTest(line):
                 self.refused(400, line, "PUT", "0", body)
-        self.refused(413, f"body: longer than {control.MOST_BYTES} bytes", "PUT", "0", b" " * (control.MOST_BYTES + 1))
+        self.refused(
+            413,
+            f"body: longer than {change_requests.MOST_BYTES} bytes",
+            "PUT",
+            "0",
+            b" " * (change_requests.MOST_BYTES + 1),
+        )
         self.refused(412, "built on r1, but r0 is current", "PUT", "r1", good)
         self.assertEqual("\U0001f600", parsed(b'"\\ud83d\\ude00"'))
 
@@ -577,7 +583,8 @@
         self.assertEqual(["/configuration"], list(self.page["paths"]))
         calls = self.page["paths"]["/configuration"]
         self.assertEqual(
-            {method: tuple(sorted(map(int, call["responses"]))) for method, call in calls.items()}, control.STATUSES
+            {method: tuple(sorted(map(int, call["responses"]))) for method, call in calls.items()},
+            change_requests.STATUSES,
         )
 
     def test_links_hold(self):
@@ -618,11 +625,11 @@
                 self.assertEqual(name in told | {"service"}, missed)
 
     def test_answers(self):
-        verdict = control.Verdict(412, "x", 3)
+        verdict = change_requests.Verdict(412, "x", 3)
         for name, body in (
-            ("Taken", control.Verdict(200, "x", version=3).body()),
+            ("Taken", change_requests.Verdict(200, "x", version=3).body()),
             ("OtherVersion", verdict.body()),
-            ("Error", control.Verdict(400, "x").body()),
+            ("Error", change_requests.Verdict(400, "x").body()),
             ("Error", reading(None)[1]),
         ):
             self.assertEqual(set(self.schemas[name]["required"]), set(body))
--- a/tests/system/test_consensus_store.py
+++ b/tests/system/test_consensus_store.py
@@ -16,7 +16,7 @@
 from typing import Any
 from unittest import mock
 
-from knotwalk.configuration.control import DISK_PART
+from knotwalk.configuration.change_requests import DISK_PART
 from knotwalk.consensus.orders import Entry, Save, Saved
 from knotwalk.consensus.store import ASIDE, NAME, Damaged, Refused, Store, StoreBroken
 from tests.standins.disk import FULL, REFUSED, FaultyDisk, FolderNames
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from knotwalk.configuration.read import document, patched, read_configuration
+from knotwalk.configuration.documents import document, patched, read_configuration
 from knotwalk.consensus.orders import Pace, Save, Saved
 from knotwalk.consensus.store import NAME, Damaged, Refused, Store
 from knotwalk.control_plane import consensus_driver, control
@@ -20,14 +20,14 @@
 from knotwalk.control_plane.list_poller import ListPoller
 from knotwalk.control_plane.peer_api import PeerApi
 from knotwalk.control_plane.slice_manager import LANES, SliceManager
-from knotwalk.discovery.board import Board
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.loads import Loads, merge
+from knotwalk.discovery.view_publisher import Board
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge.link import FIRST_WAIT, WAIT, Link
 from knotwalk.leases.orders import UNSENT, Grant, Pace as LeasePace
+from knotwalk.runtime.compression import LEAST, unpack
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.packing import LEAST, unpack
 from tests.standins.jumps import JumpingCase
 
 ADDRESSES = ["10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"]
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -11,16 +11,16 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from knotwalk.configuration.read import document
+from knotwalk.configuration.documents import document
 from knotwalk.consensus.orders import Pace, Save, Saved
 from knotwalk.control_plane import consensus_driver, control, list_poller, peer_api
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost
 from knotwalk.control_plane.control import Control
 from knotwalk.control_plane.list_poller import ListPoller
 from knotwalk.control_plane.peer_api import FRESH, PROVISIONAL, PeerApi
-from knotwalk.discovery.board import Board
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.loads import Loads
+from knotwalk.discovery.view_publisher import Board
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge import link
 from knotwalk.edge.link import Link
--- a/tests/system/test_deploy.py
+++ b/tests/system/test_deploy.py
@@ -6,7 +6,7 @@
 import tomllib
 import unittest
 
-from knotwalk.runtime.life import metrics_port
+from knotwalk.runtime.lifecycle import metrics_port
 from knotwalk.runtime.metrics import PATH
 
 ROOT = pathlib.Path(__file__).parents[2]
--- a/tests/system/test_lint.py
+++ b/tests/system/test_lint.py
@@ -12,7 +12,11 @@
 ROOT = pathlib.Path(__file__).parents[2]
 SPARED = ("C901", "D101", "D102", "D103")
 # Spared by a rule of the house and not as a leftover; pyproject.toml says why.
-BY_RULE = {"knotwalk/*/__main__.py": ["E402"], "knotwalk/runtime/call.py": ["E402"], "tests/**": list(SPARED[1:])}
+BY_RULE = {
+    "knotwalk/*/__main__.py": ["E402"],
+    "knotwalk/runtime/http_client.py": ["E402"],
+    "tests/**": list(SPARED[1:]),
+}
 
 
 def measured(files: list[str], bound: int) -> dict[str, dict[str, int]]:
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings, strategies as some
 
 from knotwalk.configuration import history as memory
-from knotwalk.configuration.control import History, judge
+from knotwalk.configuration.change_requests import History, judge
+from knotwalk.configuration.documents import document, version_text
 from knotwalk.configuration.history import REMEMBERED, REMEMBERED_BEFORE, Standing, mark
-from knotwalk.configuration.read import document, version_text
 from knotwalk.consensus.orders import Pace, Saved
 from knotwalk.control_plane import consensus_driver, control
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost
--- a/tests/system/test_outliers.py
+++ b/tests/system/test_outliers.py
@@ -3,10 +3,10 @@
 import random
 import unittest
 
-from knotwalk.discovery.board import Board
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.loads import SPAN, Loads
 from knotwalk.discovery.outliers import AGAIN, PART, REST, REST_LAST, OutlierDetection
+from knotwalk.discovery.view_publisher import Board
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge.choose import pick
 from tests.system.test_placement import Fleet
--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -19,7 +19,7 @@
 from knotwalk.cli.offer import NoAnswer, Operator
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge import caller as edge_caller, forwarder, node_connection
-from knotwalk.runtime import call as runtime_call
+from knotwalk.runtime import http_client as runtime_call
 from knotwalk.runtime.errors import PeerError
 
 SHORT = 0.15  # seconds that a call is waited for where silence is the point
--- a/tests/system/test_runtime.py
+++ b/tests/system/test_runtime.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from unittest import mock
 
-from knotwalk.runtime import life, metrics, text_port
-from knotwalk.runtime.call import Caller
+from knotwalk.runtime import lifecycle, metrics, text_port
 from knotwalk.runtime.errors import PeerError, SettingsError
-from knotwalk.runtime.life import metrics_port
+from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.lifecycle import metrics_port
 from knotwalk.runtime.settings import VARIABLE, load, parse
 
 ROOT = Path(__file__).parents[2]
@@ -83,8 +83,8 @@
         taken, told = [], []
         with (
             tempfile.TemporaryDirectory() as folder,
-            mock.patch.object(life, "LOOK", 0.001),
-            mock.patch.object(life.logs, "log_warning", lambda event, **fields: told.append(fields["why"])),
+            mock.patch.object(lifecycle, "LOOK", 0.001),
+            mock.patch.object(lifecycle.logs, "log_warning", lambda event, **fields: told.append(fields["why"])),
         ):
             file = Path(folder, "node.json")
 
@@ -102,7 +102,7 @@
                 self.assertEqual(load().seeds, [("127.0.0.1", 80)])
                 read = load()
                 put(json.dumps(GOOD | {"seed_nodes": ["127.0.0.7:80"]}))  # after it was read, before anybody looks
-                life.Ending(taken.append, read.mark).listen()
+                lifecycle.Ending(taken.append, read.mark).listen()
                 await until(lambda: taken)
                 put(json.dumps(GOOD | {"seed_nodes": ["127.0.0.9:80"]}))
                 await until(lambda: len(taken) > 1)
@@ -133,7 +133,7 @@
                 finally:
                     started.kill()
                     started.wait()
-                self.assertEqual((started.returncode, told.count(b"\n")), (life.UNUSABLE, 1), told)
+                self.assertEqual((started.returncode, told.count(b"\n")), (lifecycle.UNUSABLE, 1), told)
 
     def opened(self, pipe, started):
         """The pipe's other side, once the program has begun to read."""
--- a/tests/system/test_tenants.py
+++ b/tests/system/test_tenants.py
@@ -5,10 +5,10 @@
 
 from hypothesis import given, settings, strategies as some
 
-from knotwalk.configuration.control import judge
+from knotwalk.configuration.change_requests import judge
+from knotwalk.configuration.documents import Invalid, difference, document, patched, read_configuration
 from knotwalk.configuration.history import History
 from knotwalk.configuration.objects import Tenant
-from knotwalk.configuration.read import Invalid, difference, document, patched, read_configuration
 from knotwalk.configuration.tenants import TenantKeys, tenant_keys
 from tests.system.test_configuration import route, service, whole
 
--- a/tests/system/test_unknown_words.py
+++ b/tests/system/test_unknown_words.py
@@ -9,10 +9,10 @@
 import tempfile
 import unittest
 
-from knotwalk.configuration.control import refused_place
+from knotwalk.configuration.change_requests import refused_place
+from knotwalk.configuration.documents import Invalid, read_configuration
 from knotwalk.configuration.index import Index
-from knotwalk.configuration.read import Invalid, read_configuration
-from knotwalk.configuration.unknown import unknown_words
+from knotwalk.configuration.unknown_kinds import unknown_words
 from knotwalk.runtime.settings import VARIABLE, parse, unknown_contracts
 from tests.system.test_configuration import route, service
 
