--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -28,7 +28,7 @@
 from knotwalk.control_plane.claim_group import Home
 from knotwalk.control_plane.claim_groups import CLAIMS, MESSAGES, ClaimGroups
 from knotwalk.runtime import http_client
-from knotwalk.runtime.http_server import Listener, answer, app, body
+from knotwalk.runtime.http_server import Listener, json_body, json_response, make_app
 from knotwalk.runtime.logs import clock
 from knotwalk.runtime.settings import Machine, Settings, Tolerance
 from knotwalk.shared_state import messages
@@ -51,7 +51,7 @@
         time.sleep(SYNC)
 
 
-class FarCaller(http_client.Caller):
+class FarCaller(http_client.HttpClient):
     """Calls to machines some way off."""
 
     async def send(self, *given: object, **options: object) -> tuple[int, dict[str, str], bytes]:
@@ -62,7 +62,7 @@
         return found
 
 
-def home(number: int, folder: str, caller: http_client.Caller) -> Home:
+def home(number: int, folder: str, caller: http_client.HttpClient) -> Home:
     """What the groups of one process share."""
     addresses = [f"127.0.0.1:{PORT + n}" for n in range(MACHINES)]
     settings = Settings(
@@ -107,12 +107,12 @@
         groups = ClaimGroups(home(number, folder, caller))
 
         async def told(request: Request) -> HTTPResponse:
-            return answer(await groups.exchange(body(request)))
+            return json_response(await groups.exchange(json_body(request)))
 
         async def taken(request: Request) -> HTTPResponse:
-            return answer(await groups.taken(body(request)))
+            return json_response(await groups.taken(json_body(request)))
 
-        made = app(f"bench{number}")
+        made = make_app(f"bench{number}")
         made.add_route(told, MESSAGES, methods=["POST"])
         made.add_route(taken, CLAIMS, methods=["POST"])
         listener = Listener(made)
@@ -131,9 +131,9 @@
         os._exit(0)
 
 
-def cost(caller: http_client.Caller) -> list[float]:
+def cost(caller: http_client.HttpClient) -> list[float]:
     """Seconds of the processor, bytes of bodies and calls so far."""
-    moved = sum(caller.sent.values()) + sum(caller.received.values())
+    moved = sum(caller.sent_bytes.values()) + sum(caller.received_bytes.values())
     return [time.process_time(), moved, caller.calls]
 
 
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -20,9 +20,9 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from knotwalk.configuration.change_requests import History, judge
-from knotwalk.configuration.documents import read_configuration
-from knotwalk.configuration.index import Index, canonical_host
+from knotwalk.configuration.change_requests import ChangeHistory, decide_change
+from knotwalk.configuration.documents import parse_configuration
+from knotwalk.configuration.index import RouteIndex, canonical_host
 from knotwalk.configuration.objects import Configuration, Route
 from knotwalk.consensus.orders import Entry, Save
 from knotwalk.consensus.store import Store
@@ -78,19 +78,19 @@
     return statistics.median(spans)
 
 
-def remembering(orders: int) -> History:
+def remembering(orders: int) -> ChangeHistory:
     """A history of so many orders, whose versions rise by uneven steps."""
-    history, version, chance = History(), 0, random.Random(3)
+    history, version, chance = ChangeHistory(), 0, random.Random(3)
     for _ in range(orders):
         version += chance.randint(1, 5)
-        history.note(version, hashlib.sha256(str(version).encode()).hexdigest())
+        history.record(version, hashlib.sha256(str(version).encode()).hexdigest())
     return history
 
 
-def snapshot(history: History, routes: int) -> dict:
+def snapshot(history: ChangeHistory, routes: int) -> dict:
     """The agreed state with such a history, as it is put down."""
     state = ReplicatedState()
-    state.history, state.configuration = history, read_configuration(made(routes, 50))
+    state.history, state.configuration = history, parse_configuration(made(routes, 50))
     return state.to_dict()
 
 
@@ -117,14 +117,14 @@
     history = remembering(orders)
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    full, empty = snapshot(history, 3), snapshot(History(), 3)
+    full, empty = snapshot(history, 3), snapshot(ChangeHistory(), 3)
     return {"memory": memory, "snapshot": size(full) - size(empty), "disk": on_disk(full) - on_disk(empty)}
 
 
 def main(quick: bool) -> None:
     chance = random.Random(11)
-    configuration = read_configuration(made(10_000, 100))
-    index = Index(configuration)
+    configuration = parse_configuration(made(10_000, 100))
+    index = RouteIndex(configuration)
     routes = list(configuration.routes.values())
     asked = [
         (route.hostname + ":8080", route.path_prefix + "a/b?c=d")
@@ -142,8 +142,8 @@
             {
                 "route_ratio": round(slow / fast, 1),
                 "route_us": round(fast * 1e6, 3),
-                "read_ms": round(took(turns, lambda: read_configuration(whole)) * 1e3, 2),
-                "judge_ms": round(took(turns, lambda: judge(None, History(), "PUT", "0", body)) * 1e3, 2),
+                "read_ms": round(took(turns, lambda: parse_configuration(whole)) * 1e3, 2),
+                "judge_ms": round(took(turns, lambda: decide_change(None, ChangeHistory(), "PUT", "0", body)) * 1e3, 2),
                 "history_day": history_bytes(DAY),
                 "history_week": history_bytes(7 * DAY),
                 "history_of_12000": round(size(large["history"]) / size(large), 3),
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -37,7 +37,7 @@
 from knotwalk.consensus.orders import Answer, Apply, Entry, Pace, Role, Save, Send
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.discovery.view_types import SLICES, Node
+from knotwalk.discovery.view_types import SLICE_COUNT, Node
 from knotwalk.leases.keeper import Keeper
 from knotwalk.leases.ledger import Ledger, ranges
 from knotwalk.leases.orders import Grant, Pace as KeysPace, Propose, Release
@@ -106,7 +106,11 @@
                     one,
                     1,
                     "command",
-                    {"do": "move", "by": "a", "moves": [["s", one % SLICES, one % SLICES, one, f"n{one % 40}"]] * 3},
+                    {
+                        "do": "move",
+                        "by": "a",
+                        "moves": [["s", one % SLICE_COUNT, one % SLICE_COUNT, one, f"n{one % 40}"]] * 3,
+                    },
                 )
                 for one in range(2, count + 1)
             ]
@@ -171,7 +175,7 @@
     def __init__(self, seed: int) -> None:
         self.desks: dict[str, dict[str, Any]] = {}
         self.listed = {f"n{one}": Node(f"n{one}", "s", ("10.0.0.1", one), "z", 2) for one in range(4)}
-        self.held = [0.0] * SLICES
+        self.held = [0.0] * SLICE_COUNT
         super().__init__(seed)
 
     def start(self, address: str) -> None:
--- a/knotwalk/cli/__main__.py
+++ b/knotwalk/cli/__main__.py
@@ -13,12 +13,18 @@
 
 from knotwalk.cli import check as checks, compare, past, show
 from knotwalk.cli.offer import NoAnswer, Operator
-from knotwalk.configuration.change_requests import Unreadable, parsed
-from knotwalk.configuration.documents import Invalid, document, read_configuration, version_number, version_text
+from knotwalk.configuration.change_requests import MalformedRequestError, parse_json
+from knotwalk.configuration.documents import (
+    InvalidConfigurationError,
+    format_version,
+    parse_configuration,
+    parse_version,
+    to_document,
+)
 from knotwalk.configuration.objects import Configuration, Limits
 from knotwalk.consensus.store import StoreBroken
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_client import HttpClient
 
 PATIENCE = 3.0
 
@@ -50,7 +56,7 @@
     """A core's answer; ends with 2 where there is none."""
 
     async def once() -> Any:
-        caller = Caller()
+        caller = HttpClient()
         try:
             return await caller.json("POST", f"http://{address}/{step}", question, PATIENCE, step)
         finally:
@@ -80,12 +86,12 @@
         """
         what, found = "", []
         try:
-            what = checks.checked(parsed(read(file)))
-        except Unreadable as error:
+            what = checks.checked(parse_json(read(file)))
+        except MalformedRequestError as error:
             found = [(file, str(error))]
         except checks.Mistakes as group:
             found = [
-                (one.where, one.mistake) if isinstance(one, Invalid) else (one.peer, str(one.why))
+                (one.location, one.mistake) if isinstance(one, InvalidConfigurationError) else (one.peer, str(one.why))
                 for one in group.exceptions
             ]
         if json:
@@ -115,8 +121,8 @@
         both = []
         for path in (old, new):
             try:
-                both.append(read_configuration(parsed(read(path))))
-            except (Unreadable, Invalid) as error:
+                both.append(parse_configuration(parse_json(read(path))))
+            except (MalformedRequestError, InvalidConfigurationError) as error:
                 end(2, trouble=f"{path}: {error}")
         found = compare.differences(*both)
         if json:
@@ -124,8 +130,8 @@
                 int(bool(found)),
                 as_json(
                     {
-                        "old": version_text(both[0].version),
-                        "new": version_text(both[1].version),
+                        "old": format_version(both[0].version),
+                        "new": format_version(both[1].version),
                         "differences": [one._asdict() for one in found],
                     }
                 ),
@@ -200,8 +206,8 @@
     """The configurations to offer from a file, oldest first: a configuration, or what `export --json` printed; ends
     with 2 where it can't be read, with 1 and a line a mistake where one is wrong."""
     try:
-        value = parsed(read(path))
-    except Unreadable as error:
+        value = parse_json(read(path))
+    except MalformedRequestError as error:
         end(2, trouble=f"{path}: {error}")
     if isinstance(value, dict) and "me" in value and "configuration" in value:
         kept = value.get("history") if history else None
@@ -220,7 +226,7 @@
             checks.configuration(one)
         except checks.Mistakes as group:
             name = f"{one['config_version']}, " if len(found) > 1 and isinstance(one, dict) else ""
-            lines += [f"{name}{mistake.where}: {mistake.mistake}" for mistake in group.exceptions]
+            lines += [f"{name}{mistake.location}: {mistake.mistake}" for mistake in group.exceptions]
     if lines:
         end(1, *lines)
     return found
@@ -228,23 +234,23 @@
 
 async def offered(address: str, texts: list[dict], send: bool) -> tuple[int, list[str], str]:
     """Offer configurations one after another: exit code, lines, trouble. `texts` were checked."""
-    caller, lines = Caller(), []
+    caller, lines = HttpClient(), []
     operator = Operator(address, caller)
     try:
         now = await operator.current()
         if now is not None and len(texts) > 1:
-            return 1, [], f"{version_text(now.version)} is in force: a history can only be given to an empty system"
+            return 1, [], f"{format_version(now.version)} is in force: a history can only be given to an empty system"
         for text in texts:
-            fresh, at = read_configuration(text), now.version if now else 0
-            name = version_text(fresh.version)
-            if now is not None and document(fresh) == document(now):
+            fresh, at = parse_configuration(text), now.version if now else 0
+            name = format_version(fresh.version)
+            if now is not None and to_document(fresh) == to_document(now):
                 return 0, [f"{name} is in force already"], ""
             if fresh.version <= at:
                 return (
                     1,
                     [],
                     (
-                        f"config_version: {name} is not above {version_text(at)}, which is in force; "
+                        f"config_version: {name} is not above {format_version(at)}, which is in force; "
                         "--version gives it another"
                     ),
                 )
@@ -257,10 +263,10 @@
                 if (
                     back is None
                     or back.version < fresh.version
-                    or (back.version == fresh.version and document(back) != document(fresh))
+                    or (back.version == fresh.version and to_document(back) != to_document(fresh))
                 ):
                     return 1, lines, f"{name} was taken, but reads back otherwise"
-            lines.append(f"{name} is in force" if send else f"{name} would be sent on top of {version_text(at)}")
+            lines.append(f"{name} is in force" if send else f"{name} would be sent on top of {format_version(at)}")
             now = fresh
         return 0, lines, "" if send else "nothing was sent; --apply does"
     except NoAnswer as error:
@@ -297,7 +303,7 @@
     texts = whole(file, history)
     if version is not None:
         try:
-            version_number(version)
+            parse_version(version)
         except ValueError as error:
             end(2, trouble=f"--version: {error}")
         texts[-1] = texts[-1] | {"config_version": version}
--- a/knotwalk/cli/check.py
+++ b/knotwalk/cli/check.py
@@ -7,9 +7,9 @@
 from __future__ import annotations
 
 from knotwalk.cli.words import count
-from knotwalk.configuration.documents import NAMED, Invalid, read_configuration, shown
+from knotwalk.configuration.documents import NAMED_KINDS, InvalidConfigurationError, describe_value, parse_configuration
 from knotwalk.runtime.errors import SettingsError
-from knotwalk.runtime.settings import Settings, parse
+from knotwalk.runtime.settings import Settings, parse_settings
 
 MOST = 100  # mistakes told; a file of another kind has one a line
 
@@ -26,7 +26,7 @@
     left, read = raw, None
     while read is None and len(found) < MOST:
         try:
-            read = parse(left)
+            read = parse_settings(left)
         except SettingsError as error:
             found.append(error)
             field = error.peer.partition(".")[0].partition("[")[0]
@@ -66,11 +66,11 @@
     left = raw
     while len(found) < MOST:
         try:
-            read_configuration(left)
+            parse_configuration(left)
             break
-        except Invalid as error:
+        except InvalidConfigurationError as error:
             found.append(error)
-            fixed = _put_aside(left, error.where)
+            fixed = _put_aside(left, error.location)
             if fixed is None:
                 break
             left = fixed
@@ -110,16 +110,16 @@
 def _named(item: dict) -> str:
     """An item as the reader names it: `route "x"`."""
     kind, metadata = item.get("object_kind"), item.get("metadata")
-    if kind not in NAMED or not isinstance(metadata, dict):
+    if kind not in NAMED_KINDS or not isinstance(metadata, dict):
         return ""
-    return f"{kind[:-1]} {shown(metadata.get('name'))}"
+    return f"{kind[:-1]} {describe_value(metadata.get('name'))}"
 
 
 def checked(raw: object) -> str:
     """What kind of file it is, read without a mistake, in a few words; Mistakes otherwise."""
     if isinstance(raw, dict) and ("objects" in raw or "config_version" in raw):
         configuration(raw)
-        read = read_configuration(raw)
+        read = parse_configuration(raw)
         tenants = f", {count(len(read.tenants), 'tenant')}" if read.tenants else ""
         return (
             f"configuration {raw['config_version']}: {count(len(read.routes), 'route')}, "
--- a/knotwalk/cli/offer.py
+++ b/knotwalk/cli/offer.py
@@ -7,10 +7,10 @@
 from typing import Any, NamedTuple
 from urllib.parse import urlsplit
 
-from knotwalk.configuration.documents import read_configuration, version_text
+from knotwalk.configuration.documents import format_version, parse_configuration
 from knotwalk.configuration.objects import Configuration
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_client import HttpClient
 
 PATIENCE = 6.0  # for one answer: a core says after 4 s that it does not know
 TRIES = 8  # of one call without a clear answer: past an election, and a core that has gone
@@ -32,7 +32,7 @@
 class Operator:
     """Calls to the control port of one core, or of whichever it sends on to."""
 
-    def __init__(self, address: str, caller: Caller, pause: float = PAUSE) -> None:
+    def __init__(self, address: str, caller: HttpClient, pause: float = PAUSE) -> None:
         self.address, self.caller, self.pause = address, caller, pause
 
     async def call(self, method: str, body: Any = None, base: int | None = None) -> Reply:
@@ -40,7 +40,7 @@
         last = ""
         for _ in range(TRIES):
             url = f"http://{self.address}/configuration"
-            heads = {} if base is None else {"If-Match": version_text(base)}
+            heads = {} if base is None else {"If-Match": format_version(base)}
             try:
                 for _ in range(HOPS + 1):
                     status, headers, data = await self.caller.send(method, url, body, PATIENCE, "configuration", heads)
@@ -59,4 +59,4 @@
     async def current(self) -> Configuration | None:
         """What is in force, None before the first; NoAnswer."""
         reply = await self.call("GET")
-        return read_configuration(reply.body) if reply.status == 200 else None
+        return parse_configuration(reply.body) if reply.status == 200 else None
--- a/knotwalk/cli/past.py
+++ b/knotwalk/cli/past.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from knotwalk.configuration.documents import document
+from knotwalk.configuration.documents import to_document
 from knotwalk.configuration.objects import Configuration
-from knotwalk.configuration.tenants import without_keys
+from knotwalk.configuration.tenants import redact_api_keys
 from knotwalk.consensus.store import read
 from knotwalk.control_plane.replicated_state import ReplicatedState
 
@@ -27,8 +27,8 @@
     history: list[dict[str, Any]] = []
 
     def text(configuration: Configuration) -> dict[str, Any]:
-        whole = document(configuration)
-        return whole if keys else without_keys(whole)
+        whole = to_document(configuration)
+        return whole if keys else redact_api_keys(whole)
 
     def note() -> None:
         if state.configuration and (not history or history[-1]["config_order"] != state.order):
--- a/knotwalk/configuration/index.py
+++ b/knotwalk/configuration/index.py
@@ -20,7 +20,7 @@
     return host.partition(":")[0].removesuffix(".").lower()
 
 
-class Index:
+class RouteIndex:
     """Look-up over the routes of one configuration; it is never changed after it was built."""
 
     __slots__ = ("_hosts",)
--- a/knotwalk/configuration/tenants.py
+++ b/knotwalk/configuration/tenants.py
@@ -9,7 +9,7 @@
 from knotwalk.configuration.objects import Tenant
 
 
-def digests(tenant: Tenant) -> list[bytes]:
+def key_digests(tenant: Tenant) -> list[bytes]:
     """The SHA-256 of each of a tenant's keys."""
     return [sha256(key.encode("utf-8", "surrogatepass")).digest() for key in tenant.api_keys]
 
@@ -28,11 +28,11 @@
         self._held: dict[bytes, tuple[bytes, Tenant]] = dict(before._held) if before else {}
         for name, tenant in known.items():
             if (now := tenants.get(name)) is not tenant and now != tenant:
-                for digest in digests(tenant):
+                for digest in key_digests(tenant):
                     del self._held[digest]
         for name, tenant in tenants.items():
             if (then := known.get(name)) is not tenant and then != tenant:
-                for digest in digests(tenant):
+                for digest in key_digests(tenant):
                     self._held[digest] = digest, tenant
 
     def find(self, key: bytes) -> Tenant | None:
@@ -44,7 +44,7 @@
         return held[1]
 
 
-def without_keys(document: dict) -> dict:
+def redact_api_keys(document: dict) -> dict:
     """A configuration as it is sent, for showing: `api_keys` of its tenants are a word, which no configuration may
     have there, so that none is put into force without its keys."""
 
--- a/knotwalk/configuration/unknown_kinds.py
+++ b/knotwalk/configuration/unknown_kinds.py
@@ -6,13 +6,13 @@
 
 from knotwalk.configuration.items import ROUTE_TYPES
 
-KINDS = ("routes", "services", "tenants", "limits")
+KNOWN_KINDS = ("routes", "services", "tenants", "limits")
 
 
-def unknown_words(items: Mapping[tuple[str, str], dict]) -> list[str]:
+def unknown_kinds(items: Mapping[tuple[str, str], dict]) -> list[str]:
     """Kinds and types of routes in `Configuration.items` that are not known, each once, in the order of coming.
 
-    >>> unknown_words({("moons", "a"): {"object_kind": "moons"}})
+    >>> unknown_kinds({("moons", "a"): {"object_kind": "moons"}})
     ['object_kind moons']
     """
     found: dict[str, None] = {}
@@ -21,6 +21,6 @@
             route_type = item["specification"]["route_type"]
             if route_type not in ROUTE_TYPES:
                 found[f"route_type {route_type}"] = None
-        elif kind and kind not in KINDS:
+        elif kind and kind not in KNOWN_KINDS:
             found[f"object_kind {kind}"] = None
     return list(found)
--- a/knotwalk/control_plane/__main__.py
+++ b/knotwalk/control_plane/__main__.py
@@ -15,7 +15,7 @@
 import sys
 from zlib import crc32
 
-from knotwalk.configuration.documents import document
+from knotwalk.configuration.documents import to_document
 from knotwalk.consensus.orders import Pace
 from knotwalk.consensus.store import Store, StoreBroken
 from knotwalk.control_plane.admissions import Admissions
@@ -27,13 +27,13 @@
 from knotwalk.control_plane.list_poller import ListPoller
 from knotwalk.control_plane.peer_api import PeerApi
 from knotwalk.control_plane.slice_manager import SliceManager
-from knotwalk.discovery.loads import Loads
-from knotwalk.discovery.view_publisher import Board
+from knotwalk.discovery.loads import LoadReports
+from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.leases.orders import Pace as KeysPace
 from knotwalk.runtime import logs
-from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_client import HttpClient
 from knotwalk.runtime.http_server import Listener
-from knotwalk.runtime.lifecycle import FIGURES_AFTER, Ending, live
+from knotwalk.runtime.lifecycle import METRICS_DELAY_S, ProcessSignals, run_program
 from knotwalk.runtime.logs import log_info
 from knotwalk.runtime.loop_delay import LoopDelay
 from knotwalk.runtime.settings import Settings
@@ -50,14 +50,14 @@
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        settings.at("control")  # said before anything is begun
+        settings.listen_address("control")  # said before anything is begun
         port = settings.ports[0]
         own = f"{settings.ip_address}:{port}"
         founders = {f"{ip}:{port}#founder": f"{ip}:{port}" for ip, _ in settings.seeds}
         self.store = Store(configuration_disk_mb(settings))
         saved = opened(self.store, settings.data_dir, settings.initial_boot, own, founders)
         self.me = saved.me
-        self.caller = Caller()
+        self.caller = HttpClient()
         seed = crc32(f"{settings.node_name}{os.getpid()}{os.urandom(4).hex()}".encode())
         self.consensus = ConsensusDriver(
             self.store, saved, self.caller, Pace(target=settings.tolerance.members), seed, BORN
@@ -68,10 +68,10 @@
         if CONTRACT in settings.contracts:
             self.claims = ClaimGroups(Home(settings, own, founders, self.caller, seed, BORN, Store))
             self.claims.on_damage = lambda: os._exit(1)
-        self.board = Board(os.urandom(6).hex())
-        self.loads = Loads()
+        self.board = ViewPublisher(os.urandom(6).hex())
+        self.loads = LoadReports()
         self.list_poller = ListPoller(settings, self.consensus, self.board, self.caller, self.me)
-        self.granter = Caller(resets=True, named=False)  # nodes repeat no id of ours
+        self.granter = HttpClient(reset_on_close=True, with_call_ids=False)  # nodes repeat no id of ours
         self.conductor = SliceManager(
             self.me,
             self.consensus,
@@ -94,7 +94,7 @@
         self.peer_api.on_life = self.admissions.heard
         self.peer_api.parts |= {"/admissions": self.admissions.admissions, "/answers": self.admissions.kept}
         self.peer_api.parts["/allowances"] = self.allowances.asked
-        self.control = Control(self.consensus, settings.at("control")[1])
+        self.control = Control(self.consensus, settings.listen_address("control")[1])
         self.consensus.on_config = self.configured
         self.consensus.on_change = self.lines_changed
         self.consensus.on_role = lambda role: self.leads(role.role == "leader")
@@ -102,7 +102,7 @@
         self.consensus.on_damage = lambda: os._exit(1)  # nothing more is promised, no leave: the disk may be whole
         self.list_poller.on_nodes = self.listed
         self.delay = LoopDelay()
-        self.ending = Ending(self.reload, settings.mark)
+        self.ending = ProcessSignals(self.reload, settings.file_state)
 
     async def propose(self, command: dict) -> str | None:
         """Have a command of this core's conductor agreed on; see `PeerApi.propose`."""
@@ -118,7 +118,7 @@
     def configured(self) -> None:
         """The configuration in force is another: edges are told."""
         state = self.consensus.state
-        self.board.set_config(state.order, document(state.configuration))
+        self.board.set_config(state.order, to_document(state.configuration))
         self.admissions.configured(state.configuration)
         if self.claims is not None:
             self.claims.configured(state.configuration)
@@ -130,7 +130,7 @@
         for change in changes:
             by_service.setdefault(change.service, {})[change.slice] = (change.owner, change.open)
         for service, lines in by_service.items():
-            self.board.set_lines(index, service, lines)
+            self.board.set_assignments(index, service, lines)
         if changes:
             self.peer_api.changed()
         self.conductor.look()
@@ -141,7 +141,7 @@
         if state.configuration is not None:
             self.configured()
         for service, slices in state.ledger.slices.items():
-            self.board.set_lines(state.applied, service, {k: (s.owner, s.open) for k, s in enumerate(slices)})
+            self.board.set_assignments(state.applied, service, {k: (s.owner, s.open) for k, s in enumerate(slices)})
         self.peer_api.changed()
         self.conductor.look(whole=True)
 
@@ -154,10 +154,10 @@
 
     async def run(self) -> None:
         """Serve until the end is asked for, then leave in order."""
-        self.ending.listen()
+        self.ending.install()
         peer_api, control = Listener(self.peer_api.app()), Listener(self.control.app())
         await peer_api.start(self.settings.ip_address, self.settings.ports[0])
-        await control.start(*self.settings.at("control"))
+        await control.start(*self.settings.listen_address("control"))
         self.restored()
         self.consensus.start()
         if self.claims is not None:
@@ -178,7 +178,7 @@
         log_info(
             "started", me=self.me, members=list(self.consensus.machine.members), applied=self.consensus.state.applied
         )
-        await self.ending.wait(*works)
+        await self.ending.wait_for_stop(*works)
         log_info("leaving")
         await self.peer_api.leave()
         self.consensus.machine.leave(logs.clock())
@@ -219,7 +219,7 @@
     async def tell_figures(self) -> None:
         """Tell this core's figures at a port, if it is given one, until cancelled."""
         if self.settings.metrics_port is not None:
-            await asyncio.sleep(FIGURES_AFTER)
+            await asyncio.sleep(METRICS_DELAY_S)
             from knotwalk.control_plane.figures import figures
             from knotwalk.runtime import metrics
 
@@ -238,5 +238,5 @@
 
 
 if __name__ == "__main__":
-    code = live("control_plane", ControlPlane, StoreBroken)
+    code = run_program("control_plane", ControlPlane, StoreBroken)
     os._exit(code) if code == 0 else sys.exit(code)  # a thread that hangs on a disk must not hold the end up
--- a/knotwalk/control_plane/account.py
+++ b/knotwalk/control_plane/account.py
@@ -8,13 +8,13 @@
 from collections import Counter
 from typing import Any
 
-from knotwalk.configuration.documents import version_text
-from knotwalk.configuration.index import Index
+from knotwalk.configuration.documents import format_version
+from knotwalk.configuration.index import RouteIndex
 from knotwalk.consensus.machine import Machine
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.discovery.loads import Loads
-from knotwalk.discovery.view_publisher import Board
-from knotwalk.discovery.view_types import WIDTH, entry
+from knotwalk.discovery.loads import LoadReports
+from knotwalk.discovery.view_publisher import ViewPublisher
+from knotwalk.discovery.view_types import SLICE_WIDTH, node_to_wire
 
 EDGES_SPAN = 10.0  # seconds after which an edge that was not heard of counts as gone
 
@@ -24,8 +24,8 @@
     me: str,
     machine: Machine,
     state: ReplicatedState,
-    board: Board,
-    loads: Loads,
+    board: ViewPublisher,
+    loads: LoadReports,
     fresh: bool,
     asked: dict[str, tuple[float, str, int]],
 ) -> dict[str, Any]:
@@ -36,7 +36,7 @@
             continue
         told: dict[str, Any] = {"edge": name, "ago": round(now - at, 3)}
         if name in asked and now - asked[name][0] < EDGES_SPAN:
-            told["current"] = asked[name][1:] == (board.epoch, board.at)
+            told["current"] = asked[name][1:] == (board.epoch, board.revision)
         edges.append(told)
     leases, unopened = {}, {}
     for service, line in state.ledger.slices.items():
@@ -52,28 +52,30 @@
         "commit": machine.commit,
         "applied": machine.applied,
         "last": machine.log.last,
-        "config_version": version_text(state.version) if state.configuration else None,
+        "config_version": format_version(state.version) if state.configuration else None,
         "config_order": state.order,
         "tenants": len(state.configuration.tenants) if state.configuration else 0,
         "nodes": {
             "order": list(board.nodes_order),
             "count": len(board.nodes),
             "draining": sum(node.draining for node in board.nodes.values()),
-            "ailing": sorted(board.ailing),
+            "ailing": sorted(board.outliers),
         },
-        "board": {"epoch": board.epoch, "at": board.at},
+        "board": {"epoch": board.epoch, "at": board.revision},
         "leases": leases,
         "changing_hands": unopened,
         "edges": edges,
     }
 
 
-def explain(now: float, state: ReplicatedState, board: Board, host: str, path: str, key: int | None) -> dict[str, Any]:
+def explain(
+    now: float, state: ReplicatedState, board: ViewPublisher, host: str, path: str, key: int | None
+) -> dict[str, Any]:
     """Where this core holds that a request belongs: its route, and for each service of it who may run it."""
     if state.configuration is None:
         return {"config_version": None, "route": None, "services": []}
-    version = version_text(state.version)
-    route = Index(state.configuration).find(host, path)
+    version = format_version(state.version)
+    route = RouteIndex(state.configuration).find(host, path)
     if route is None:
         return {"config_version": version, "route": None, "services": []}
     services: list[dict[str, Any]] = []
@@ -86,18 +88,18 @@
         there = [node for node in board.nodes.values() if node.service == name]
         told["nodes"] = {"count": len(there), "draining": sum(node.draining for node in there)}
         if told["sharded"] and key is not None and name in state.ledger.slices:
-            x = state.ledger.slices[name][key // WIDTH]
+            x = state.ledger.slices[name][key // SLICE_WIDTH]
             node = board.nodes.get(x.owner)
             told["line"] = {
-                "slice": key // WIDTH,
-                "first_key": key // WIDTH * WIDTH,
-                "last_key": key // WIDTH * WIDTH + WIDTH - 1,
+                "slice": key // SLICE_WIDTH,
+                "first_key": key // SLICE_WIDTH * SLICE_WIDTH,
+                "last_key": key // SLICE_WIDTH * SLICE_WIDTH + SLICE_WIDTH - 1,
                 "conductor": x.conductor,
                 "owner": x.owner,
                 "fence": x.fence,
                 "open": x.open,
                 "before": [id for id, _ in x.before],
-                "node": entry(node, now) if node else None,
+                "node": node_to_wire(node, now) if node else None,
             }
         services.append(told)
     return {
--- a/knotwalk/control_plane/admissions.py
+++ b/knotwalk/control_plane/admissions.py
@@ -16,8 +16,8 @@
 
 from knotwalk.configuration.objects import Configuration
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.http_client import Caller
-from knotwalk.runtime.http_server import answer, body
+from knotwalk.runtime.http_client import HttpClient
+from knotwalk.runtime.http_server import json_body, json_response
 from knotwalk.shared_state.answers import Answers, Phase
 from knotwalk.shared_state.claims import UNAVAILABLE as CLAIMS_UNAVAILABLE, ClaimResult, Outcome
 from knotwalk.shared_state.held_tokens import Attempt, HeldTokens
@@ -88,7 +88,7 @@
         allowances: Allowances,
         claims: ClaimGroups | None,
         answers: Answers,
-        caller: Caller,
+        caller: HttpClient,
         clock: Callable[[], float],
     ):
         self.me, self.allowances, self.claims, self.answers = me, allowances, claims, answers
@@ -103,11 +103,13 @@
 
     async def admissions(self, request: Request) -> HTTPResponse:
         """An edge's asks, told one by one; its ends are taken before."""
-        return answer({"told": [one.to_json() for one in await self.admit(EdgeBatch.from_json(body(request)))]})
+        return json_response(
+            {"told": [one.to_json() for one in await self.admit(EdgeBatch.from_json(json_body(request)))]}
+        )
 
     async def kept(self, request: Request) -> HTTPResponse:
         """Another core asks how operations stand that are kept here."""
-        return answer(self.kept_of(body(request)))
+        return json_response(self.kept_of(json_body(request)))
 
     def kept_of(self, asked: list) -> list:
         """What a try of each operation is told that its holder runs or has run, as plain values."""
--- a/knotwalk/control_plane/allowances.py
+++ b/knotwalk/control_plane/allowances.py
@@ -14,8 +14,8 @@
 from knotwalk.control_plane.consensus_driver import ConsensusDriver
 from knotwalk.control_plane.list_poller import ListPoller
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.http_client import Caller
-from knotwalk.runtime.http_server import answer, body
+from knotwalk.runtime.http_client import HttpClient
+from knotwalk.runtime.http_server import json_body, json_response
 from knotwalk.runtime.logs import clock, log_info
 from knotwalk.runtime.settings import Settings
 from knotwalk.shared_state.buckets import Buckets
@@ -66,7 +66,7 @@
     """A core machine's part in the limits of tenants, and the leader's while this machine leads."""
 
     def __init__(
-        self, me: str, settings: Settings, consensus: ConsensusDriver, list_poller: ListPoller, caller: Caller
+        self, me: str, settings: Settings, consensus: ConsensusDriver, list_poller: ListPoller, caller: HttpClient
     ):
         self.me, self.consensus, self.list_poller, self.caller = me, consensus, list_poller, caller
         self.limits = Limits(settings, consensus)
@@ -201,11 +201,11 @@
 
     async def asked(self, request: Request) -> HTTPResponse:
         """A core machine asks for allowance."""
-        raw = body(request)
+        raw = json_body(request)
         grants = self.grant(raw["core"], [AllowanceWant(*want) for want in raw["wants"]])
         if grants is None:
-            return answer({"error": "not the proven leader"}, 503)
-        return answer({"grants": [grant.to_json() for grant in grants]})
+            return json_response({"error": "not the proven leader"}, 503)
+        return json_response({"grants": [grant.to_json() for grant in grants]})
 
     # --- the log
 
--- a/knotwalk/control_plane/claim_group.py
+++ b/knotwalk/control_plane/claim_group.py
@@ -11,7 +11,7 @@
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.claim_queue import ClaimQueue
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeader, opened
-from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_client import HttpClient
 from knotwalk.runtime.logs import clock
 from knotwalk.runtime.settings import Settings
 from knotwalk.shared_state.claims import MARGIN, ClaimResult, ClaimTable, GroupClock, command
@@ -42,7 +42,7 @@
     settings: Settings
     address: str
     founders: dict[str, str]
-    caller: Caller
+    caller: HttpClient
     seed: int
     born: float
     store: Callable[[float], Store] = Store
--- a/knotwalk/control_plane/consensus_driver.py
+++ b/knotwalk/control_plane/consensus_driver.py
@@ -16,7 +16,7 @@
 from knotwalk.control_plane.compaction import Compaction
 from knotwalk.control_plane.peer_lanes import PATIENCE as PATIENCE, PeerLanes
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_client import HttpClient
 from knotwalk.runtime.logs import clock, log_exception, log_info, log_warning
 
 HANG = 0.6  # a write that takes longer costs leadership: others serve meanwhile
@@ -72,7 +72,7 @@
         self,
         store: Store,
         saved: Any,
-        caller: Caller,
+        caller: HttpClient,
         pace: Pace,
         seed: int,
         born: float,
@@ -105,12 +105,12 @@
         self.closing = False
 
     @property
-    def caller(self) -> Caller:
+    def caller(self) -> HttpClient:
         """Who carries calls to peers."""
         return self.lanes.caller
 
     @caller.setter
-    def caller(self, caller: Caller) -> None:
+    def caller(self, caller: HttpClient) -> None:
         self.lanes.caller = caller
 
     def start(self) -> None:
--- a/knotwalk/control_plane/control.py
+++ b/knotwalk/control_plane/control.py
@@ -7,12 +7,19 @@
 
 from sanic import HTTPResponse, Request, Sanic
 
-from knotwalk.configuration.change_requests import DISK_PART, MOST_BYTES, UNKNOWN, judge, reading, refused_place
-from knotwalk.configuration.documents import difference, document, version_text
-from knotwalk.configuration.unknown_kinds import unknown_words
+from knotwalk.configuration.change_requests import (
+    MAX_BODY_BYTES,
+    MAX_DISK_FRACTION,
+    STATUS_UNKNOWN_MESSAGE,
+    decide_change,
+    read_response,
+    rejection_location,
+)
+from knotwalk.configuration.documents import diff_documents, format_version, to_document
+from knotwalk.configuration.unknown_kinds import unknown_kinds
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost, NotLeader
 from knotwalk.control_plane.replicated_state import DONE
-from knotwalk.runtime.http_server import answer, app
+from knotwalk.runtime.http_server import json_response, make_app
 from knotwalk.runtime.logs import clock, log_info, log_warning
 
 PATIENCE = 4.0  # for an agreement; a core that lost its majority says so instead of holding the operator
@@ -27,14 +34,14 @@
 
     def __init__(self, consensus: ConsensusDriver, port: int):
         self.consensus, self.port = consensus, port
-        self.most_kept = min(MOST_BYTES, int(consensus.store.disk_mb * 1e6 * DISK_PART))
+        self.most_kept = min(MAX_BODY_BYTES, int(consensus.store.disk_mb * 1e6 * MAX_DISK_FRACTION))
         self.answers: Counter[tuple[str, str]] = Counter()  # by method and status
         self.refused: Counter[tuple[str]] = Counter()  # orders that are wrong, by the place of their mistake
         self.taking = asyncio.Lock()  # one change at a time is judged and agreed on
 
     def app(self) -> Sanic:
         """The port's routes."""
-        made = app("control")
+        made = make_app("control")
         made.add_route(self.read, "/configuration", methods=["GET"], error_format="text")
         made.add_route(self.change, "/configuration", methods=["PUT", "PATCH"], error_format="text")
         return made
@@ -57,7 +64,9 @@
     def elsewhere(self, leader: str | None) -> HTTPResponse:
         """Where an operator should go: a redirection to the leader, or 503 where none is known."""
         if leader in (None, self.consensus.machine.address):  # others may still hold this machine for the leader
-            return answer({"error": "no leader is known here; ask another or again"}, 503, {"Retry-After": "0.3"})
+            return json_response(
+                {"error": "no leader is known here; ask another or again"}, 503, {"Retry-After": "0.3"}
+            )
         host = leader.rpartition(":")[0]
         return HTTPResponse(b"", 307, {"Location": f"http://{host}:{self.port}/configuration"})
 
@@ -90,9 +99,9 @@
         except NotLeader:
             return await self.another(asked_at)
         except Lost:
-            return answer({"error": "no majority answers; ask another or again"}, 503, {"Retry-After": "0.3"})
-        status, found = reading(self.consensus.state.configuration)
-        return answer(found, status)
+            return json_response({"error": "no majority answers; ask another or again"}, 503, {"Retry-After": "0.3"})
+        status, found = read_response(self.consensus.state.configuration)
+        return json_response(found, status)
 
     async def _change(self, request: Request) -> HTTPResponse:
         asked_at = clock()
@@ -102,7 +111,7 @@
             async with self.taking:
                 await self.consensus.current()
                 state = self.consensus.state
-                verdict = judge(
+                verdict = decide_change(
                     state.configuration,
                     state.history,
                     request.method,
@@ -111,30 +120,38 @@
                     self.most_kept,
                 )
                 if verdict.status == 400:
-                    self.refused[(refused_place(verdict.message),)] += 1
-                if verdict.status != 200 or verdict.same:
+                    self.refused[(rejection_location(verdict.message),)] += 1
+                if verdict.status != 200 or verdict.already_applied:
                     log_info(
-                        "change", method=request.method, status=verdict.status, why=verdict.message, same=verdict.same
+                        "change",
+                        method=request.method,
+                        status=verdict.status,
+                        why=verdict.message,
+                        same=verdict.already_applied,
                     )
-                    return answer(verdict.body(), verdict.status, LATER if verdict.status == 503 else None)
+                    return json_response(verdict.body(), verdict.status, LATER if verdict.status == 503 else None)
                 command = {
                     "do": "configure",
                     "base": verdict.base,
                     "version": verdict.version,
                     "digest": verdict.digest,
                 }
-                less = difference(document(state.configuration), verdict.document) if state.configuration else None
+                less = (
+                    diff_documents(to_document(state.configuration), verdict.document) if state.configuration else None
+                )
                 command |= {"difference": less} if less else {"document": verdict.document}
                 said = await self.consensus.propose(command, PATIENCE)
         except NotLeader:
             return await self.another(asked_at)
         except Lost:
-            return answer({"error": "not known whether it was agreed on; send it again"}, 503, {"Retry-After": "0.3"})
+            return json_response(
+                {"error": "not known whether it was agreed on; send it again"}, 503, {"Retry-After": "0.3"}
+            )
         log_info("change", method=request.method, said=said, version=self.consensus.state.version)
-        if said == DONE and (words := unknown_words(verdict.configuration.items)):
+        if said == DONE and (words := unknown_kinds(verdict.configuration.items)):
             log_warning("words not known", words=words[:WORDS_MOST], of=len(words))
-        if said == UNKNOWN:
-            return answer({"error": said}, 503, LATER)
+        if said == STATUS_UNKNOWN_MESSAGE:
+            return json_response({"error": said}, 503, LATER)
         if said != DONE:
-            return answer({"error": said, "config_version": version_text(self.consensus.state.version)}, 412)
-        return answer(verdict.body())
+            return json_response({"error": said, "config_version": format_version(self.consensus.state.version)}, 412)
+        return json_response(verdict.body())
--- a/knotwalk/control_plane/figures.py
+++ b/knotwalk/control_plane/figures.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from knotwalk.leases.slice_tenure import State
-from knotwalk.runtime.metrics import Figure, Kind, gauge, loop_delay
+from knotwalk.runtime.metrics import Metric, MetricType, gauge, loop_delay_metric
 from knotwalk.shared_state.messages import Admission, Ending
 
 if TYPE_CHECKING:
@@ -16,12 +16,12 @@
     from knotwalk.control_plane.claim_groups import ClaimGroups
 
 
-def counter(name: str, meaning: str, counts: Mapping[tuple[str, ...], float], *labels: str) -> Figure:
+def counter(name: str, meaning: str, counts: Mapping[tuple[str, ...], float], *labels: str) -> Metric:
     """A count by labels."""
-    return Figure(name, Kind.COUNTER, meaning, counts, labels)
+    return Metric(name, MetricType.COUNTER, meaning, counts, labels)
 
 
-def slices(plane: ControlPlane) -> Figure:
+def slices(plane: ControlPlane) -> Metric:
     """The slices that this core leases, by where each stands on its way to an owner."""
     found = Counter((x.service, x.state.value) for x in plane.conductor.keeper.tenures.values())
     samples: dict[tuple[str, ...], float] = {
@@ -29,26 +29,32 @@
         for service in plane.consensus.state.ledger.slices
         for state in State
     }
-    return Figure(
-        "knotwalk_core_slices", Kind.GAUGE, "slices that this core leases, by state", samples, ("service", "state")
+    return Metric(
+        "knotwalk_core_slices",
+        MetricType.GAUGE,
+        "slices that this core leases, by state",
+        samples,
+        ("service", "state"),
     )
 
 
-def nodes(now: float, plane: ControlPlane) -> Figure:
+def nodes(now: float, plane: ControlPlane) -> Metric:
     """Nodes of the platform's list, and those in trouble; a node may count under several."""
     board, keeper = plane.board, plane.conductor.keeper
     found = {
         "listed": len(board.nodes),
         "draining": sum(node.draining for node in board.nodes.values()),
-        "ailing": len(board.ailing & board.nodes.keys()),
+        "ailing": len(board.outliers & board.nodes.keys()),
         "unreachable": len(keeper.unreached(now)),
-        "unreached by others": len(plane.conductor.peers_reach.since(now)),
+        "unreached by others": len(plane.conductor.peers_reach.unreached_since(now)),
     }
     samples: dict[tuple[str, ...], float] = {(state,): count for state, count in found.items()}
-    return Figure("knotwalk_core_nodes", Kind.GAUGE, "nodes, by what this core knows of them", samples, ("state",))
+    return Metric(
+        "knotwalk_core_nodes", MetricType.GAUGE, "nodes, by what this core knows of them", samples, ("state",)
+    )
 
 
-def operations(admissions: Admissions) -> Iterator[Figure]:
+def operations(admissions: Admissions) -> Iterator[Metric]:
     """What edges asked for, and what is kept of operations."""
     answers = admissions.answers
     told: dict[tuple[str, ...], float] = {(one.value,): admissions.told[one] for one in Admission}
@@ -56,11 +62,11 @@
     kept: dict[tuple[str, ...], float] = {(phase.value,): count for phase, count in answers.counts().items()}
     yield counter("knotwalk_core_asks", "edges' asks by what was told", told, "told")
     yield counter("knotwalk_core_ends", "ends of operations that edges told", ended, "ending")
-    yield Figure("knotwalk_core_operations", Kind.GAUGE, "operations kept here, by phase", kept, ("phase",))
+    yield Metric("knotwalk_core_operations", MetricType.GAUGE, "operations kept here, by phase", kept, ("phase",))
     yield gauge("knotwalk_core_operation_bytes", "bytes that they take", answers.size)
 
 
-def allowances(plane: ControlPlane) -> Iterator[Figure]:
+def allowances(plane: ControlPlane) -> Iterator[Metric]:
     """How asks of tenants' allowance ended here."""
     kept = plane.allowances
     yield counter(
@@ -87,7 +93,7 @@
     yield gauge("knotwalk_core_buckets", "tenants whose limits this core keeps as the leader", buckets)
 
 
-def claims(groups: ClaimGroups | None) -> Iterator[Figure]:
+def claims(groups: ClaimGroups | None) -> Iterator[Metric]:
     """What the groups that agree on claims of operations know and did; nothing is told of where there are none."""
     leads: dict[tuple[str, ...], float] = {}
     held: dict[tuple[str, ...], float] = {}
@@ -97,14 +103,16 @@
         leads[part], waiting[part] = group.leads, len(group.waiting)
         held[part] = len(group.driver.state.claims)
     labels = ("part",)
-    yield Figure("knotwalk_core_claims_leader", Kind.GAUGE, "1 while this core leads a part's group", leads, labels)
-    yield Figure("knotwalk_core_claims_held", Kind.GAUGE, "operations of a part that have a holder", held, labels)
-    yield Figure("knotwalk_core_claims_waiting", Kind.GAUGE, "claims of a part that wait here", waiting, labels)
+    yield Metric(
+        "knotwalk_core_claims_leader", MetricType.GAUGE, "1 while this core leads a part's group", leads, labels
+    )
+    yield Metric("knotwalk_core_claims_held", MetricType.GAUGE, "operations of a part that have a holder", held, labels)
+    yield Metric("knotwalk_core_claims_waiting", MetricType.GAUGE, "claims of a part that wait here", waiting, labels)
     told: dict[tuple[str, ...], float] = {(one.value,): count for one, count in (groups.told.items() if groups else ())}
     yield counter("knotwalk_core_claims", "claims asked by this core, by their outcome", told, "outcome")
 
 
-def figures(now: float, plane: ControlPlane) -> Iterator[Figure]:
+def figures(now: float, plane: ControlPlane) -> Iterator[Metric]:
     """All figures of a core machine."""
     machine, state, manager = plane.consensus.machine, plane.consensus.state, plane.conductor
     yield gauge("knotwalk_core_fresh", "1 while this core heard the leader's word lately", plane.peer_api.fresh(now))
@@ -116,7 +124,7 @@
     yield gauge("knotwalk_core_configuration_version", "the configuration in force, 0 for none", state.version)
     yield gauge("knotwalk_core_disk_refuses", "1 while a write hangs or was refused", plane.consensus.hung)
     yield gauge("knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.keeper.until - now)
-    yield gauge("knotwalk_core_edges", "edges heard of in the last ten seconds", plane.loads.count(now))
+    yield gauge("knotwalk_core_edges", "edges heard of in the last ten seconds", plane.loads.edge_count(now))
     yield slices(plane)
     yield nodes(now, plane)
     yield counter(
@@ -142,11 +150,11 @@
         "place",
     )
     yield from operations(plane.admissions)
-    sent = {(step, "sent"): count for step, count in plane.caller.sent.items()}
-    got = {(step, "received"): count for step, count in plane.caller.received.items()}
+    sent = {(step, "sent"): count for step, count in plane.caller.sent_bytes.items()}
+    got = {(step, "received"): count for step, count in plane.caller.received_bytes.items()}
     yield counter("knotwalk_core_call_bytes", "bytes of bodies of calls to peers", sent | got, "step", "direction")
     told: dict[tuple[str, ...], float] = {(path,): count for path, count in plane.peer_api.told.items()}
     yield counter("knotwalk_core_answer_bytes", "bytes of bodies told to edges and cores", told, "path")
     yield from allowances(plane)
     yield from claims(plane.claims)
-    yield loop_delay(plane.delay)
+    yield loop_delay_metric(plane.delay)
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost, NotLeader
-from knotwalk.discovery.node_listing import Listing, Unusable
-from knotwalk.discovery.view_publisher import Board
-from knotwalk.discovery.view_types import Node, entry, node_of
+from knotwalk.discovery.node_listing import InvalidPageError, NodeListing
+from knotwalk.discovery.view_publisher import ViewPublisher
+from knotwalk.discovery.view_types import Node, node_from_wire, node_to_wire
 from knotwalk.leases.ledger import ranges
 from knotwalk.leases.tenure import PROOF, Tenure, hand_over, reassign
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_client import HttpClient
 from knotwalk.runtime.logs import clock, log_info, log_warning
 from knotwalk.runtime.settings import Settings
 
@@ -37,7 +37,9 @@
 class ListPoller:
     """Works only while this machine leads; what it finds goes on the board and to the other cores."""
 
-    def __init__(self, settings: Settings, consensus: ConsensusDriver, board: Board, caller: Caller, me: str):
+    def __init__(
+        self, settings: Settings, consensus: ConsensusDriver, board: ViewPublisher, caller: HttpClient, me: str
+    ):
         self.settings, self.consensus, self.board, self.caller, self.me = settings, consensus, board, caller, me
         self.tenure: Tenure | None = None
         self.turn_of_list = 0
@@ -150,7 +152,7 @@
             term = self.consensus.machine.term
             try:
                 listing = await self.read()
-            except (PeerError, Unusable) as error:
+            except (PeerError, InvalidPageError) as error:
                 failing += 1
                 if failing in (1, 10, 100):
                     log_warning("the list can't be read", why=str(error), times=failing)
@@ -183,13 +185,13 @@
         """The list's nodes; empty if it can't be read, which nobody may be left to hear: edges don't wait for ever."""
         try:
             return (await self.read()).nodes
-        except (PeerError, Unusable):
+        except (PeerError, InvalidPageError):
             return {}
 
-    async def read(self) -> Listing:
+    async def read(self) -> NodeListing:
         """Read the platform's list, all pages; PeerError or Unusable."""
         host, port = self.settings.platform.address
-        listing, token = Listing(), ""
+        listing, token = NodeListing(), ""
         while token is not None:
             query = f"?page_token={token}" if token else ""
             status, _, data = await self.caller.send("GET", f"http://{host}:{port}/nodes{query}", None, 1.0, "list")
@@ -199,13 +201,16 @@
                 page = json.loads(data)
             except ValueError as error:
                 raise PeerError("list", f"{host}:{port}", f"no JSON: {error}") from None
-            token = listing.add(clock(), page)
+            token = listing.add_page(clock(), page)
         return listing
 
     def list_message(self) -> dict:
         """The list as cores tell it each other."""
         now = clock()
-        return {"order": list(self.board.nodes_order), "nodes": {i: entry(n, now) for i, n in self.board.nodes.items()}}
+        return {
+            "order": list(self.board.nodes_order),
+            "nodes": {i: node_to_wire(n, now) for i, n in self.board.nodes.items()},
+        }
 
     async def tell_cores(self) -> None:
         """The list to every other core; one that misses it asks for it when a lease's answer names a newer one."""
@@ -223,6 +228,6 @@
     def listed(self, message: dict) -> None:
         """The leader told its list."""
         now = clock()
-        nodes = {id: node_of(id, raw, now) for id, raw in message["nodes"].items()}
+        nodes = {id: node_from_wire(id, raw, now) for id, raw in message["nodes"].items()}
         if self.board.set_nodes(tuple(message["order"]), nodes):
             self.on_nodes()
--- a/knotwalk/control_plane/peer_api.py
+++ b/knotwalk/control_plane/peer_api.py
@@ -15,14 +15,14 @@
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost, NotLeader
 from knotwalk.control_plane.list_poller import ListPoller
 from knotwalk.control_plane.slice_manager import SliceManager
-from knotwalk.discovery.loads import Loads
-from knotwalk.discovery.reachability import unreached_nodes
-from knotwalk.discovery.view_publisher import Board
-from knotwalk.discovery.view_types import FRESH, KEYS
+from knotwalk.discovery.loads import LoadReports
+from knotwalk.discovery.reachability import parse_unreached_nodes
+from knotwalk.discovery.view_publisher import ViewPublisher
+from knotwalk.discovery.view_types import KEY_COUNT, MAX_LEADER_SILENCE_S
 from knotwalk.leases.tenure import ASK, PROOF
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.http_client import Caller
-from knotwalk.runtime.http_server import answer, app, body, packed
+from knotwalk.runtime.http_client import HttpClient
+from knotwalk.runtime.http_server import compressed_response, json_body, json_response, make_app
 from knotwalk.runtime.logs import clock, log_warning
 
 Handler = Callable[[Request], Awaitable[HTTPResponse]]
@@ -45,9 +45,9 @@
         consensus: ConsensusDriver,
         list_poller: ListPoller,
         conductor: SliceManager,
-        board: Board,
-        loads: Loads,
-        caller: Caller,
+        board: ViewPublisher,
+        loads: LoadReports,
+        caller: HttpClient,
         claims: ClaimGroups | None = None,
     ):
         self.claims = claims
@@ -64,7 +64,7 @@
 
     def app(self) -> Sanic:
         """The port's routes."""
-        made = app("peers")
+        made = make_app("peers")
         for path, handler in (
             ("/consensus", self.messages),
             ("/cluster-view", self.view),
@@ -95,24 +95,24 @@
 
     async def messages(self, request: Request) -> HTTPResponse:
         """Messages of the agreement, answered by those that go back."""
-        return answer(self.consensus.exchange(body(request)))
+        return json_response(self.consensus.exchange(json_body(request)))
 
     async def group_messages(self, request: Request) -> HTTPResponse:
         """Messages of the groups that agree on claims."""
         assert self.claims is not None
-        return answer(await self.claims.exchange(body(request)))
+        return json_response(await self.claims.exchange(json_body(request)))
 
     async def claimed(self, request: Request) -> HTTPResponse:
         """Claims that another core asks of this one, as the leader of their groups."""
         assert self.claims is not None
-        return answer(await self.claims.taken(body(request)))
+        return json_response(await self.claims.taken(json_body(request)))
 
     async def proposal(self, request: Request) -> HTTPResponse:
         """A conductor's command for the log, taken by the leader only."""
         try:
-            return answer({"said": await self.consensus.propose(body(request), 2.0)})
+            return json_response({"said": await self.consensus.propose(json_body(request), 2.0)})
         except (NotLeader, Lost):
-            return answer({"error": "not agreed on here"}, 503)
+            return json_response({"error": "not agreed on here"}, 503)
 
     async def propose(self, command: dict) -> str | None:
         """Have a command of this conductor agreed on; None if its outcome is unknown (it may yet come)."""
@@ -131,12 +131,12 @@
 
     async def lease(self, request: Request) -> HTTPResponse:
         """A conductor asks for its lease, or says that it leaves."""
-        asked = body(request)
+        asked = json_body(request)
         if asked.get("leaving"):
             self.list_poller.leave(asked["conductor"])
-            return answer({})
+            return json_response({})
         given = self.list_poller.lease(asked["conductor"])
-        return answer(given) if given else answer({"error": "not the proven leader"}, 503)
+        return json_response(given) if given else json_response({"error": "not the proven leader"}, 503)
 
     async def keep_lease(self) -> None:
         """Ask for the lease again and again; each answer also says what was agreed on, so how fresh we are."""
@@ -159,7 +159,7 @@
                     if machine.applied >= given["commit"]:
                         if clock() >= self.fresh_until:
                             self.changed()
-                        self.fresh_until = sent + FRESH
+                        self.fresh_until = sent + MAX_LEADER_SILENCE_S
                         break
                     await asyncio.sleep(0.02)
                 if tuple(given["nodes"]) > self.board.nodes_order and machine.leader:
@@ -175,11 +175,11 @@
 
     async def nodes(self, request: Request) -> HTTPResponse:
         """The leader tells its list; or, without a body, another core asks for it."""
-        message = body(request)
+        message = json_body(request)
         if not message:
-            return answer(self.list_poller.list_message())
+            return json_response(self.list_poller.list_message())
         self.list_poller.listed(message)
-        return answer({})
+        return json_response({})
 
     # --- edges ------------------------------------------------------------------------------------
 
@@ -190,20 +190,20 @@
 
     async def view(self, request: Request) -> HTTPResponse:
         """What the edge lacks, at once if there is any, else as soon as there is, or after its wait."""
-        asked = body(request)
+        asked = json_body(request)
         now = clock()
-        self.loads.heard(now, asked["edge"])
+        self.loads.record_edge(now, asked["edge"])
         self.on_life(asked.get("life", ""))
         self.asked[asked["edge"]] = now, asked["epoch"], asked["at"]
         arrived = now
         if asked.get("report"):
-            self.loads.add(now, asked["report"], True)
+            self.loads.add_report(now, asked["report"], True)
         until, patient = now + min(WAIT_MOST, asked.get("wait", 0.0)), now + STALE_WAIT
         provisional = await self.provisional(asked)
         while True:
             now = clock()
             fresh = self.fresh(now)
-            message = self.board.since(asked, now) if fresh else None
+            message = self.board.changes_since(asked, now) if fresh else None
             if message is not None or now >= until or self.leaving or not fresh and (provisional or now >= patient):
                 break
             news = self.news
@@ -213,14 +213,14 @@
                     await asyncio.sleep(GATHER)
             except TimeoutError:
                 pass
-        told = {"fresh": fresh, "zone": self.list_poller.settings.zone, "edges": self.loads.count(now)}
+        told = {"fresh": fresh, "zone": self.list_poller.settings.zone, "edges": self.loads.edge_count(now)}
         if fresh:
-            told["proven"] = round(self.fresh_until - FRESH - PROOF - arrived, 3)
+            told["proven"] = round(self.fresh_until - MAX_LEADER_SILENCE_S - PROOF - arrived, 3)
         if message:
             told["news"] = message
         elif provisional and not fresh and self.alone():
             told["provisional"] = provisional
-        return packed(request, answer(told))
+        return compressed_response(request, json_response(told))
 
     async def provisional(self, asked: dict) -> dict | None:
         """What an edge that heard no fresh core may serve by until there is a leader: what the disk here holds as
@@ -233,7 +233,7 @@
             return None
         if not self.alone():  # a leader was heard meanwhile, or this process stood still
             return None
-        return self.board.provisional(nodes, clock())
+        return self.board.provisional_view(nodes, clock())
 
     def has_more(self, asked: dict) -> bool:
         """Whether the edge that asks goes by no fresh core's word, and by an older configuration than this one's."""
@@ -256,7 +256,7 @@
     async def status(self, request: Request) -> HTTPResponse:
         """This core's account of itself; nothing changes by it."""
         now = clock()
-        return answer(
+        return json_response(
             account.status(
                 now,
                 self.me,
@@ -272,34 +272,34 @@
     async def explain(self, request: Request) -> HTTPResponse:
         """Where this core holds that a request belongs."""
         try:
-            asked = body(request)
+            asked = json_body(request)
             host, path, key = asked["host"], asked["path"], asked.get("key")
-            if not (isinstance(host, str) and isinstance(path, str) and (key is None or 0 <= key < KEYS)):
+            if not (isinstance(host, str) and isinstance(path, str) and (key is None or 0 <= key < KEY_COUNT)):
                 raise ValueError
         except (KeyError, TypeError, ValueError):
-            return answer({"error": f"host and path are texts, key a number below {KEYS}, if any"}, 400)
+            return json_response({"error": f"host and path are texts, key a number below {KEY_COUNT}, if any"}, 400)
         told = account.explain(clock(), self.consensus.state, self.board, host, path, key)
-        return answer(told | {"fresh": self.fresh(clock())})
+        return json_response(told | {"fresh": self.fresh(clock())})
 
     # --- loads ------------------------------------------------------------------------------------
 
     async def share(self, request: Request) -> HTTPResponse:
         """Another core tells what it heard of loads, edges, and nodes that it does not reach."""
-        raw = body(request)
+        raw = json_body(request)
         now = clock()
         if word := raw.pop("unreached", None):
-            self.conductor.peers_reach.hear(now, unreached_nodes(word))
+            self.conductor.peers_reach.add_report(now, parse_unreached_nodes(word))
         for edge in raw.pop("edges", ()):
-            self.loads.heard(now, edge, False)
-        self.loads.add(now, raw, False)
-        return answer({})
+            self.loads.record_edge(now, edge, False)
+        self.loads.add_report(now, raw, False)
+        return json_response({})
 
     async def share_loads(self) -> None:
         """Tell the other cores each SHARE seconds what was heard here."""
         while True:
             await asyncio.sleep(SHARE)
             self.judge()
-            told = self.loads.take(clock())
+            told = self.loads.take_unsent(clock())
             if unreached := self.conductor.unreached(clock()):
                 told["unreached"] = unreached.to_dict()
             if told:
@@ -314,9 +314,11 @@
 
     def judge(self) -> None:
         """Which nodes ail, by what was heard; told to the edges and minded by the placement."""
-        before = self.board.ailing
-        if self.board.set_ailing(self.loads.ailing.judge(clock(), self.board.nodes)):
-            log_warning("nodes ail", found=sorted(self.board.ailing - before), back=sorted(before - self.board.ailing))
+        before = self.board.outliers
+        if self.board.set_outliers(self.loads.outlier_detection.evaluate(clock(), self.board.nodes)):
+            log_warning(
+                "nodes ail", found=sorted(self.board.outliers - before), back=sorted(before - self.board.outliers)
+            )
             self.changed()
 
     async def leave(self) -> None:
--- a/knotwalk/control_plane/peer_lanes.py
+++ b/knotwalk/control_plane/peer_lanes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_client import HttpClient
 
 PATIENCE = 0.6  # for a peer: a lost message is repeated by the machine's own pace
 WAITING_MOST = 256  # messages for a peer that does not answer; the machine repeats what matters
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        caller: Caller,
+        caller: HttpClient,
         path: str,
         step: str,
         receive: Callable[[list], None],
--- a/knotwalk/control_plane/replicated_state.py
+++ b/knotwalk/control_plane/replicated_state.py
@@ -10,9 +10,9 @@
 
 from __future__ import annotations
 
-from knotwalk.configuration.change_requests import UNKNOWN
-from knotwalk.configuration.documents import Invalid, document, patched, read_configuration
-from knotwalk.configuration.history import History, Standing
+from knotwalk.configuration.change_requests import STATUS_UNKNOWN_MESSAGE
+from knotwalk.configuration.documents import InvalidConfigurationError, apply_patch, parse_configuration, to_document
+from knotwalk.configuration.history import ChangeHistory, ChangeStatus
 from knotwalk.configuration.objects import Configuration
 from knotwalk.leases.ledger import Change, Ledger
 
@@ -24,7 +24,7 @@
 # What applying an order says.
 DONE = "done"
 ANOTHER = "another version is in place"
-LATE = {Standing.TAKEN: DONE, Standing.NOT_TAKEN: ANOTHER, Standing.UNKNOWN: UNKNOWN}
+LATE = {ChangeStatus.TAKEN: DONE, ChangeStatus.NOT_TAKEN: ANOTHER, ChangeStatus.UNKNOWN: STATUS_UNKNOWN_MESSAGE}
 
 
 class ReplicatedState:
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
         self.order = -1
-        self.history = History()
+        self.history = ChangeHistory()
         self.ledger = Ledger()
         self.applied = 0
 
@@ -51,23 +51,23 @@
             return self._late(command), self.ledger.apply(index, {})
         try:
             fresh = self._made(command)
-        except Invalid as error:
+        except InvalidConfigurationError as error:
             return str(error), self.ledger.apply(index, {})
         self.configuration, self.order = fresh, index
-        self.history.note(fresh.version, command["digest"])
+        self.history.record(fresh.version, command["digest"])
         sharded = [s.name for s in fresh.services.values() if s.sharded]
         return DONE, self.ledger.apply(index, {"do": "shard", "services": sharded})
 
     def _late(self, command: dict) -> str:
         """What is said of an order whose base is not in force: it changes nothing now, but may have before."""
         version = command.get("version", self.version)  # early programs did not say which version an order makes
-        return LATE[self.history.standing(command["base"], version, command["digest"])]
+        return LATE[self.history.status(command["base"], version, command["digest"])]
 
     def _made(self, command: dict) -> Configuration:
         """The configuration that a command makes. What a difference leaves alone was read before, and is taken over."""
         if "difference" in command and self.configuration is not None:
-            return patched(self.configuration, command["difference"])
-        return read_configuration(command["document"])
+            return apply_patch(self.configuration, command["difference"])
+        return parse_configuration(command["document"])
 
     def calls_for_news(self, command: dict, said: str) -> bool:
         """Whether the entry has put another configuration in force."""
@@ -84,7 +84,7 @@
             "applied": self.applied,
             "order": self.order,
             "history": self.history.to_dict(),
-            "configuration": document(self.configuration) if self.configuration else None,
+            "configuration": to_document(self.configuration) if self.configuration else None,
             "ledger": self.ledger.to_dict(),
         }
 
@@ -95,8 +95,8 @@
             raise ValueError(f"the snapshot has format {raw['format']}, this program reads up to {FORMAT}")
         made = cls()
         made.applied, made.order = raw["applied"], raw["order"]
-        remembered = History.from_dict if raw["format"] >= HISTORY_WITH_FLOOR else History.from_before
+        remembered = ChangeHistory.from_dict if raw["format"] >= HISTORY_WITH_FLOOR else ChangeHistory.from_legacy_dict
         made.history = remembered(raw["history"])
-        made.configuration = read_configuration(raw["configuration"]) if raw["configuration"] else None
+        made.configuration = parse_configuration(raw["configuration"]) if raw["configuration"] else None
         made.ledger = Ledger.from_dict(raw["ledger"])
         return made
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -7,18 +7,18 @@
 from collections.abc import Awaitable, Callable
 
 from knotwalk.control_plane.consensus_driver import ConsensusDriver
-from knotwalk.discovery.loads import Loads
+from knotwalk.discovery.loads import LoadReports
 from knotwalk.discovery.reachability import PeerReachability, UnreachedNodes
-from knotwalk.discovery.view_publisher import Board
+from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.leases.evidence import Event, Evidence, HolderCleared, NodeUnreachable
 from knotwalk.leases.keeper import Keeper
 from knotwalk.leases.orders import REFUSED, UNSENT, Grant, Pace, Propose, Release
 from knotwalk.placement.capacity import Report, utilizations
 from knotwalk.placement.placer import Placer
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.http_client import Caller, Refused
+from knotwalk.runtime.http_client import ConnectionRefusedPeerError, HttpClient
 from knotwalk.runtime.logs import clock, log_exception, log_info, log_warning
-from knotwalk.runtime.units import text
+from knotwalk.runtime.units import format_duration
 
 STEP = 0.1  # seconds between questions whether the placement is to be looked at
 # Calls under way to one node. Who takes slices over grants all of them at once: 118 calls to one node opened so many
@@ -44,9 +44,9 @@
         self,
         me: str,
         consensus: ConsensusDriver,
-        board: Board,
-        loads: Loads,
-        caller: Caller,
+        board: ViewPublisher,
+        loads: LoadReports,
+        caller: HttpClient,
         pace: Pace,
         seed: int,
         propose: Callable[[dict], Awaitable[str | None]],
@@ -127,7 +127,7 @@
             "source_version": order.first_key,
             "target_version": order.last_key,
             "fence": order.fence,
-            "hold": text(order.hold),
+            "hold": format_duration(order.hold),
         }
         if order.handover:
             body["handover"] = order.handover
@@ -172,7 +172,7 @@
             url = f"http://{host}:{port}/{step}"
             status, heads, _ = await self.caller.send("POST", url, body, patience, step, None, alone)
             return status, heads.get("handover")
-        except Refused:
+        except ConnectionRefusedPeerError:
             return REFUSED, None
         except PeerError:
             return None, None
@@ -198,8 +198,8 @@
         ledger = self.consensus.state.ledger
         unreachable = {id for id in self.board.nodes if self.keeper.unreachable(id)}
         lapsed = self.keeper.lapsed(now)
-        avoided = frozenset(self.peers_reach.since(now))
-        news = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.ailing
+        avoided = frozenset(self.peers_reach.unreached_since(now))
+        news = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.outliers
         if not self.placer.due(now, news):
             return []
         return self.placer.place(now, ledger, self.board.nodes, self.report(now, unreachable, lapsed, avoided))
@@ -213,7 +213,7 @@
         self, now: float, unreachable: set[str], lapsed: frozenset[tuple[str, int]], avoided: frozenset[str]
     ) -> Report:
         """What the placement goes by, besides the ledger and the list."""
-        sums, spans = self.loads.sums(now)
+        sums, spans = self.loads.window_sums(now)
         # Requests, not their seconds: those grow with a node's queue, and would make the slices of a full node heavier.
         demand = {
             service: {int(slice): count / spans[service] for slice, count in slices.items()}
@@ -229,5 +229,5 @@
             unreachable=unreachable,
             lapsed=lapsed,
             avoided=avoided,
-            ailing=self.board.ailing,
+            ailing=self.board.outliers,
         )
--- a/knotwalk/discovery/outliers.py
+++ b/knotwalk/discovery/outliers.py
@@ -28,49 +28,49 @@
 from knotwalk.discovery.view_types import Node
 
 # Seconds in which what was met with fades to 1/e: a report a second, and two of them must tell.
-FADE = 1.5
+DECAY_TIME_S = 1.5
 # The chance that a node which is no worse than its better peers is called ailing by what is at hand; what is at hand is
 # new each FADE seconds. Stricter costs time: of nine tries, some 1.5 s of them, this wants 3 bad ones, 1e-4 wants 4.
-ERROR = 3e-4
+MAX_FALSE_POSITIVE_RATE = 3e-4
 # The better half of a service's nodes tells what is usual, but no less than this: in a calm fleet nothing is bad for
 # minutes, and then a few bad answers in a row must not be a sign. At 0.03 nodes that lost 45% were found after 2.6 to
 # 6 s, and so after 1.6 to 4.
-BETTER, LEAST_RATE = 0.5, 0.015
+BASELINE_FRACTION, MIN_BASELINE_RATE = 0.5, 0.015
 # Of a node's tries that must be bad at least: with less, its requests are better off where the keys are known.
-LEAST_PART = 0.2
+MIN_BAD_FRACTION = 0.2
 # Bad tries at least, from however many: one lost answer may lose a pipeline's worth.
-LEAST_BAD = 3.0
+MIN_BAD_TRIES = 3.0
 # Seconds of the first rest, doubled each time up to the last; a node that was well for AGAIN seconds begins anew.
-REST, REST_LAST, AGAIN = 4.0, 16.0, 10.0
+FIRST_EJECTION_S, MAX_EJECTION_S, EJECTION_RESET_S = 4.0, 16.0, 10.0
 # A node that tells so many requests a slot, running and waiting, is full (up to 1.5 are told of).
-FULL = 1.0
+FULL_LOAD = 1.0
 # Of a service's nodes, how many may rest at once.
-PART = 0.25
+MAX_EJECTED_FRACTION = 0.25
 
 
 @dataclass(slots=True)
-class Record:
+class NodeRecord:
     """What was met with at a node, fading: `tries`, and the `bad` ones among them; and its rests."""
 
     tries: float = 0.0
     bad: float = 0.0
-    told: float = 0.0  # requests a slot that its answers told, summed over `telling` of them
-    telling: float = 0.0
-    at: float = 0.0
-    rest: float = 0.0  # how long the last rest was
-    until: float = float("-inf")  # when it ends, or ended
+    load_sum: float = 0.0  # requests a slot that its answers told, summed over `telling` of them
+    load_reports: float = 0.0
+    updated_at: float = 0.0
+    ejection_s: float = 0.0  # how long the last rest was
+    ejected_until: float = float("-inf")  # when it ends, or ended
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let what was counted before `now` weigh less, by its age."""
-        part = math.exp(min(0.0, self.at - now) / FADE)
-        self.tries, self.bad, self.at = self.tries * part, self.bad * part, now
-        self.told, self.telling = self.told * part, self.telling * part
+        part = math.exp(min(0.0, self.updated_at - now) / DECAY_TIME_S)
+        self.tries, self.bad, self.updated_at = self.tries * part, self.bad * part, now
+        self.load_sum, self.load_reports = self.load_sum * part, self.load_reports * part
 
 
-def chance(bad: int, tries: int, rate: float) -> float:
+def binomial_tail(bad: int, tries: int, rate: float) -> float:
     """The chance of `bad` or more among `tries`, each bad with the chance `rate`.
 
-    >>> round(chance(0, 5, 0.1), 3), round(chance(1, 5, 0.1), 3), round(chance(5, 5, 0.1), 6)
+    >>> round(binomial_tail(0, 5, 0.1), 3), round(binomial_tail(1, 5, 0.1), 3), round(binomial_tail(5, 5, 0.1), 6)
     (1.0, 0.41, 1e-05)
     """
     return sum(math.comb(tries, k) * rate**k * (1 - rate) ** (tries - k) for k in range(bad, tries + 1))
@@ -80,74 +80,82 @@
     """One core's judgement. `hear` takes reports as they come, `judge` says who rests now."""
 
     def __init__(self) -> None:
-        self.records: dict[str, Record] = {}
-        self.resting: frozenset[str] = frozenset()
+        self.records: dict[str, NodeRecord] = {}
+        self.ejected: frozenset[str] = frozenset()
 
-    def hear(self, now: float, raw: dict) -> None:
+    def add_report(self, now: float, raw: dict) -> None:
         """A report, an edge's or several edges' sums: rows of `nodes` and `bad` as `discovery.loads` has them."""
         bad = raw.get("bad", {})
         for id, (told, count, slots, *tries) in raw.get("nodes", {}).items():
             if record := self._record(now, id):
                 record.tries += count or sum(tries[:3])
-                record.told += told / max(1, slots)
-                record.telling += count
+                record.load_sum += told / max(1, slots)
+                record.load_reports += count
         for id, (ill, more) in bad.items():
             if record := self._record(now, id):
                 record.tries += more
                 record.bad += ill
 
-    def _record(self, now: float, id: str) -> Record | None:
+    def _record(self, now: float, id: str) -> NodeRecord | None:
         """What is met with at a node; None while it rests: what was sent before ends now, and tells nothing of
         after."""
         record = self.records.get(id)
         if record is None:
-            record = self.records[id] = Record(at=now)
-        if now < record.until:
+            record = self.records[id] = NodeRecord(updated_at=now)
+        if now < record.ejected_until:
             return None
-        record.fade(now)
+        record.decay(now)
         return record
 
-    def judge(self, now: float, nodes: Mapping[str, Node]) -> frozenset[str]:
+    def evaluate(self, now: float, nodes: Mapping[str, Node]) -> frozenset[str]:
         """Ids of the nodes that rest now; `nodes` is the platform's list."""
         self.records = {id: record for id, record in self.records.items() if id in nodes}
-        services: dict[str, dict[str, Record]] = {}
+        services: dict[str, dict[str, NodeRecord]] = {}
         for id, record in self.records.items():
-            record.fade(now)
+            record.decay(now)
             services.setdefault(nodes[id].service, {})[id] = record
         found: set[str] = set()
         for service, records in services.items():
-            rest = {id for id, record in records.items() if now < record.until}
-            room = int(PART * sum(node.service == service for node in nodes.values())) - len(rest)
-            usual = self._usual(records.values())
+            rest = {id for id, record in records.items() if now < record.ejected_until}
+            room = int(MAX_EJECTED_FRACTION * sum(node.service == service for node in nodes.values())) - len(rest)
+            usual = self._baseline_rate(records.values())
             signs = [
-                (sign, id) for id, x in records.items() if id not in rest and (sign := self._sign(x, usual)) < ERROR
+                (sign, id)
+                for id, x in records.items()
+                if id not in rest and (sign := self._p_value(x, usual)) < MAX_FALSE_POSITIVE_RATE
             ]
             for _, id in sorted(signs)[: max(0, room)]:
-                self._rests(now, records[id])
+                self._eject(now, records[id])
                 rest.add(id)
             found |= rest
-        self.resting = frozenset(found)
-        return self.resting
+        self.ejected = frozenset(found)
+        return self.ejected
 
     @staticmethod
-    def _usual(records: Iterable[Record]) -> float:
+    def _baseline_rate(records: Iterable[NodeRecord]) -> float:
         """The part of tries that is bad at the better half of the nodes."""
         ranked = sorted((x for x in records if x.tries > 0), key=lambda x: x.bad / x.tries)
-        better = ranked[: math.ceil(BETTER * len(ranked))]
-        return max(LEAST_RATE, sum(x.bad for x in better) / sum(x.tries for x in better) if better else 0.0)
+        better = ranked[: math.ceil(BASELINE_FRACTION * len(ranked))]
+        return max(MIN_BASELINE_RATE, sum(x.bad for x in better) / sum(x.tries for x in better) if better else 0.0)
 
     @staticmethod
-    def _sign(record: Record, usual: float) -> float:
+    def _p_value(record: NodeRecord, usual: float) -> float:
         """How likely a node without a fault of its own meets with this, where the part `usual` of tries is bad."""
-        if record.bad < LEAST_BAD or record.bad < LEAST_PART * record.tries or record.told > FULL * record.telling:
+        if (
+            record.bad < MIN_BAD_TRIES
+            or record.bad < MIN_BAD_FRACTION * record.tries
+            or record.load_sum > FULL_LOAD * record.load_reports
+        ):
             return 1.0
         tries = max(1, round(record.tries))
-        return chance(min(tries, round(record.bad)), tries, min(1.0, usual))
+        return binomial_tail(min(tries, round(record.bad)), tries, min(1.0, usual))
 
     @staticmethod
-    def _rests(now: float, record: Record) -> None:
+    def _eject(now: float, record: NodeRecord) -> None:
         """The one place where a node is sent to rest. What was met with before counts no more."""
-        again = now < record.until + AGAIN
-        record.rest = min(REST_LAST, 2 * record.rest) if again and record.rest else REST
-        record.until = now + record.rest
-        record.tries = record.bad = record.told = record.telling = 0.0
+        again = now < record.ejected_until + EJECTION_RESET_S
+        record.ejection_s = (
+            min(MAX_EJECTION_S, 2 * record.ejection_s) if again and record.ejection_s else FIRST_EJECTION_S
+        )
+        record.ejected_until = now + record.ejection_s
+        record.tries = record.bad = record.load_sum = record.load_reports = 0.0
--- a/knotwalk/discovery/reachability.py
+++ b/knotwalk/discovery/reachability.py
@@ -15,7 +15,7 @@
 from dacite import Config, DaciteError, from_dict
 
 # A core's word counts for so long (s): it is told anew each second, so one that falls silent is soon disregarded.
-WORD = 3.0
+REPORT_TTL_S = 3.0
 
 
 @dataclass(frozen=True)
@@ -30,7 +30,7 @@
         return {"core": self.core, "nodes": {id: round(age, 1) for id, age in self.nodes.items()}}
 
 
-def unreached_nodes(raw: object) -> UnreachedNodes:
+def parse_unreached_nodes(raw: object) -> UnreachedNodes:
     """What came over the wire; ValueError names what is wrong with it."""
     try:
         return from_dict(UnreachedNodes, raw, Config(strict=False, cast=[float]))  # type: ignore[arg-type]
@@ -42,17 +42,17 @@
     """The newest word of each other core."""
 
     def __init__(self) -> None:
-        self._words: dict[str, tuple[float, UnreachedNodes]] = {}
+        self._reports: dict[str, tuple[float, UnreachedNodes]] = {}
 
-    def hear(self, now: float, word: UnreachedNodes) -> None:
+    def add_report(self, now: float, word: UnreachedNodes) -> None:
         """Take a core's word; it replaces the one before."""
-        self._words[word.core] = now, word
+        self._reports[word.core] = now, word
 
-    def since(self, now: float) -> Mapping[str, float]:
+    def unreached_since(self, now: float) -> Mapping[str, float]:
         """Nodes that some other core does not reach, by when its calls began to fail, on this clock."""
-        self._words = {core: (at, word) for core, (at, word) in self._words.items() if now - at < WORD}
+        self._reports = {core: (at, word) for core, (at, word) in self._reports.items() if now - at < REPORT_TTL_S}
         found: dict[str, float] = {}
-        for at, word in self._words.values():
+        for at, word in self._reports.values():
             for id, age in word.nodes.items():
                 found[id] = min(found.get(id, at - age), at - age)
         return found
--- a/knotwalk/discovery/view_publisher.py
+++ b/knotwalk/discovery/view_publisher.py
@@ -8,18 +8,22 @@
 import json
 from collections import deque
 
-from knotwalk.configuration.documents import difference
-from knotwalk.discovery.view_types import SLICES, Node, entry
+from knotwalk.configuration.documents import diff_documents
+from knotwalk.discovery.view_types import SLICE_COUNT, Node, node_to_wire
 
 # Changes of the configuration kept to be sent alone. Together they stay smaller than the whole, so a board
 # keeps one configuration's bytes of them at most. Storms bring some 3 to 12 a second, and an edge calls once a
 # second at least; who is 32 behind was cut off, and the whole is then one of the smaller things it lacks.
-CHANGES = 32
-HELD = 32  # lists of nodes from which a board can still tell what changed; as above, a release brings one a second
-COLDER = 2.0  # s by which a node must be cold for longer than told: the list's figure is up to a beat of 1.5 s old
+MAX_KEPT_CHANGES = 32
+MAX_KEPT_NODE_LISTS = (
+    32  # lists of nodes from which a board can still tell what changed; as above, a release brings one a second
+)
+MIN_COLD_CHANGE_S = (
+    2.0  # s by which a node must be cold for longer than told: the list's figure is up to a beat of 1.5 s old
+)
 
 
-class Board:
+class ViewPublisher:
     """What one core program has to tell, with a revision for each change; `since` is what a cluster view lacks.
 
     An order names one state, whichever board tells it: the configuration and the lines as of an entry of the log, the
@@ -27,25 +31,25 @@
     """
 
     def __init__(self, epoch: str):
-        self.epoch, self.at = epoch, 1
+        self.epoch, self.revision = epoch, 1
         self.config: tuple[int, dict] | None = None
-        self.sizes: dict[int, int] = {}  # bytes of each item of the configuration, by its object
+        self.item_sizes: dict[int, int] = {}  # bytes of each item of the configuration, by its object
         self.changes: deque[tuple[int, dict, int]] = deque()  # up to now: (order changed from, change, its bytes)
         self.nodes: dict[str, Node] = {}
         self.nodes_order = (-1, -1)
-        self.held: dict[tuple[int, int], int] = {}  # the last orders of the list, and the turn of each
-        self.node_at: dict[str, int] = {}  # turn of the last change by id; gone ones too, as far as `held` goes
-        self.lines: dict[str, list[tuple[str, bool]]] = {}
-        self.lines_order = -1
-        self.line_order: dict[str, list[int]] = {}  # order of each line's last change, as far as is known here
+        self.kept_lists: dict[tuple[int, int], int] = {}  # the last orders of the list, and the turn of each
+        self.node_revisions: dict[str, int] = {}  # turn of the last change by id; gone ones too, as far as `held` goes
+        self.assignments: dict[str, list[tuple[str, bool]]] = {}
+        self.assignments_order = -1
+        self.assignment_orders: dict[str, list[int]] = {}  # order of each line's last change, as far as is known here
         self.cores: list[str] = []
-        self.cores_at = 0
-        self.ailing: frozenset[str] = frozenset()
-        self.ailing_at = 0
+        self.cores_revision = 0
+        self.outliers: frozenset[str] = frozenset()
+        self.outliers_revision = 0
 
-    def _turn(self) -> int:
-        self.at += 1
-        return self.at
+    def _next_revision(self) -> int:
+        self.revision += 1
+        return self.revision
 
     def set_config(self, order: int, document: dict) -> None:
         """The configuration of the log's entry `order`; what is not newer is left out.
@@ -56,34 +60,36 @@
         if before is not None and order <= before[0]:
             return
         self.config = order, document
-        self._turn()
+        self._next_revision()
         known = {id(item) for item in before[1]["objects"]} if before else set()
-        change = difference(before[1], document) if any(id(item) in known for item in document["objects"]) else None
+        change = diff_documents(before[1], document) if any(id(item) in known for item in document["objects"]) else None
         if change is None:
             self.changes.clear()
-            self.sizes.clear()
+            self.item_sizes.clear()
             return
-        whole = self._whole(document)
-        self.changes.append((before[0], change, size(change)))
-        while self.changes and (len(self.changes) > CHANGES or sum(size for _, _, size in self.changes) >= whole):
+        whole = self._document_size(document)
+        self.changes.append((before[0], change, encoded_size(change)))
+        while self.changes and (
+            len(self.changes) > MAX_KEPT_CHANGES or sum(size for _, _, size in self.changes) >= whole
+        ):
             self.changes.popleft()
 
-    def _whole(self, document: dict) -> int:
+    def _document_size(self, document: dict) -> int:
         """Bytes of the whole document; items that stood in the one before, which still lives, are not counted anew."""
         items = document["objects"]
-        self.sizes = {id(item): self.sizes.get(id(item)) or size(item) for item in items}
-        return size(document | {"objects": []}) + sum(self.sizes.values()) + max(0, len(items) - 1)
+        self.item_sizes = {id(item): self.item_sizes.get(id(item)) or encoded_size(item) for item in items}
+        return encoded_size(document | {"objects": []}) + sum(self.item_sizes.values()) + max(0, len(items) - 1)
 
     def set_cores(self, cores: list[str]) -> None:
         """Tell the core machines from now on, if they are others than before."""
         if cores != self.cores:
-            self.cores, self.cores_at = cores, self._turn()
+            self.cores, self.cores_revision = cores, self._next_revision()
 
-    def set_ailing(self, ailing: frozenset[str]) -> bool:
+    def set_outliers(self, outliers: frozenset[str]) -> bool:
         """The nodes that this core holds ailing; says whether they are others than before."""
-        if ailing == self.ailing:
+        if outliers == self.outliers:
             return False
-        self.ailing, self.ailing_at = ailing, self._turn()
+        self.outliers, self.outliers_revision = outliers, self._next_revision()
         return True
 
     def set_nodes(self, order: tuple[int, int], nodes: dict[str, Node], read: bool = False) -> bool:
@@ -91,89 +97,94 @@
         is like its last one keeps that one's order: at a new one every other core would ask for it again."""
         if order <= self.nodes_order:
             return False
-        first, before = not self.held, self.nodes
-        fresh = {id for id, node in nodes.items() if (old := before.get(id)) is None or differ(old, node)}
+        first, before = not self.kept_lists, self.nodes
+        fresh = {id for id, node in nodes.items() if (old := before.get(id)) is None or has_changed(old, node)}
         fresh |= before.keys() - nodes.keys()
         self.nodes = nodes
         if read and not fresh and order[0] == self.nodes_order[0]:
             return False
-        turn = self._turn()
-        self.nodes_order, self.held[order] = order, turn
-        self.node_at |= dict.fromkeys(fresh, turn)
-        if len(self.held) > HELD:
-            del self.held[next(iter(self.held))]
-        oldest = next(iter(self.held.values()))
-        self.node_at = {id: at for id, at in self.node_at.items() if id in nodes or at > oldest}
+        turn = self._next_revision()
+        self.nodes_order, self.kept_lists[order] = order, turn
+        self.node_revisions |= dict.fromkeys(fresh, turn)
+        if len(self.kept_lists) > MAX_KEPT_NODE_LISTS:
+            del self.kept_lists[next(iter(self.kept_lists))]
+        oldest = next(iter(self.kept_lists.values()))
+        self.node_revisions = {id: at for id, at in self.node_revisions.items() if id in nodes or at > oldest}
         return first or bool(fresh)
 
-    def set_lines(self, order: int, service: str, changes: dict[int, tuple[str, bool]]) -> None:
+    def set_assignments(self, order: int, service: str, changes: dict[int, tuple[str, bool]]) -> None:
         """Owner lines of a service that changed with the log's entry `order`: slice -> (node's id, open)."""
-        self.lines_order = max(order, self.lines_order)
-        lines = self.lines.setdefault(service, [("", False)] * SLICES)
-        at = self.line_order.setdefault(service, [-1] * SLICES)
-        self._turn()
+        self.assignments_order = max(order, self.assignments_order)
+        lines = self.assignments.setdefault(service, [("", False)] * SLICE_COUNT)
+        at = self.assignment_orders.setdefault(service, [-1] * SLICE_COUNT)
+        self._next_revision()
         for slice, line in changes.items():
             lines[slice], at[slice] = line, order
 
-    def since(self, asked: dict, now: float) -> dict | None:
+    def changes_since(self, asked: dict, now: float) -> dict | None:
         """What the cluster view lacks that `asked`, or None.
 
         By its orders; cores and ailing nodes go by the turns of this board."""
-        at = asked["at"] if asked["epoch"] == self.epoch and asked["at"] <= self.at else 0
-        if at >= self.at:
+        at = asked["at"] if asked["epoch"] == self.epoch and asked["at"] <= self.revision else 0
+        if at >= self.revision:
             return None
-        message: dict = {"epoch": self.epoch, "at": self.at}
-        if self.cores_at > at:
+        message: dict = {"epoch": self.epoch, "at": self.revision}
+        if self.cores_revision > at:
             message["cores"] = self.cores
-        if self.ailing_at > at:
-            message["ailing"] = sorted(self.ailing)
+        if self.outliers_revision > at:
+            message["ailing"] = sorted(self.outliers)
         if self.config is not None and (has := asked.get("config", -1)) < self.config[0]:
-            message["config"] = {"order": self.config[0]} | self._config(has)
+            message["config"] = {"order": self.config[0]} | self._config_since(has)
         if (held := tuple(asked.get("nodes", (-1, -1)))) < self.nodes_order:
-            message["nodes"] = self._nodes(held, now)
-        if (order := asked.get("lines", -1)) < self.lines_order:
-            message["lines"] = self._lines(order)
+            message["nodes"] = self._nodes_since(held, now)
+        if (order := asked.get("lines", -1)) < self.assignments_order:
+            message["lines"] = self._assignments_since(order)
         return message
 
-    def provisional(self, nodes: dict[str, Node], now: float) -> dict | None:
+    def provisional_view(self, nodes: dict[str, Node], now: float) -> dict | None:
         """All that stands here for a cluster view that is bare, with `nodes` where no leader's list came.
 
         None if that would serve nothing."""
-        message = self.since({"epoch": "", "at": 0}, now) or {}
+        message = self.changes_since({"epoch": "", "at": 0}, now) or {}
         if "nodes" not in message:
-            found = {id: entry(n, now) for id, n in nodes.items()}
+            found = {id: node_to_wire(n, now) for id, n in nodes.items()}
             message["nodes"] = {"order": [0, 0], "full": True, "gone": [], "set": found}
         return message if "config" in message and message["nodes"]["set"] else None
 
-    def _config(self, has: int) -> dict:
+    def _config_since(self, has: int) -> dict:
         """The changes from the order that a cluster view `has`, if all of them are kept; else the document."""
         changes = [change for base, change, _ in self.changes if base >= has]
         if changes and self.changes[-len(changes)][0] == has:
             return {"base": has, "changes": changes}
         return {"document": self.config[1]}
 
-    def _nodes(self, has: tuple[int, int], now: float) -> dict:
+    def _nodes_since(self, has: tuple[int, int], now: float) -> dict:
         """What changed since the list that a cluster view `has`, if that is held; else the whole list."""
-        turn, full = self.held.get(has, 0), has not in self.held
+        turn, full = self.kept_lists.get(has, 0), has not in self.kept_lists
         return {
             "order": list(self.nodes_order),
             "full": full,
-            "set": {id: entry(n, now) for id, n in self.nodes.items() if full or self.node_at[id] > turn},
-            "gone": [] if full else [id for id, at in self.node_at.items() if at > turn and id not in self.nodes],
+            "set": {id: node_to_wire(n, now) for id, n in self.nodes.items() if full or self.node_revisions[id] > turn},
+            "gone": []
+            if full
+            else [id for id, at in self.node_revisions.items() if at > turn and id not in self.nodes],
         }
 
-    def _lines(self, has: int) -> dict:
+    def _assignments_since(self, has: int) -> dict:
         """The owner lines that changed after the order that a cluster view `has`."""
-        found = {service: runs(self.lines[service], orders, has) for service, orders in self.line_order.items()}
-        return {"order": self.lines_order, "set": {service: lines for service, lines in found.items() if lines}}
+        found = {
+            service: assignment_runs(self.assignments[service], orders, has)
+            for service, orders in self.assignment_orders.items()
+        }
+        return {"order": self.assignments_order, "set": {service: lines for service, lines in found.items() if lines}}
 
 
-def size(value: dict) -> int:
+def encoded_size(value: dict) -> int:
     """Bytes on the wire."""
     return len(json.dumps(value, separators=(",", ":")))
 
 
-def differ(old: Node, new: Node) -> bool:
+def has_changed(old: Node, new: Node) -> bool:
     """Whether a cluster view that has the one must hear of the other."""
     return (old.address, old.service, old.zone, old.capacity, old.draining) != (
         new.address,
@@ -181,13 +192,13 @@
         new.zone,
         new.capacity,
         new.draining,
-    ) or new.cold_until > old.cold_until + COLDER
+    ) or new.cold_until > old.cold_until + MIN_COLD_CHANGE_S
 
 
-def runs(lines: list[tuple[str, bool]], orders: list[int], order: int) -> list[list]:
+def assignment_runs(lines: list[tuple[str, bool]], orders: list[int], order: int) -> list[list]:
     """Lines that changed after `order`, neighbours alike as one: [first, last, owner, open].
 
-    >>> runs([("a", True), ("a", True), ("b", False)], [2, 2, 3], 1)
+    >>> assignment_runs([("a", True), ("a", True), ("b", False)], [2, 2, 3], 1)
     [[0, 1, 'a', 1], [2, 2, 'b', 0]]
     """
     found: list[list] = []
--- a/knotwalk/discovery/view_types.py
+++ b/knotwalk/discovery/view_types.py
@@ -4,19 +4,19 @@
 
 from dataclasses import dataclass, field
 
-KEYS = 65536
+KEY_COUNT = 65536
 # Slices of a sharded service. Measured on a calm day: a hundredth of the keys takes a third of the requests, and of 512
 # slices the busiest alone was more than a node; of 2,048 it is a third of one. Lines travel as runs, so most cost
 # nothing.
-SLICES = 2048
-WIDTH = KEYS // SLICES
+SLICE_COUNT = 2048
+SLICE_WIDTH = KEY_COUNT // SLICE_COUNT
 # Seconds: a core that heard the leader's word longer ago than this sends its edges elsewhere.
-FRESH = 1.2
+MAX_LEADER_SILENCE_S = 1.2
 
 
 @dataclass(eq=False)
 class Node:
-    """A node as the platform's list has it. `seen` is free for the program that carries requests."""
+    """A node as the platform's list has it. `local_state` is free for the program that carries requests."""
 
     id: str
     service: str
@@ -26,12 +26,12 @@
     draining: bool = False
     cold_until: float = 0.0  # steady clock of this machine
     software: str = ""
-    ailing: bool = False  # as all edges together meet with it (`discovery.outliers`)
-    seen: object = None
+    is_outlier: bool = False  # as all edges together meet with it (`discovery.outliers`)
+    local_state: object = None
 
 
 @dataclass(eq=False)
-class Line:
+class Assignment:
     """Who owns a slice; not `open` while the keys change hands: requests wait for it briefly."""
 
     node: Node | None = None
@@ -40,17 +40,17 @@
 
 
 @dataclass(eq=False)
-class Sharding:
+class ServiceAssignments:
     """The owner lines of one service, a line a slice."""
 
-    lines: list[Line] = field(default_factory=lambda: [Line() for _ in range(SLICES)])
+    by_slice: list[Assignment] = field(default_factory=lambda: [Assignment() for _ in range(SLICE_COUNT)])
 
-    def line(self, key: int) -> Line:
+    def assignment(self, key: int) -> Assignment:
         """The owner line of a key."""
-        return self.lines[key // WIDTH]
+        return self.by_slice[key // SLICE_WIDTH]
 
 
-def entry(node: Node, now: float) -> dict:
+def node_to_wire(node: Node, now: float) -> dict:
     """A node as it goes over the wire; `cold` in seconds from now."""
     return {
         "service": node.service,
@@ -62,7 +62,7 @@
     }
 
 
-def node_of(id: str, raw: dict, now: float) -> Node:
+def node_from_wire(id: str, raw: dict, now: float) -> Node:
     """The node that a board told as `raw`, read at `now`."""
     host, _, port = raw["address"].rpartition(":")
     return Node(
--- a/knotwalk/edge/__main__.py
+++ b/knotwalk/edge/__main__.py
@@ -23,7 +23,7 @@
 from knotwalk.edge.limits import Refusals, needs_ask
 from knotwalk.edge.link import Link
 from knotwalk.edge.operations import Operations
-from knotwalk.runtime.lifecycle import FIGURES_AFTER, Ending, live
+from knotwalk.runtime.lifecycle import METRICS_DELAY_S, ProcessSignals, run_program
 from knotwalk.runtime.logs import clock, log_info
 from knotwalk.runtime.settings import Settings
 
@@ -36,7 +36,7 @@
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        settings.at("data_plane"), settings.at("readiness")  # said before anything is begun
+        settings.listen_address("data_plane"), settings.listen_address("readiness")  # said before anything is begun
         seed = crc32(f"{settings.node_name}{os.getpid()}{os.urandom(4).hex()}".encode())
         self.view = ClusterView()
         self.caller = Caller()
@@ -68,7 +68,7 @@
                 settings, self.front.forwarder, self.admission_calls, needs_ask, Refusals()
             )
         self.readiness = ready.Readiness(self.front)
-        self.ending = Ending(self.reload, settings.mark)
+        self.ending = ProcessSignals(self.reload, settings.file_state)
 
     def cores(self) -> list[str]:
         """Addresses of cores to ask for admission: the one that is heard, then others, those of this zone first."""
@@ -81,17 +81,17 @@
         if edges > 1:
             self.front.edges = edges
         self.front.view_changed(changed)
-        if self.view.whole and not self.ending.asked:
+        if self.view.is_complete and not self.ending.stop_requested:
             self.readiness.begin(clock())
 
     async def run(self) -> None:
         """Serve until the end is asked for, then finish what was read."""
-        self.ending.listen()
-        readiness = await ready.listen(*self.settings.at("readiness"), lambda: self.readiness.at(clock()))
+        self.ending.install()
+        readiness = await ready.listen(*self.settings.listen_address("readiness"), lambda: self.readiness.at(clock()))
         await self.front.start()
         told = asyncio.get_running_loop().create_task(self.tell_figures())
         link = asyncio.get_running_loop().create_task(self.link.run())
-        await self.ending.wait(link)
+        await self.ending.wait_for_stop(link)
         log_info("leaving")
         self.readiness.end()
         self.front.drain()
@@ -108,7 +108,7 @@
         """Tell this edge's figures at a port, if it is given one, until cancelled."""
         if self.settings.metrics_port is None:
             return
-        await asyncio.sleep(FIGURES_AFTER)
+        await asyncio.sleep(METRICS_DELAY_S)
         from knotwalk.edge.figures import figures
         from knotwalk.runtime import metrics
 
@@ -124,4 +124,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(live("edge", Edge))
+    sys.exit(run_program("edge", Edge))
--- a/knotwalk/edge/caller.py
+++ b/knotwalk/edge/caller.py
@@ -16,8 +16,8 @@
 
 import httptools
 
-from knotwalk.runtime.compression import ENCODING, unpack
-from knotwalk.runtime.errors import PeerError, value
+from knotwalk.runtime.compression import ENCODING, decompress
+from knotwalk.runtime.errors import PeerError, decode_json_response
 
 # Seconds after which an idle connection is not used again: less than half of what a core keeps one open for.
 IDLE = 8.0
@@ -162,7 +162,7 @@
             return
         assert self.future is not None
         try:
-            body = unpack(b"".join(self.body), MOST) if self.packed else b"".join(self.body)
+            body = decompress(b"".join(self.body), MOST) if self.packed else b"".join(self.body)
         except ValueError as error:
             self.end(f"not an answer: {error}")
             return
@@ -226,7 +226,7 @@
             self.kept[at] = connection
         self.bytes["sent"] += len(data)
         self.bytes["received"] += len(told)
-        return value(step, url, status, told)
+        return decode_json_response(step, url, status, told)
 
     async def _connection(self, at: tuple[str, int]) -> Connection:
         """The one kept to a core, taken out, if it is fit; else a new one. OSError if there is none."""
--- a/knotwalk/edge/choose.py
+++ b/knotwalk/edge/choose.py
@@ -17,9 +17,9 @@
 
 def seen(node: Node) -> Seen:
     """What this edge has met with at the node."""
-    found = node.seen
+    found = node.local_state
     if not isinstance(found, Seen):
-        found = node.seen = Seen()
+        found = node.local_state = Seen()
     return found
 
 
@@ -58,8 +58,10 @@
     others.
     """
     able = [node for node in nodes if not node.draining and node.id not in skip]
-    well = [node for node in able if seen(node).shunned_until <= now and not seen(node).silent(now) and not node.ailing]
-    well = well or [node for node in able if not node.ailing] or able
+    well = [
+        node for node in able if seen(node).shunned_until <= now and not seen(node).silent(now) and not node.is_outlier
+    ]
+    well = well or [node for node in able if not node.is_outlier] or able
     if not well:
         return None
     near = [node for node in well if node.zone == zone]
--- a/knotwalk/edge/figures.py
+++ b/knotwalk/edge/figures.py
@@ -8,12 +8,12 @@
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.edge.front import Front
 from knotwalk.edge.link import Link
-from knotwalk.runtime.metrics import Figure, Kind, gauge, loop_delay
+from knotwalk.runtime.metrics import Metric, MetricType, gauge, loop_delay_metric
 
 RANK = ", rank "  # in a count's name: what stands between how a request ended and the rank of its route
 
 
-def requests(counts: Counter[str]) -> Figure:
+def requests(counts: Counter[str]) -> Metric:
     """How requests ended."""
     found: dict[tuple[str, ...], float] = {}
     for name, count in counts.items():
@@ -21,31 +21,31 @@
         outcome, _, cause = ending.partition(": ")
         if parted:
             found[outcome, cause, rank] = count
-    return Figure(
+    return Metric(
         "knotwalk_edge_requests",
-        Kind.COUNTER,
+        MetricType.COUNTER,
         "requests by how they ended, the cause, and the rank of their route",
         found,
         ("outcome", "cause", "rank"),
     )
 
 
-def events(counts: Counter[str]) -> Figure:
+def events(counts: Counter[str]) -> Metric:
     """What was met with: tries, connections, and what ended before it had a route."""
     found: dict[tuple[str, ...], float] = {(name,): count for name, count in counts.items() if RANK not in name}
-    return Figure("knotwalk_edge_events", Kind.COUNTER, "what was met with, by event", found, ("event",))
+    return Metric("knotwalk_edge_events", MetricType.COUNTER, "what was met with, by event", found, ("event",))
 
 
-def nodes(view: ClusterView) -> Figure:
+def nodes(view: ClusterView) -> Metric:
     """Nodes of the view by state; one that drains or ails is not counted as ready."""
     found = Counter(
-        "draining" if node.draining else "ailing" if node.ailing else "ready" for node in view.nodes.values()
+        "draining" if node.draining else "ailing" if node.is_outlier else "ready" for node in view.nodes.values()
     )
     samples: dict[tuple[str, ...], float] = {(state,): found[state] for state in ("ready", "draining", "ailing")}
-    return Figure("knotwalk_edge_nodes", Kind.GAUGE, "nodes of the cluster view", samples, ("state",))
+    return Metric("knotwalk_edge_nodes", MetricType.GAUGE, "nodes of the cluster view", samples, ("state",))
 
 
-def figures(now: float, ready: bool, front: Front, link: Link) -> Iterator[Figure]:
+def figures(now: float, ready: bool, front: Front, link: Link) -> Iterator[Metric]:
     """All figures of an edge."""
     view, forwarder = front.view, front.forwarder
     counts = forwarder.totals + forwarder.counts
@@ -56,9 +56,9 @@
         view.configuration.version if view.configuration else 0,
     )
     yield gauge("knotwalk_edge_core_heard_seconds", "since a fresh core last answered", now - link.heard_at)
-    yield Figure(
+    yield Metric(
         "knotwalk_edge_configurations_not_taken",
-        Kind.COUNTER,
+        MetricType.COUNTER,
         "configurations of a core that can't be read here",
         {(): link.not_taken},
     )
@@ -74,19 +74,19 @@
     room: dict[tuple[str, ...], float] = {
         (name,): budget.room(now, front.edges) for name, budget in forwarder.budgets.items()
     }
-    yield Figure("knotwalk_edge_retry_room", Kind.GAUGE, "further tries that may be made now", room, ("service",))
-    yield Figure(
+    yield Metric("knotwalk_edge_retry_room", MetricType.GAUGE, "further tries that may be made now", room, ("service",))
+    yield Metric(
         "knotwalk_edge_core_bytes",
-        Kind.COUNTER,
+        MetricType.COUNTER,
         "bytes of bodies to and from cores",
         {(direction,): count for direction, count in link.caller.bytes.items()},
         ("direction",),
     )
     yield from admission(front)
-    yield loop_delay(front.delay)
+    yield loop_delay_metric(front.delay)
 
 
-def admission(front: Front) -> Iterator[Figure]:
+def admission(front: Front) -> Iterator[Metric]:
     """Figures of asks and operations; all 0 where nothing is asked for."""
     operations = front.operations
     waited, running, untold = 0.0, 0, 0
@@ -95,6 +95,6 @@
         running = len(operations.running)
         untold = len(operations.calls.ends.waiting)
     meaning = "what requests waited for asks to cores, in all"
-    yield Figure("knotwalk_edge_ask_seconds", Kind.COUNTER, meaning, {(): waited})
+    yield Metric("knotwalk_edge_ask_seconds", MetricType.COUNTER, meaning, {(): waited})
     yield gauge("knotwalk_edge_operations_running", "operations that run by this edge", running)
     yield gauge("knotwalk_edge_ends_untold", "ends of operations that no core took yet", untold)
--- a/knotwalk/edge/forwarder.py
+++ b/knotwalk/edge/forwarder.py
@@ -10,7 +10,7 @@
 from knotwalk.admission.admission import SHUN_LAST, SHUN_OWNER, come_back
 from knotwalk.admission.outcome import PROOFS, End, Move, Proof, move
 from knotwalk.configuration.objects import Route
-from knotwalk.discovery.view_types import WIDTH
+from knotwalk.discovery.view_types import SLICE_WIDTH
 from knotwalk.edge.choose import seen, service_of, wait_at
 from knotwalk.edge.exchange import Exchange
 from knotwalk.edge.node_answer import Answer
@@ -38,7 +38,7 @@
                 return "Shard-Key must be a number from 0 to 65535"
             exchange.key = number
         self.budget(exchange.service).request(self.clock())
-        self.demand.setdefault(exchange.service, Counts())[exchange.key // WIDTH if exchange.key >= 0 else 0] += 1
+        self.demand.setdefault(exchange.service, Counts())[exchange.key // SLICE_WIDTH if exchange.key >= 0 else 0] += 1
         return ""
 
     async def carry(self, exchange: Exchange, deduplicated: bool = False) -> tuple[Move, Answer | None]:
@@ -128,10 +128,10 @@
     def _wait(self, exchange: Exchange) -> float:
         """Seconds until a slot is likely free for a request that was refused since nodes are full."""
         if exchange.key < 0:
-            nodes = self.view.by_service.get(exchange.service, [])
+            nodes = self.view.nodes_by_service.get(exchange.service, [])
         else:
-            sharding = self.view.shardings.get(exchange.service)
-            owner = sharding.line(exchange.key).node if sharding is not None else None
+            sharding = self.view.assignments.get(exchange.service)
+            owner = sharding.assignment(exchange.key).node if sharding is not None else None
             nodes = [owner] if owner is not None else []
         now = self.clock()
         return min((wait_at(node, now) for node in nodes if not node.draining), default=HANDS_WAIT)
--- a/knotwalk/edge/forwarding_state.py
+++ b/knotwalk/edge/forwarding_state.py
@@ -84,7 +84,7 @@
         """Requests by service and slice, load told by each node, bad tries; since the call before."""
         nodes, bad, now = {}, {}, self.clock()
         for node in self.view.nodes.values():
-            known: Seen | None = node.seen  # type: ignore[assignment]
+            known: Seen | None = node.local_state  # type: ignore[assignment]
             if known is None:
                 continue
             if known.silent(now) and not known.hung:  # what hangs there will hardly end well
--- a/knotwalk/edge/freshness.py
+++ b/knotwalk/edge/freshness.py
@@ -10,7 +10,7 @@
 
 import math
 
-from knotwalk.discovery.view_types import FRESH
+from knotwalk.discovery.view_types import MAX_LEADER_SILENCE_S
 from knotwalk.leases.tenure import PROOF
 
 # Seconds of `revoke_timeout` that the lease leaves out: steady clocks that run unlike, and a stall between the last
@@ -41,7 +41,7 @@
 
         `after`: seconds from the call's arrival to the core's last proof, below 0 if that was before; None where the
         core does not tell, so that it may be as old as a fresh core's can be."""
-        self.proven_at = max(self.proven_at, asked_at + (-FRESH - PROOF if after is None else after))
+        self.proven_at = max(self.proven_at, asked_at + (-MAX_LEADER_SILENCE_S - PROOF if after is None else after))
 
     def holds(self, now: float) -> bool:
         """Whether the configuration here can be taken for the newest, but for one of the last `length` seconds."""
--- a/knotwalk/edge/front.py
+++ b/knotwalk/edge/front.py
@@ -67,7 +67,7 @@
     @property
     def serves(self) -> bool:
         """Whether there is enough to serve by, of what cores have told."""
-        return self.view.whole and self.intake.judges_keys(self.clock())
+        return self.view.is_complete and self.intake.judges_keys(self.clock())
 
     @property
     def counts(self) -> dict:
--- a/knotwalk/edge/link.py
+++ b/knotwalk/edge/link.py
@@ -76,7 +76,7 @@
             if self.core is None or not await self.turn(self.core):
                 self.core = None
                 await asyncio.sleep(pause * self.random.uniform(0.5, 1.0))
-                pause = min(PAUSE_BARE if self.view.bare else PAUSE_MOST, 1.5 * pause)
+                pause = min(PAUSE_BARE if self.view.is_empty else PAUSE_MOST, 1.5 * pause)
             else:
                 pause, self.tried = PAUSE, []
                 self.core = self.nearer(self.core)
@@ -91,7 +91,7 @@
     def begin(self, now: float, core: str, provisional: dict | None) -> None:
         """Serve for now by what a core that only just started holds, if there is nothing yet to serve by."""
         try:
-            changed = self.view.provide(now, provisional) if provisional else set()
+            changed = self.view.apply_provisional(now, provisional) if provisional else set()
         except (KeyError, TypeError, ValueError) as error:
             log_warning("news not understood", core=core, why=f"{type(error).__name__} {error}")
             return
@@ -104,7 +104,7 @@
         now = clock()
         wait = self.freshness.wait(WAIT) if core == self.known else FIRST_WAIT
         self.known = None
-        asked = {"edge": self.edge, "life": self.life, "wait": wait, **self.view.ask()}
+        asked = {"edge": self.edge, "life": self.life, "wait": wait, **self.view.positions()}
         if now - self.reported_at >= 0.9 * WAIT:
             self.reported_at = now
             asked["report"] = self.report()
@@ -130,16 +130,16 @@
                 log_warning("news not understood", core=core, why=f"{type(error).__name__} {error}")
                 return False
         lapsed = not self.freshness.accepts(clock())
-        if not self.view.fault:
+        if not self.view.config_error:
             self.freshness.proven(asked_at, told.get("proven"))
         renewed = lapsed and self.freshness.accepts(clock())  # an edge that only this kept from serving begins
         first = self.heard_at == float("-inf")
         self.heard_at, self.edges = now, told["edges"]
         if changed or first or renewed:
             self.on_news(changed, self.edges)
-        if self.view.fault:
+        if self.view.config_error:
             self.not_taken += 1
-            log_warning("configuration not taken", core=core, why=self.view.fault)
+            log_warning("configuration not taken", core=core, why=self.view.config_error)
             self.left[core] = now
             return False
         if first:
--- a/knotwalk/edge/node_selection.py
+++ b/knotwalk/edge/node_selection.py
@@ -46,8 +46,8 @@
                 return None, why
 
     def _owner(self, exchange: Exchange, tried: set[str], now: float) -> tuple[Node | None, str]:
-        sharding = self.view.shardings.get(exchange.service)
-        line = sharding.line(exchange.key) if sharding is not None else None
+        sharding = self.view.assignments.get(exchange.service)
+        line = sharding.assignment(exchange.key) if sharding is not None else None
         if line is None or line.node is None or not line.open or line.node.service != exchange.service:
             return None, "keys change hands"
         node = line.node
@@ -68,7 +68,7 @@
         return since is None or now - since < self.settings.bounds.drain_timeout * DRAIN_PART
 
     def _best(self, exchange: Exchange, tried: set[str], now: float, may_have_run: bool) -> tuple[Node | None, str]:
-        nodes = self.view.by_service.get(exchange.service, [])
+        nodes = self.view.nodes_by_service.get(exchange.service, [])
         size = max(exchange.length or 0, exchange.size)
         node = pick(nodes, now, self.settings.zone, self.luck, tried, size)
         if node is None:
--- a/knotwalk/leases/ledger.py
+++ b/knotwalk/leases/ledger.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from knotwalk.discovery.view_types import SLICES
+from knotwalk.discovery.view_types import SLICE_COUNT
 
 # The first lift, about as many entries as a quarter of an hour brings; and the last, well within what JSON carries
 # exactly.
@@ -70,8 +70,8 @@
     def _shard(self, _index: int, command: dict) -> list[Change]:
         for service in _items(command.get("services")):
             if isinstance(service, str) and service not in self.slices:
-                self.slices[service] = [Slice() for _ in range(SLICES)]
-                self.touched += [(service, k) for k in range(SLICES)]
+                self.slices[service] = [Slice() for _ in range(SLICE_COUNT)]
+                self.touched += [(service, k) for k in range(SLICE_COUNT)]
         return []
 
     def _lease(self, index: int, command: dict) -> list[Change]:
@@ -130,7 +130,7 @@
             line = self.slices.get(service)
             for run in _items(runs) if line else ():
                 if isinstance(run, (list, tuple)) and len(run) == 2 and all(isinstance(k, int) for k in run):
-                    for k in range(max(0, run[0]), min(SLICES - 1, run[1]) + 1):
+                    for k in range(max(0, run[0]), min(SLICE_COUNT - 1, run[1]) + 1):
                         yield service, k, line[k]
 
     def to_dict(self) -> dict:
@@ -169,9 +169,9 @@
                     )
                     for _ in range(count)
                 ]
-            if len(line) != SLICES:
-                raise ValueError(f"a snapshot has {len(line)} slices of {service}, and not {SLICES}")
-            ledger.touched += [(service, k) for k in range(SLICES)]
+            if len(line) != SLICE_COUNT:
+                raise ValueError(f"a snapshot has {len(line)} slices of {service}, and not {SLICE_COUNT}")
+            ledger.touched += [(service, k) for k in range(SLICE_COUNT)]
         return ledger
 
 
--- a/knotwalk/leases/planning.py
+++ b/knotwalk/leases/planning.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 
-from knotwalk.discovery.view_types import WIDTH
+from knotwalk.discovery.view_types import SLICE_WIDTH
 from knotwalk.leases.ledger import ranges
 from knotwalk.leases.orders import Propose
 from knotwalk.leases.slice_tenure import GATHER, PROPOSE_AGAIN, SliceTenure, State
@@ -27,12 +27,12 @@
     @property
     def first_key(self) -> int:
         """The first slice's first key."""
-        return self.slices[0].slice * WIDTH
+        return self.slices[0].slice * SLICE_WIDTH
 
     @property
     def last_key(self) -> int:
         """The last slice's last key."""
-        return (self.slices[-1].slice + 1) * WIDTH - 1
+        return (self.slices[-1].slice + 1) * SLICE_WIDTH - 1
 
     @property
     def numbers(self) -> tuple[int, ...]:
--- a/knotwalk/runtime/compression.py
+++ b/knotwalk/runtime/compression.py
@@ -7,25 +7,27 @@
 import zlib
 
 ENCODING = "deflate"  # the name in HTTP of the zlib format (RFC 9110, 8.4.1.2)
-LEAST = 4096  # bytes; less goes in few packets anyway, and each core's time is dearer than those
-LEVEL = 1  # of zlib: the fastest, which packs JSON nearly as far as the others
+MIN_COMPRESSED_BYTES = 4096  # bytes; less goes in few packets anyway, and each core's time is dearer than those
+COMPRESSION_LEVEL = 1  # of zlib: the fastest, which packs JSON nearly as far as the others
 
 
-def pack(data: bytes, accepted: str) -> bytes | None:
+def compress(data: bytes, accepted: str) -> bytes | None:
     """The body packed, or None where it stays as it is: it is small, or `accepted` does not name the encoding.
 
-    >>> pack(b"x" * 5000, "gzip, deflate") is None, pack(b"x" * 5000, "") is None, pack(b"x", "deflate") is None
-    (False, True, True)
+    >>> compress(b"x" * 5000, "gzip, deflate") is None
+    False
+    >>> compress(b"x" * 5000, "") is None, compress(b"x", "deflate") is None
+    (True, True)
     """
-    if len(data) < LEAST or ENCODING not in {name.strip().lower() for name in accepted.split(",")}:
+    if len(data) < MIN_COMPRESSED_BYTES or ENCODING not in {name.strip().lower() for name in accepted.split(",")}:
         return None
-    return zlib.compress(data, LEVEL)
+    return zlib.compress(data, COMPRESSION_LEVEL)
 
 
-def unpack(data: bytes, most: int) -> bytes:
+def decompress(data: bytes, most: int) -> bytes:
     """The body as it was, of `most` bytes at most; ValueError if it is cut, followed by more, larger or no such body.
 
-    >>> unpack(pack(b"x" * 5000, "deflate"), 5000) == b"x" * 5000
+    >>> decompress(compress(b"x" * 5000, "deflate"), 5000) == b"x" * 5000
     True
     """
     stream = zlib.decompressobj()
--- a/knotwalk/runtime/errors.py
+++ b/knotwalk/runtime/errors.py
@@ -19,7 +19,7 @@
         super().__init__("settings", field, why)
 
 
-def value(step: str, peer: str, status: int, data: bytes) -> Any:
+def decode_json_response(step: str, peer: str, status: int, data: bytes) -> Any:
     """The JSON value of a peer's answer; PeerError if its status is not 200, or it holds none."""
     if status != 200:
         raise PeerError(step, peer, f"status {status}")
--- a/knotwalk/runtime/http_client.py
+++ b/knotwalk/runtime/http_client.py
@@ -25,19 +25,19 @@
 else:
     sys.modules["ssl"] = kept
 
-from knotwalk.runtime.errors import PeerError, value
+from knotwalk.runtime.errors import PeerError, decode_json_response
 
 # A peer one way 1.4 ms off answers within some ms; one that stalls on a shared core needs a few tenths of a second.
-PATIENCE = 1.0
+CALL_TIMEOUT_S = 1.0
 # Seconds that an idle connection is kept: less than half of what a core keeps one open for.
-KEPT = 8.0
+KEEPALIVE_TIMEOUT_S = 8.0
 
 
-class Refused(PeerError):
+class ConnectionRefusedPeerError(PeerError):
     """Nothing listens there: the connection was refused at once, so nothing was taken."""
 
 
-def resetting(info: tuple) -> socket.socket:
+def make_reset_on_close_socket(info: tuple) -> socket.socket:
     """A socket whose close is a reset: what lies unsent, or is held up on the way, does not arrive later."""
     made = socket.socket(info[0], info[1], info[2])
     made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -59,7 +59,7 @@
         while True:
             connection = await super().connect(*asked, **options)
             protocol = connection.protocol
-            if not spoilt(protocol):
+            if not has_unexpected_input(protocol):
                 self.used.add(protocol)
                 return connection
             connection.close()
@@ -67,7 +67,7 @@
                 raise aiohttp.ClientConnectionError("the peer ended it, or spoke, before it was asked")
 
 
-def spoilt(protocol: Any) -> bool:
+def has_unexpected_input(protocol: Any) -> bool:
     """Whether bytes or an end have come on a connection with no call under way, read by the loop or not."""
     if protocol.should_close or not protocol.is_connected():
         return True
@@ -79,7 +79,7 @@
     return bool(poll.poll(0))
 
 
-class NamedResponse(aiohttp.ClientResponse):
+class CallIdResponse(aiohttp.ClientResponse):
     """An answer that bears the id of another call than the one it came for is none, and ends its connection."""
 
     async def start(self, connection: Any) -> Any:
@@ -93,17 +93,17 @@
         return self
 
 
-def session(connections: int, resets: bool, keeps: bool) -> aiohttp.ClientSession:
+def make_session(connections: int, reset_on_close: bool, keeps: bool) -> aiohttp.ClientSession:
     """A session that follows nothing, sends nothing twice, and keeps connections only if asked to."""
     made = aiohttp.ClientSession(
         connector=CheckedConnector(
             limit=connections,
             limit_per_host=0,
             use_dns_cache=False,
-            socket_factory=resetting if resets else None,
-            **({"keepalive_timeout": KEPT} if keeps else {"force_close": True}),
+            socket_factory=make_reset_on_close_socket if reset_on_close else None,
+            **({"keepalive_timeout": KEEPALIVE_TIMEOUT_S} if keeps else {"force_close": True}),
         ),
-        response_class=NamedResponse,
+        response_class=CallIdResponse,
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
         trust_env=False,
@@ -115,65 +115,70 @@
     return made
 
 
-class Caller:
-    """Sessions for calls to peers. Connections are kept; each call has one limit of time for all of it. With `resets`,
-    a call that is given up takes back what it sent as far as that has not arrived: for calls that count by arrival.
-    `named`: calls bear an id that cores repeat in their answers; an answer with another one is no answer."""
+class HttpClient:
+    """A client for calls to peers, with kept connections and one timeout for the whole of each call.
 
-    def __init__(self, connections: int = 256, resets: bool = False, named: bool = True):
-        self.session = session(connections, resets, True)
-        self.single = session(connections, resets, False)
-        self.named, self.calls = named, 0
-        self.sent: Counter[str] = Counter()  # bytes of bodies by step
-        self.received: Counter[str] = Counter()
+    `reset_on_close`: abandoning a call resets its connection, which drops whatever has not reached the peer yet. Meant
+    for calls that take effect on arrival. `with_call_ids`: calls carry an id that cores repeat in the response; a
+    response with another id is treated as a failed call."""
+
+    def __init__(self, connections: int = 256, reset_on_close: bool = False, with_call_ids: bool = True):
+        self.session = make_session(connections, reset_on_close, True)
+        self.single_use_session = make_session(connections, reset_on_close, False)
+        self.with_call_ids, self.calls = with_call_ids, 0
+        self.sent_bytes: Counter[str] = Counter()  # bytes of bodies by step
+        self.received_bytes: Counter[str] = Counter()
 
     async def send(
         self,
         method: str,
         url: str,
         body: Any = None,
-        patience: float = PATIENCE,
+        timeout_s: float = CALL_TIMEOUT_S,
         step: str = "call",
         headers: dict[str, str] | None = None,
-        alone: bool = False,
+        single_use: bool = False,
     ) -> tuple[int, dict[str, str], bytes]:
-        """Status, headers (lower case) and body of an answer; PeerError without one, Refused if none listens. `alone`:
-        on a connection of its own, for a call whose answer bears no id and must not be another's."""
+        """Send a request and return the response's status, headers (names in lower case) and body.
+
+        Raises PeerError if there is no response, ConnectionRefusedPeerError if nothing listens there. `single_use`
+        sends the call on a connection of its own, for calls whose response carries no id and must not be mistaken for
+        the response to another call."""
         data = None if body is None else json.dumps(body, separators=(",", ":")).encode()
-        self.sent[step] += len(data or b"")
+        self.sent_bytes[step] += len(data or b"")
         heads = {"Content-Type": "application/json"} if data is not None else {}
         call = self._next_call()
         if call:
             heads["Call-Id"] = call
         try:
-            async with asyncio.timeout(patience):
-                async with (self.single if alone else self.session).request(
+            async with asyncio.timeout(timeout_s):
+                async with (self.single_use_session if single_use else self.session).request(
                     method, url, data=data, headers={**heads, **(headers or {})}, allow_redirects=False
                 ) as answer:
                     found = await answer.read()
-                    self.received[step] += len(found)
+                    self.received_bytes[step] += len(found)
                     return answer.status, {k.lower(): v for k, v in answer.headers.items()}, found
         except aiohttp.ClientConnectorError as error:
-            kind = Refused if isinstance(error.os_error, ConnectionRefusedError) else PeerError
+            kind = ConnectionRefusedPeerError if isinstance(error.os_error, ConnectionRefusedError) else PeerError
             raise kind(step, url, error.os_error) from None
         except TimeoutError:
-            raise PeerError(step, url, f"no answer within {patience:g} s") from None
+            raise PeerError(step, url, f"no answer within {timeout_s:g} s") from None
         except (aiohttp.ClientError, OSError, ValueError) as error:
             raise PeerError(step, url, f"{type(error).__name__} {error}") from None
 
     def _next_call(self) -> str:
         """The id of the next call, empty if calls bear none. Unique on any connection, which is all that is asked."""
         self.calls += 1
-        return str(self.calls) if self.named else ""
+        return str(self.calls) if self.with_call_ids else ""
 
     async def json(
-        self, method: str, url: str, body: Any = None, patience: float = PATIENCE, step: str = "call"
+        self, method: str, url: str, body: Any = None, timeout_s: float = CALL_TIMEOUT_S, step: str = "call"
     ) -> Any:
         """The JSON value of a 200; PeerError for any other answer or none."""
-        status, _, data = await self.send(method, url, body, patience, step)
-        return value(step, url, status, data)
+        status, _, data = await self.send(method, url, body, timeout_s, step)
+        return decode_json_response(step, url, status, data)
 
     async def close(self) -> None:
         """Close the connections to all peers."""
         await self.session.close()
-        await self.single.close()
+        await self.single_use_session.close()
--- a/knotwalk/runtime/lifecycle.py
+++ b/knotwalk/runtime/lifecycle.py
@@ -17,9 +17,9 @@
 from knotwalk.runtime.errors import SettingsError
 from knotwalk.runtime.settings import Settings
 
-ENDED, FAILED, UNUSABLE = 0, 1, 2
+EXIT_OK, FAILED, UNUSABLE = 0, 1, 2
 # Seconds between looks at the settings file, which may change without a signal: seeds that changed last for minutes.
-LOOK = 2.0
+SETTINGS_POLL_INTERVAL_S = 2.0
 
 
 class Program(Protocol):
@@ -32,33 +32,33 @@
         """Take up settings that changed."""
 
 
-class Ending:
+class ProcessSignals:
     """Asked for by SIGTERM or SIGINT. SIGHUP, or another file in place of the settings' one, has `reload` take it
     up."""
 
-    def __init__(self, reload: Callable[[Settings], None], read: settings_file.Mark | None):
+    def __init__(self, reload: Callable[[Settings], None], read: settings_file.FileState | None):
         """`read`: the state of the settings file that the program goes by."""
-        self._asked, self._reload = asyncio.Event(), reload
-        self._file = read
+        self._stop_event, self._reload = asyncio.Event(), reload
+        self._file_state = read
 
-    def listen(self) -> None:
+    def install(self) -> None:
         """Take the signals and look at the file, which may have changed since it was read; in the running loop."""
         loop = asyncio.get_running_loop()
         for sign in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(sign, self._asked.set)
-        loop.add_signal_handler(signal.SIGHUP, self.take_up)
-        loop.call_soon(self._look)
+            loop.add_signal_handler(sign, self._stop_event.set)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
+        loop.call_soon(self._poll_settings)
 
-    def _look(self) -> None:
-        if settings_file.mark() not in (self._file, None):
-            self.take_up()
-        asyncio.get_running_loop().call_later(LOOK, self._look)
+    def _poll_settings(self) -> None:
+        if settings_file.file_state() not in (self._file_state, None):
+            self.reload_settings()
+        asyncio.get_running_loop().call_later(SETTINGS_POLL_INTERVAL_S, self._poll_settings)
 
-    def take_up(self) -> None:
+    def reload_settings(self) -> None:
         """Read the settings file anew; one that can't be used changes nothing, and is told of once."""
-        self._file = settings_file.mark()
+        self._file_state = settings_file.file_state()
         try:
-            fresh = settings_file.load()
+            fresh = settings_file.load_settings()
         except SettingsError as error:
             logs.log_warning("settings not taken up", why=str(error))
             return
@@ -66,13 +66,13 @@
         logs.log_info("settings taken up")
 
     @property
-    def asked(self) -> bool:
+    def stop_requested(self) -> bool:
         """Whether the program is to end."""
-        return self._asked.is_set()
+        return self._stop_event.is_set()
 
-    async def wait(self, *works: asyncio.Task) -> None:
+    async def wait_for_stop(self, *works: asyncio.Task) -> None:
         """Until the end is asked for; raises what a work ended by, if one ends before: none of them may."""
-        ended = asyncio.get_running_loop().create_task(self._asked.wait())
+        ended = asyncio.get_running_loop().create_task(self._stop_event.wait())
         done, _ = await asyncio.wait([ended, *works], return_when=asyncio.FIRST_COMPLETED)
         if ended not in done:
             ended.cancel()
@@ -82,30 +82,30 @@
 
 # Seconds from a start until the port for figures is opened: a start, for which a loss of all machines waits, does only
 # what serving needs.
-FIGURES_AFTER = 3.0
-METRICS = "--metrics="  # the one argument of a program: the port on which it tells its own figures
+METRICS_DELAY_S = 3.0
+METRICS_FLAG = "--metrics="  # the one argument of a program: the port on which it tells its own figures
 
 
 def metrics_port(arguments: Sequence[str]) -> int | None:
     """The port that a program's arguments name for its figures, None without one; SettingsError if they are wrong."""
     if not arguments:
         return None
-    (first, *more), number = arguments, arguments[0].removeprefix(METRICS)
-    if more or not first.startswith(METRICS):
-        raise SettingsError(" ".join(arguments), f"no argument is known but {METRICS}PORT")
+    (first, *more), number = arguments, arguments[0].removeprefix(METRICS_FLAG)
+    if more or not first.startswith(METRICS_FLAG):
+        raise SettingsError(" ".join(arguments), f"no argument is known but {METRICS_FLAG}PORT")
     if not (number.isascii() and number.isdigit() and 0 < int(number) < 65536):
-        raise SettingsError(METRICS.removesuffix("="), f"a port is a number from 1 to 65535, not {number!r}")
+        raise SettingsError(METRICS_FLAG.removesuffix("="), f"a port is a number from 1 to 65535, not {number!r}")
     return int(number)
 
 
-def live(name: str, make: Callable[[Settings], Program], *unusable: type[Exception]) -> int:
+def run_program(name: str, make: Callable[[Settings], Program], *unusable: type[Exception]) -> int:
     """Read the settings, make the program, run it: the exit code. `unusable`: what else `make` may find, told in one
     line."""
-    logs.start()
+    logs.configure_logging()
 
     async def whole() -> int:
         try:
-            settings = replace(settings_file.load(), metrics_port=metrics_port(sys.argv[1:]))
+            settings = replace(settings_file.load_settings(), metrics_port=metrics_port(sys.argv[1:]))
             if unknown := settings_file.unknown_contracts(settings):
                 logs.log_warning("contracts not known", names=unknown)
             program = make(settings)
@@ -113,7 +113,7 @@
             print(f"{name}: {error}", file=sys.stderr)
             return UNUSABLE
         await program.run()
-        return ENDED
+        return EXIT_OK
 
     try:
         return asyncio.run(whole())
--- a/knotwalk/runtime/logs.py
+++ b/knotwalk/runtime/logs.py
@@ -8,7 +8,7 @@
 from absl import flags, logging as absl_logging
 
 
-class Lines(logging.Formatter):
+class JsonLineFormatter(logging.Formatter):
     """A record as a JSON line: time of day in seconds, level, event, and the fields given."""
 
     def format(self, record: logging.LogRecord) -> str:
@@ -20,14 +20,14 @@
         return json.dumps(line, default=str, separators=(",", ":"))
 
 
-def start(level: str = "info") -> None:
+def configure_logging(level: str = "info") -> None:
     """Route absl's log to JSON lines; everything else's warnings, too."""
     flags.FLAGS.mark_as_parsed()  # there are none; else absl begins each log with a line that is no JSON
     absl_logging.use_absl_handler()
     absl_logging.use_python_logging(quiet=True)
     handler = absl_logging.get_absl_handler()
     handler.python_handler.stream = sys.stderr
-    handler.python_handler.setFormatter(Lines())
+    handler.python_handler.setFormatter(JsonLineFormatter())
     absl_logging.set_verbosity(level)
 
 
--- a/knotwalk/runtime/metrics.py
+++ b/knotwalk/runtime/metrics.py
@@ -22,12 +22,12 @@
 from knotwalk.runtime.loop_delay import LoopDelay
 
 PATH = b"/metrics"
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain; version=0.0.4; charset=utf-8\r\nContent-Length: %d\r\n\r\n"
+OK_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain; version=0.0.4; charset=utf-8\r\nContent-Length: %d\r\n\r\n"
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 FAILED = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
-class Kind(Enum):
+class MetricType(Enum):
     """What a figure is: its value now, or a count that only rises within a life."""
 
     GAUGE = "gauge"
@@ -35,29 +35,29 @@
 
 
 @dataclass(frozen=True)
-class Figure:
+class Metric:
     """One named figure: its samples by the values of `labels`. A counter's name is told with `_total` behind it."""
 
     name: str
-    kind: Kind
-    meaning: str
+    kind: MetricType
+    description: str
     samples: Mapping[tuple[str, ...], float] = field(default_factory=dict)
     labels: tuple[str, ...] = ()
 
 
-def gauge(name: str, meaning: str, value: float) -> Figure:
+def gauge(name: str, description: str, value: float) -> Metric:
     """A figure without labels."""
-    return Figure(name, Kind.GAUGE, meaning, {(): value})
+    return Metric(name, MetricType.GAUGE, description, {(): value})
 
 
-def loop_delay(delay: LoopDelay) -> Figure:
+def loop_delay_metric(delay: LoopDelay) -> Metric:
     """The figure of it, the same for every program."""
     return gauge(
         "knotwalk_loop_delay_seconds", "how late the loop ran what was due, at most, since asked", delay.take()
     )
 
 
-def complete_modules() -> None:
+def restore_tls_modules() -> None:
     """Load what the library names, and never uses, of modules that were loaded without TLS.
 
     Programs that speak none keep `ssl` from being loaded at their start, which costs a tenth of it.
@@ -70,23 +70,23 @@
             importlib.reload(module)
 
 
-def written(figures: Iterable[Figure]) -> bytes:
+def render_metrics(figures: Iterable[Metric]) -> bytes:
     """The figures in Prometheus' text format."""
-    complete_modules()
+    restore_tls_modules()
     from prometheus_client import generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-    families = {Kind.GAUGE: GaugeMetricFamily, Kind.COUNTER: CounterMetricFamily}
+    families = {MetricType.GAUGE: GaugeMetricFamily, MetricType.COUNTER: CounterMetricFamily}
     made = []
     for figure in figures:
-        family = families[figure.kind](figure.name, figure.meaning, labels=figure.labels)
+        family = families[figure.kind](figure.name, figure.description, labels=figure.labels)
         for values, value in sorted(figure.samples.items()):
             family.add_metric(values, value)
         made.append(family)
-    return generate_latest(_Found(made))
+    return generate_latest(_Registry(made))
 
 
-class _Found:
+class _Registry:
     """What the library takes for a registry: whatever has `collect`."""
 
     def __init__(self, families: list):
@@ -97,17 +97,17 @@
         return self.families
 
 
-async def listen(host: str, port: int | None, figures: Callable[[], Iterable[Figure]]) -> asyncio.Server | None:
+async def listen(host: str, port: int | None, figures: Callable[[], Iterable[Metric]]) -> asyncio.Server | None:
     """Tell `figures` at PATH of a port, if one is given; one that can't be had costs the figures and nothing else."""
 
     async def told() -> bytes:
         try:
-            await asyncio.get_running_loop().run_in_executor(None, written, ())  # loads the library
-            body = written(figures())
+            await asyncio.get_running_loop().run_in_executor(None, render_metrics, ())  # loads the library
+            body = render_metrics(figures())
         except Exception:
             log_exception("figures can't be told")
             return FAILED
-        return HEAD % len(body) + body
+        return OK_HEAD % len(body) + body
 
     if port is None:
         return None
--- a/knotwalk/runtime/settings.py
+++ b/knotwalk/runtime/settings.py
@@ -12,11 +12,11 @@
 import dacite
 
 from knotwalk.runtime.errors import SettingsError
-from knotwalk.runtime.units import seconds
+from knotwalk.runtime.units import parse_duration
 
-VARIABLE = "KNOTWALK_SETTINGS"
+SETTINGS_VARIABLE = "KNOTWALK_SETTINGS"
 Address = tuple[str, int]
-Mark = tuple[int, int, int]  # tells one state of the file from another: time of its change, size, inode
+FileState = tuple[int, int, int]  # tells one state of the file from another: time of its change, size, inode
 
 
 @dataclass(frozen=True)
@@ -107,11 +107,11 @@
     tolerance: Tolerance = Tolerance()
     bounds: Bounds = Bounds()
     platform: Platform = Platform()
-    mark: Mark | None = None  # of the file that this was read from
+    file_state: FileState | None = None  # of the file that this was read from
     contracts: list[str] = field(default_factory=list)  # names of the parts of the rules that are in force
     metrics_port: int | None = None  # of the program's arguments, not of the file: see `runtime.lifecycle`
 
-    def at(self, name: str) -> Address:
+    def listen_address(self, name: str) -> Address:
         """Where this role listens for `name`; SettingsError if the file does not say."""
         if name not in self.listen:
             raise SettingsError(f"listen_addresses.{name}", "missing, and this program serves it")
@@ -129,7 +129,7 @@
     return sorted(set(settings.contracts) - KNOWN_CONTRACTS)
 
 
-def address(value: object, where: str) -> Address:
+def parse_address(value: object, where: str) -> Address:
     """Host and port of `10.0.0.1:8080`; SettingsError naming `where` otherwise."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
@@ -137,20 +137,20 @@
     return host, int(port)
 
 
-def _span(value: object, where: str) -> float:
+def _duration(value: object, where: str) -> float:
     try:
-        return seconds(value)
+        return parse_duration(value)
     except ValueError as error:
         raise SettingsError(where, error) from None
 
 
-def _part(kind: type, raw: object, where: str, spans: frozenset[str] = frozenset()) -> Any:
+def _section(kind: type, raw: object, where: str, spans: frozenset[str] = frozenset()) -> Any:
     """A part of the file as `kind`, by dacite; times among `spans` are read from their text."""
     if not isinstance(raw, dict):
         raise SettingsError(where, "not an object")
     known = {f.name for f in fields(kind)}
     given = {k: v for k, v in raw.items() if k in known and v is not None}
-    data = {k: _span(v, f"{where}.{k}") if k in spans else v for k, v in given.items()}
+    data = {k: _duration(v, f"{where}.{k}") if k in spans else v for k, v in given.items()}
     data = {
         k: float(v) if isinstance(v, int) and not isinstance(v, bool) and kind.__annotations__[k] is float else v
         for k, v in data.items()
@@ -165,12 +165,14 @@
         raise SettingsError(where, error) from None
 
 
-COUNTS = frozenset({"retry_budget_ratio", "retry_budget_slack", "quota_overage", "quota_slack", "global_revocation"})
-TIMES = frozenset(f.name for f in fields(Bounds)) - COUNTS
+NON_DURATION_BOUNDS = frozenset(
+    {"retry_budget_ratio", "retry_budget_slack", "quota_overage", "quota_slack", "global_revocation"}
+)
+DURATION_BOUNDS = frozenset(f.name for f in fields(Bounds)) - NON_DURATION_BOUNDS
 
 
 # Fields that are taken as they are.
-PLAIN = (
+PLAIN_FIELDS = (
     "node_name",
     "role",
     "machine_class",
@@ -194,14 +196,14 @@
     return value
 
 
-def parse(raw: object) -> Settings:
+def parse_settings(raw: object) -> Settings:
     """The settings of a file's JSON value; SettingsError names the field and the mistake."""
     if not isinstance(raw, dict):
         raise SettingsError("", "the file holds no object")
     raw = {name: value for name, value in raw.items() if value is not None}
     if not isinstance(raw.get("node_name"), str) or not raw["node_name"]:
         raise SettingsError("node_name", "missing or no text")
-    plain = {name: raw[name] for name in PLAIN if name in raw}
+    plain = {name: raw[name] for name in PLAIN_FIELDS if name in raw}
     listen = _container(raw, "listen_addresses", dict)
     seeds = _container(raw, "seed_nodes", list)
     contracts = _container(raw, "active_contracts", list)
@@ -215,22 +217,22 @@
         raise SettingsError("internal_port_range", f"two ports, the first not above the second, not {ports!r}")
     cloud = _container(raw, "cloud_api", dict)
     if cloud.get("address") is not None:
-        cloud = {**cloud, "address": address(cloud["address"], "cloud_api.address")}
+        cloud = {**cloud, "address": parse_address(cloud["address"], "cloud_api.address")}
     built = {
         **plain,
         "contracts": [name for name in contracts if isinstance(name, str)],
         "listen": {
-            name: address(at, f"listen_addresses.{name}")
+            name: parse_address(at, f"listen_addresses.{name}")
             for name, at in listen.items()
             if name in LISTENERS and at is not None
         },
         "ports": tuple(ports),
-        "seeds": [address(at, f"seed_nodes[{k}]") for k, at in enumerate(seeds) if at is not None],
-        "machine": _part(Machine, raw.get("limits", {}), "limits"),
-        "tolerance": _part(Tolerance, raw.get("fault_tolerance", {}), "fault_tolerance"),
-        "bounds": _part(Bounds, raw.get("timing_bounds", {}), "timing_bounds", TIMES),
-        "platform": _part(Platform, cloud, "cloud_api", frozenset({"max_lag"})),
-        "heartbeat": _span(raw.get("heartbeat", "1500ms"), "heartbeat"),
+        "seeds": [parse_address(at, f"seed_nodes[{k}]") for k, at in enumerate(seeds) if at is not None],
+        "machine": _section(Machine, raw.get("limits", {}), "limits"),
+        "tolerance": _section(Tolerance, raw.get("fault_tolerance", {}), "fault_tolerance"),
+        "bounds": _section(Bounds, raw.get("timing_bounds", {}), "timing_bounds", DURATION_BOUNDS),
+        "platform": _section(Platform, cloud, "cloud_api", frozenset({"max_lag"})),
+        "heartbeat": _duration(raw.get("heartbeat", "1500ms"), "heartbeat"),
     }
     try:
         return dacite.from_dict(Settings, built, dacite.Config(check_types=True))
@@ -238,24 +240,24 @@
         raise SettingsError(error.field_path, f"{error.value!r} is no {error.field_type}") from None
 
 
-def mark(path: str | None = None) -> Mark | None:
+def file_state(path: str | None = None) -> FileState | None:
     """What tells one state of the settings file from another; None while there is none."""
     try:
-        found = os.stat(path or os.environ.get(VARIABLE, ""))
+        found = os.stat(path or os.environ.get(SETTINGS_VARIABLE, ""))
     except OSError:
         return None
     return found.st_mtime_ns, found.st_size, found.st_ino
 
 
-def load(path: str | None = None) -> Settings:
+def load_settings(path: str | None = None) -> Settings:
     """The settings at `path`, or where the platform's variable says; SettingsError in one line if that fails."""
-    path = path or os.environ.get(VARIABLE, "")
+    path = path or os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        raise SettingsError(VARIABLE, "not set, and it tells where the settings file is")
-    before = mark(path)
+        raise SettingsError(SETTINGS_VARIABLE, "not set, and it tells where the settings file is")
+    before = file_state(path)
     try:
         with open(path, "rb") as file:
-            return replace(parse(json.loads(file.read())), mark=before)
+            return replace(parse_settings(json.loads(file.read())), file_state=before)
     except OSError as error:
         raise SettingsError(path, error.strerror) from None
     except ValueError as error:
--- a/knotwalk/runtime/text_port.py
+++ b/knotwalk/runtime/text_port.py
@@ -12,16 +12,16 @@
 
 # Whoever asks does so each few seconds, on one connection or many; one that says nothing for so long (seconds) is
 # closed.
-IDLE = 30.0
+IDLE_TIMEOUT_S = 30.0
 
-Answer = Callable[[bytes], Awaitable[bytes] | bytes]
+RequestHandler = Callable[[bytes], Awaitable[bytes] | bytes]
 """From a request's target to the whole HTTP answer, at once or later."""
 
 
-class Asker(asyncio.Protocol):
+class GetConnection(asyncio.Protocol):
     """One connection of whoever asks; answers that come later are written in their order."""
 
-    def __init__(self, answer: Answer):
+    def __init__(self, answer: RequestHandler):
         self.answer = answer
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
@@ -38,7 +38,7 @@
     def _wait(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(IDLE, self.transport.close)
+        self.timer = asyncio.get_running_loop().call_later(IDLE_TIMEOUT_S, self.transport.close)
 
     def data_received(self, data: bytes) -> None:
         """Bytes came; what is no HTTP ends the connection."""
@@ -78,6 +78,6 @@
             self.timer.cancel()
 
 
-async def listen(host: str, port: int, answer: Answer) -> asyncio.Server:
+async def listen(host: str, port: int, answer: RequestHandler) -> asyncio.Server:
     """Serve a port; OSError if it can't be had."""
-    return await asyncio.get_running_loop().create_server(lambda: Asker(answer), host, port)
+    return await asyncio.get_running_loop().create_server(lambda: GetConnection(answer), host, port)
--- a/tests/simulation/connections.py
+++ b/tests/simulation/connections.py
@@ -326,7 +326,7 @@
     for n in range(NODES):
         peers[f"n{n}"] = Peer(to_nodes, seed + n + 1, _node_answer, _node_number, edge)
         view.nodes[f"n{n}"] = Node(f"n{n}", "s", (f"n{n}", PORT), "z", 8)
-    view.by_service["s"] = list(view.nodes.values())
+    view.nodes_by_service["s"] = list(view.nodes.values())
     forwarder = edge.context.run(lambda: Forwarder(settings("e", [], False, 1), view, clock, seed))
     with _in_place(loop, peers):
         works = [edge.spawn(_to_core(to_core, chance))]
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -234,7 +234,7 @@
     process = place.process
     if process is None or process.machine is None or place.gone:
         return
-    process.plane.ending._asked.set()
+    process.plane.ending._stop_event.set()
 
     def ended(left: int) -> None:
         if place.process is not process or not process.alive:
@@ -262,7 +262,7 @@
     process = place.process
     if process is None or process.machine is None:
         return
-    process.plane.ending._asked.set()
+    process.plane.ending._stop_event.set()
 
     def back() -> None:
         if place.process is process:
--- a/tests/simulation/judges.py
+++ b/tests/simulation/judges.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from knotwalk.configuration.documents import document
+from knotwalk.configuration.documents import to_document
 from tests.simulation.loop import VirtualLoop
 from tests.simulation.register import Register
 
@@ -49,7 +49,7 @@
         if version < self.shown.get(edge, 0):
             self.judge.says(f"{now:.3f} {edge} goes back from r{self.shown[edge]} to r{version}")
         self.shown[edge] = version
-        self.register.seen.setdefault((version, mark_of(document(view.configuration))), now)
+        self.register.seen.setdefault((version, mark_of(to_document(view.configuration))), now)
 
     def answered(self, edge: str, core: str, begun: float, told: dict, view: Any) -> None:
         """A core answered an edge's call, and the edge has taken what it told."""
--- a/tests/simulation/mistakes.py
+++ b/tests/simulation/mistakes.py
@@ -115,7 +115,7 @@
 
 def _empty_history(kind: type, raw: dict) -> Any:
     made = RESTORE(raw)
-    made.history = verdicts.History()
+    made.history = verdicts.ChangeHistory()
     return made
 
 
@@ -179,7 +179,7 @@
 
 def _same_number(history: Any, version: int, digest: str) -> bool:
     """Takes an order for one taken before by its number alone."""
-    return version in history.taken
+    return version in history.versions
 
 
 class _NoLock:
@@ -244,9 +244,9 @@
     "no contact before a read": _one(1, Machine, "read", _read_at_once, 18),
     "any member answers reads": _one(1, Machine, "read", _read_anywhere, 18),
     "provisional view though fresh before": _one(1, peer_api.PeerApi, "alone", _alone_always, 1),
-    "fresh whatever was heard": _one(1, peer_api, "FRESH", 60.0, 11),
-    "history forgotten": _one(2, verdicts.History, "holds", _holds_nothing),
-    "identity by number": _one(2, verdicts.History, "holds", _same_number),
+    "fresh whatever was heard": _one(1, peer_api, "MAX_LEADER_SILENCE_S", 60.0, 11),
+    "history forgotten": _one(2, verdicts.ChangeHistory, "contains", _holds_nothing),
+    "identity by number": _one(2, verdicts.ChangeHistory, "contains", _same_number),
     "snapshot without history": _one(2, ReplicatedState, "from_dict", classmethod(_empty_history), 1),
     "done though lost": _one(2, ConsensusDriver, "propose", _done_if_lost, 17),
     "two judged at once, done by default": Mistake(
--- a/tests/simulation/wire.py
+++ b/tests/simulation/wire.py
@@ -12,8 +12,8 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from knotwalk.runtime.errors import PeerError, value
-from knotwalk.runtime.http_client import Refused
+from knotwalk.runtime.errors import PeerError, decode_json_response
+from knotwalk.runtime.http_client import ConnectionRefusedPeerError
 from tests.simulation.loop import PROCESS, Process, VirtualLoop
 
 DELAY = 0.0014  # seconds one way
@@ -131,7 +131,12 @@
             found = self.listening.get(to)
             if found is None or not found[0].alive:
                 if to.partition(":")[0] not in self.dark:
-                    self._travel(parts.hostname, caller.host, lambda: fail(Refused(step, url, "refused")), reset)
+                    self._travel(
+                        parts.hostname,
+                        caller.host,
+                        lambda: fail(ConnectionRefusedPeerError(step, url, "refused")),
+                        reset,
+                    )
                 return
             process, routes = found
             handler = routes.get(f"{method} {parts.path}") or routes.get("*")
@@ -155,7 +160,7 @@
                 len(found.body),
             )
 
-        refuse = functools.partial(fail, Refused(step, url, "refused on the way"))
+        refuse = functools.partial(fail, ConnectionRefusedPeerError(step, url, "refused on the way"))
         self._set_out(caller.host, parts.hostname, arrive, reset, refuse, len(data))
         if parts.path in DOUBLED and self.random.random() < self.double:
             self._travel(caller.host, parts.hostname, arrive, reset)
@@ -191,7 +196,7 @@
         patience: float = 1.0,
         step: str = "call",
         headers: dict[str, str] | None = None,
-        alone: bool = False,
+        single_use: bool = False,
     ) -> tuple[int, dict[str, str], bytes]:
         found = await self.answered(method, url, body, patience, step, headers)
         return found.status, found.headers, found.body
@@ -205,7 +210,7 @@
 
     async def json(self, method: str, url: str, body: Any = None, patience: float = 1.0, step: str = "call") -> Any:
         status, _, data = await self.send(method, url, body, patience, step)
-        return value(step, url, status, data)
+        return decode_json_response(step, url, status, data)
 
     async def close(self) -> None:
         pass
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -10,11 +10,11 @@
 from typing import Any
 
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.discovery.view_types import SLICES, WIDTH
+from knotwalk.discovery.view_types import SLICE_COUNT, SLICE_WIDTH
 from knotwalk.edge.link import Link
-from knotwalk.runtime.errors import value
+from knotwalk.runtime.errors import decode_json_response
 from knotwalk.runtime.settings import Bounds
-from knotwalk.runtime.units import seconds
+from knotwalk.runtime.units import parse_duration
 from knotwalk.shared_state import messages
 from tests.simulation import keys_judge, quota_judge
 from tests.simulation.disk import Disk
@@ -252,7 +252,7 @@
     async def json(self, method: str, url: str, body: Any = None, patience: float = 1.0, step: str = "call") -> Any:
         begun = self.world.loop.now
         found = await self.answered(method, url, body, patience, step)
-        told = value(step, url, found.status, found.body)
+        told = decode_json_response(step, url, found.status, found.body)
         # By the process that answered, not by the one that runs there now: an answer may come after its giver's end.
         self.world.loop.call_soon(self.world.edges.answered, self.edge, found.server, begun, told, self.view)
         return told
@@ -271,7 +271,9 @@
 
     @staticmethod
     def _slices(asked: dict) -> range:
-        return range(asked["source_version"] // WIDTH, min(SLICES - 1, asked["target_version"] // WIDTH) + 1)
+        return range(
+            asked["source_version"] // SLICE_WIDTH, min(SLICE_COUNT - 1, asked["target_version"] // SLICE_WIDTH) + 1
+        )
 
     async def grant(self, request: Any) -> Any:
         asked, at = json.loads(request.body), self.world.loop.now
@@ -281,7 +283,7 @@
             return SimpleNamespace(status=409, headers={}, body=b"{}")
         for k in found:
             self.seen[k] = asked["fence"]
-            until = at + seconds(asked["hold"]) / self.process.rate
+            until = at + parse_duration(asked["hold"]) / self.process.rate
             self.held[k] = max(until, self.held.get(k, until)) if self.keeps_longest else until
             self.world.owners.begins(at, self.name, k, self.held[k])
         return SimpleNamespace(status=200, headers={}, body=b"{}")
--- a/tests/soak/shape.py
+++ b/tests/soak/shape.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from knotwalk.runtime.settings import parse
+from knotwalk.runtime.settings import parse_settings
 from tests.standins.documents import TENANT_CONTRACTS
 
 GRACE = 6.0
@@ -18,7 +18,7 @@
     "quota_overage": 0.1,
     "quota_slack": 8,
 }
-RULES = parse({"node_name": "judge", "timing_bounds": BOUNDS}).bounds
+RULES = parse_settings({"node_name": "judge", "timing_bounds": BOUNDS}).bounds
 
 
 @dataclass
--- a/tests/standins/holders.py
+++ b/tests/standins/holders.py
@@ -6,9 +6,9 @@
 import json
 from dataclasses import dataclass, field
 
-from knotwalk.discovery.view_types import KEYS
+from knotwalk.discovery.view_types import KEY_COUNT
 from knotwalk.runtime.logs import clock
-from knotwalk.runtime.units import seconds
+from knotwalk.runtime.units import parse_duration
 
 from .nodes import Request, StandIn, answer
 
@@ -49,8 +49,8 @@
     capacity: int = 4
     up: bool = True
     shown: bool = True  # in the platform's list, where a node that crashed stays for a while
-    until: list[float] = field(default_factory=lambda: [0.0] * KEYS, repr=False)
-    fences: list[int] = field(default_factory=lambda: [0] * KEYS, repr=False)
+    until: list[float] = field(default_factory=lambda: [0.0] * KEY_COUNT, repr=False)
+    fences: list[int] = field(default_factory=lambda: [0] * KEY_COUNT, repr=False)
     running: list[tuple[int, asyncio.Event]] = field(default_factory=list, repr=False)
     gate: asyncio.Event = field(default_factory=asyncio.Event)
     place: tuple[str, int] = ("", 0)
@@ -132,7 +132,7 @@
         part, fence = slice(asked["source_version"], asked["target_version"] + 1), asked["fence"]
         if max(self.fences[part]) > fence:
             return answer(request, b"{}", "409 Conflict", seal=False)
-        hold = seconds(asked["hold"])
+        hold = parse_duration(asked["hold"])
         self.longest = max(self.longest, hold)
         count = part.stop - part.start
         self.fences[part], self.until[part] = [fence] * count, [clock() + hold] * count
--- a/tests/standins/nodes.py
+++ b/tests/standins/nodes.py
@@ -10,10 +10,10 @@
 
 from knotwalk.configuration.objects import Configuration, Limits, Route, Service
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.discovery.view_types import Line, Node, Sharding
+from knotwalk.discovery.view_types import Assignment, Node, ServiceAssignments
 from knotwalk.edge.front import Front
 from knotwalk.runtime.logs import clock
-from knotwalk.runtime.settings import parse
+from knotwalk.runtime.settings import parse_settings
 
 
 @dataclass
@@ -179,20 +179,22 @@
 def show(made: ClusterView, nodes: list[Node]) -> None:
     """Put these nodes in the cluster view."""
     made.nodes = {node.id: node for node in nodes}
-    made.by_service = {}
+    made.nodes_by_service = {}
     for node in nodes:
-        made.by_service.setdefault(node.service, []).append(node)
-    sharding = made.shardings["k"] = Sharding()
-    owners = made.by_service.get("k", [])
-    for at in range(len(sharding.lines)):
+        made.nodes_by_service.setdefault(node.service, []).append(node)
+    sharding = made.assignments["k"] = ServiceAssignments()
+    owners = made.nodes_by_service.get("k", [])
+    for at in range(len(sharding.by_slice)):
         if owners:
             owner = owners[at % len(owners)]
-            sharding.lines[at] = Line(owner, True, owner.id)
+            sharding.by_slice[at] = Assignment(owner, True, owner.id)
 
 
 async def front(made: ClusterView, now: Callable[[], float] = clock, **raw: object) -> Front:
     """A front on a port that the system chose, with a budget that has room."""
-    settings = parse({"node_name": "edge", "zone": "a", "listen_addresses": {"data_plane": "127.0.0.1:1"}, **raw})
+    settings = parse_settings(
+        {"node_name": "edge", "zone": "a", "listen_addresses": {"data_plane": "127.0.0.1:1"}, **raw}
+    )
     settings.listen["data_plane"] = ("127.0.0.1", 0)
     built = Front(settings, made, now, 1)
     built.forwarder.began = now() - 100
--- a/tests/standins/village.py
+++ b/tests/standins/village.py
@@ -23,7 +23,7 @@
 from aiohttp import web
 
 from knotwalk.runtime.errors import PeerError
-from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_client import HttpClient
 
 from .documents import BASE, FIRST, HOST, SHARED, TENANT_CONTRACTS, key_header
 from .holders import HoldingNode, Watch
@@ -197,11 +197,11 @@
         self.metrics = self.ports.take(*CORES, *self.edge_addresses)
         self.cores: list[Program] = []
         self.edges: list[Program] = []
-        self.caller: Caller = None  # type: ignore[assignment]
+        self.caller: HttpClient = None  # type: ignore[assignment]
         self.attempts = 0
 
     async def start(self) -> Village:
-        self.caller = Caller()
+        self.caller = HttpClient()
         self.operator = Operator(self)
         for node in self.nodes:
             await node.start()
--- a/tests/system/test_admission_calls.py
+++ b/tests/system/test_admission_calls.py
@@ -17,9 +17,9 @@
 from knotwalk.edge.admission_calls import AdmissionCalls
 from knotwalk.edge.node_answer import Answer
 from knotwalk.edge.operation_steps import AT_ONCE, Patience, Step, UntoldEnds, repeated, run_end, step, stored
-from knotwalk.runtime.http_server import Listener, app
+from knotwalk.runtime.http_server import Listener, make_app
 from knotwalk.runtime.logs import clock
-from knotwalk.runtime.settings import parse
+from knotwalk.runtime.settings import parse_settings
 from knotwalk.shared_state.answers import OVERHEAD, Answers, Phase, size_of
 from knotwalk.shared_state.claims import GRANTED, UNAVAILABLE as CLAIMS_UNAVAILABLE
 from knotwalk.shared_state.messages import (
@@ -188,7 +188,7 @@
     def edge(self, *contracts):
         listen = {"data_plane": "127.0.0.1:1", "readiness": "127.0.0.1:2"}
         found = {"node_name": "e", "zone": "a", "listen_addresses": listen, "seed_nodes": ["10.0.0.9:2"]}
-        return Edge(parse(found | {"active_contracts": list(contracts)}))
+        return Edge(parse_settings(found | {"active_contracts": list(contracts)}))
 
     def test_asks_are_made_where_a_part_of_the_rules_wants_them(self):
         for contracts, asks in (((), False), (("base", "own"), False), (("keys",), True), (("quota",), True)):
@@ -289,7 +289,7 @@
         self.core = self.cores[0]
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
-        made = app(f"admissions{self.port}")
+        made = make_app(f"admissions{self.port}")
         made.add_route(self.taken, "/admissions", methods=["POST"], error_format="text")
         self.listener, self.batches, self.gate = Listener(made), [], asyncio.Event()
         self.gate.set()
--- a/tests/system/test_caller.py
+++ b/tests/system/test_caller.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from knotwalk.edge.caller import Caller, Connection, Line
-from knotwalk.runtime.compression import pack
+from knotwalk.runtime.compression import compress
 from knotwalk.runtime.errors import PeerError
 
 WELL = b'HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{"a":1}'
@@ -78,7 +78,7 @@
     async def test_a_packed_answer_is_unpacked_and_one_that_is_not_whole_is_none(self):
         """An edge's link of 2.5 Mbit/s took 0.4 s for each whole view, beside its clients' traffic."""
         large = {"a": ["x" * 10] * 1000}
-        data = pack(json.dumps(large).encode(), "deflate")
+        data = compress(json.dumps(large).encode(), "deflate")
         head = b"HTTP/1.1 200 OK\r\ncontent-encoding: deflate\r\nContent-Length: %d\r\n\r\n"
         self.assertEqual(await self.call((head % len(data) + data, False)), large)
         self.assertIn(b"Accept-Encoding: deflate", self.asked[-1][1])
--- a/tests/system/test_claim_groups.py
+++ b/tests/system/test_claim_groups.py
@@ -255,7 +255,7 @@
     def test_a_leader_that_ends_in_order_hands_over_and_a_claim_waits_for_no_election(self):
         leader = self.leader()
         other = self.other(leader)
-        leader.process.plane.ending._asked.set()
+        leader.process.plane.ending._stop_event.set()
         self.run_for(0.3)
         begun = self.world.loop.now
         self.assertEqual(self.ask(other, "a"), GRANTED)
--- a/tests/system/test_cli.py
+++ b/tests/system/test_cli.py
@@ -15,17 +15,17 @@
 
 from knotwalk.cli import __main__ as cli, check, offer, show
 from knotwalk.cli.compare import differences
-from knotwalk.configuration.change_requests import History, judge, reading
-from knotwalk.configuration.documents import document, read_configuration
+from knotwalk.configuration.change_requests import ChangeHistory, decide_change, read_response
+from knotwalk.configuration.documents import parse_configuration, to_document
 from knotwalk.consensus.machine import Machine
 from knotwalk.consensus.orders import Entry, Pace, Save, Saved
 from knotwalk.consensus.store import Store, StoreBroken, read
 from knotwalk.control_plane import account
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.discovery.loads import Loads
-from knotwalk.discovery.view_publisher import Board
-from knotwalk.discovery.view_types import WIDTH, Node
-from knotwalk.leases.ledger import SLICES
+from knotwalk.discovery.loads import LoadReports
+from knotwalk.discovery.view_publisher import ViewPublisher
+from knotwalk.discovery.view_types import SLICE_WIDTH, Node
+from knotwalk.leases.ledger import SLICE_COUNT
 from knotwalk.runtime.errors import PeerError
 from tests.standins.documents import FIRST, route, service
 
@@ -186,7 +186,7 @@
         )
         code, out, _ = run("diff", self.file(old), self.file(new, "new.json"), "--json")
         self.assertEqual((code, len(json.loads(out)["differences"])), (1, 10))
-        back = differences(read_configuration(new), read_configuration(old))
+        back = differences(parse_configuration(new), parse_configuration(old))
         self.assertEqual(
             [(one.what, one.name) for one in back if one.what in ("added", "removed")],
             [("added", "gone"), ("removed", "more"), ("removed", "third")],
@@ -261,7 +261,7 @@
     """In place of a Caller: two cores with the real judgement of calls. `faults` are taken first, one a call."""
 
     def __init__(self, *faults):
-        self.configuration, self.history, self.faults, self.calls = None, History(), list(faults), []
+        self.configuration, self.history, self.faults, self.calls = None, ChangeHistory(), list(faults), []
 
     async def send(self, method, url, body=None, patience=0, step="", headers=None):
         self.calls.append((method, url.split("/")[2], (headers or {}).get("If-Match")))
@@ -275,12 +275,14 @@
         if callable(fault):
             fault(self)
         if method == "GET":
-            status, told = reading(self.configuration)
+            status, told = read_response(self.configuration)
             return status, {}, json.dumps(told).encode()
-        verdict = judge(self.configuration, self.history, method, headers["If-Match"], json.dumps(body).encode())
-        if verdict.status == 200 and not verdict.same:
+        verdict = decide_change(
+            self.configuration, self.history, method, headers["If-Match"], json.dumps(body).encode()
+        )
+        if verdict.status == 200 and not verdict.already_applied:
             self.configuration = verdict.configuration
-            self.history.note(verdict.version, verdict.digest)
+            self.history.record(verdict.version, verdict.digest)
         if fault == "lost":
             raise PeerError("configuration", url, "no answer")
         return verdict.status, {}, json.dumps(verdict.body()).encode()
@@ -292,7 +294,7 @@
 class Import(FileCase):
     def offer(self, core, *given):
         with (
-            mock.patch.object(cli, "Caller", lambda: core),
+            mock.patch.object(cli, "HttpClient", lambda: core),
             mock.patch.object(offer, "PAUSE", 0),
             mock.patch.object(cli, "Operator", lambda at, caller: offer.Operator(at, caller, 0)),
         ):
@@ -307,7 +309,7 @@
         self.assertIn("--apply", err)
         core.faults = [503, None, "lost", PeerError("configuration", "l:1", "cut")]
         self.assertEqual(self.offer(core, file, "f:1", "--apply")[0], 0)
-        self.assertEqual((document(core.configuration), len(core.history.taken)), (FIRST, 1))
+        self.assertEqual((to_document(core.configuration), len(core.history.versions)), (FIRST, 1))
         self.assertEqual(self.offer(core, file, "l:1", "--apply"), (0, "r3 is in force already\n", ""))
         code, out, _ = self.offer(core, after, "f:1", "--apply")
         self.assertEqual((code, out.splitlines()[0][:22]), (0, "- route frames removed"))
@@ -317,12 +319,12 @@
             (code, err), (1, "cli: config_version: r3 is not above r8, which is in force; --version gives it another\n")
         )
         self.assertEqual(self.offer(core, file, "l:1", "--version", "r11", "--apply")[0], 0)
-        self.assertEqual(document(core.configuration), FIRST | {"config_version": "r11"})
+        self.assertEqual(to_document(core.configuration), FIRST | {"config_version": "r11"})
         self.assertEqual(self.offer(core, file, "l:1", "--version", "11", "--apply")[0], 2)
 
     def test_what_is_refused_is_told_in_a_line_and_changes_nothing(self):
         def other(core):
-            core.configuration = read_configuration(FIRST | {"config_version": "r5"})
+            core.configuration = parse_configuration(FIRST | {"config_version": "r5"})
 
         core, file = Core(None, other), self.file(FIRST | {"config_version": "r9"})
         code, out, err = self.offer(core, file, "l:1", "--apply")
@@ -345,7 +347,7 @@
         lossy = Core(
             None,
             None,
-            lambda core: setattr(core, "configuration", read_configuration(FIRST | {"objects": FIRST["objects"][1:]})),
+            lambda core: setattr(core, "configuration", parse_configuration(FIRST | {"objects": FIRST["objects"][1:]})),
         )
         self.assertIn("reads back otherwise", self.offer(lossy, self.file(FIRST), "l:1", "--apply")[2])
 
@@ -375,10 +377,10 @@
         )
         core, file = Core(), self.file(text)
         self.assertEqual(self.offer(core, file, "l:1", "--history", "--apply")[0], 0)
-        self.assertEqual((document(core.configuration), sorted(core.history.taken)), (second, [3, 8]))
+        self.assertEqual((to_document(core.configuration), sorted(core.history.versions)), (second, [3, 8]))
         core = Core()
         self.assertEqual(self.offer(core, file, "l:1", "--apply")[0], 0)
-        self.assertEqual((document(core.configuration), sorted(core.history.taken)), (second, [8]))
+        self.assertEqual((to_document(core.configuration), sorted(core.history.versions)), (second, [8]))
         self.assertEqual(self.offer(core, file, "l:1", "--history", "--apply")[0], 1)
         self.assertEqual(self.offer(core, self.file(FIRST), "l:1", "--history", "--apply")[0], 2)
 
@@ -387,7 +389,7 @@
     """What a core says of itself, as openapi/peers.yaml has it, and how it is shown."""
 
     def setUp(self):
-        self.state, self.board, self.loads = ReplicatedState(), Board("e"), Loads()
+        self.state, self.board, self.loads = ReplicatedState(), ViewPublisher("e"), LoadReports()
         self.state.apply(1, configure(0, FIRST))
         self.state.apply(2, {"do": "lease", "to": "a:1#founder", "slices": {"tiles": [[0, 99]]}})
         self.state.apply(3, {"do": "move", "by": "a:1#founder", "moves": [["tiles", 0, 9, 0, "i-1"]]})
@@ -399,7 +401,7 @@
 
     def status(self, fresh=True):
         self.loads.edges = {"e-1": 99.0, "e-2": 98.5, "e-3": 99.5, "e-old": 80.0}
-        asked = {"e-1": (99.0, "e", self.board.at), "e-2": (98.5, "e", self.board.at - 1)}
+        asked = {"e-1": (99.0, "e", self.board.revision), "e-2": (98.5, "e", self.board.revision - 1)}
         return account.status(100.0, "a:1#founder", self.machine, self.state, self.board, self.loads, fresh, asked)
 
     def fits(self, name, told):
@@ -418,14 +420,14 @@
                 {"edge": "e-3", "ago": 0.5},
             ],
         )
-        self.assertEqual(told["leases"], {"tiles": {"": SLICES - 100, "a:1#founder": 100}})
-        self.assertEqual(told["changing_hands"], {"tiles": SLICES - 5})
+        self.assertEqual(told["leases"], {"tiles": {"": SLICE_COUNT - 100, "a:1#founder": 100}})
+        self.assertEqual(told["changing_hands"], {"tiles": SLICE_COUNT - 5})
         self.assertEqual((told["config_version"], told["config_order"]), ("r3", 1))
         self.assertEqual(json.loads(json.dumps(told)), told)
         self.assertIn("e-old", self.loads.edges)  # asking has changed nothing
 
     def test_explain(self):
-        told = account.explain(100.0, self.state, self.board, "tiles.example:80", "/frames/7?x=/desk/", 3 * WIDTH)
+        told = account.explain(100.0, self.state, self.board, "tiles.example:80", "/frames/7?x=/desk/", 3 * SLICE_WIDTH)
         self.fits("Explained", told)
         line = told["services"][0]["line"]
         self.assertEqual(
@@ -433,7 +435,7 @@
             ("frames", 3, "i-1", True, 3),
         )
         self.assertIn("owner i-1, at 10.0.0.9:80 in z", "\n".join(show.explained(told)))
-        shut = account.explain(100.0, self.state, self.board, "tiles.example", "/frames/", 9 * WIDTH)
+        shut = account.explain(100.0, self.state, self.board, "tiles.example", "/frames/", 9 * SLICE_WIDTH)
         self.assertIn("changes hands", "\n".join(show.explained(shut)))
         nobody = account.explain(100.0, self.state, self.board, "tiles.example", "/frames/", 65535)
         self.assertIn("owner nobody, not placed yet", "\n".join(show.explained(nobody)))
--- a/tests/system/test_cli_tenants.py
+++ b/tests/system/test_cli_tenants.py
@@ -5,12 +5,12 @@
 import unittest
 
 from knotwalk.cli import show
-from knotwalk.configuration.documents import Invalid, read_configuration
+from knotwalk.configuration.documents import InvalidConfigurationError, parse_configuration
 from knotwalk.consensus.orders import Entry, Save
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane import account
 from knotwalk.control_plane.replicated_state import ReplicatedState
-from knotwalk.discovery.view_publisher import Board
+from knotwalk.discovery.view_publisher import ViewPublisher
 from tests.standins.documents import FIRST, route, tenant
 from tests.system.test_cli import FileCase, configure, run
 
@@ -84,14 +84,14 @@
             told = json.loads("\n".join(self.tell("export", str(self.folder / "data"), *extra)[1]))
             told = told["configuration"] if extra else told
             self.assertEqual(told["objects"][-1]["specification"]["api_keys"], "withheld")
-            with self.assertRaises(Invalid):
-                read_configuration(told)
+            with self.assertRaises(InvalidConfigurationError):
+                parse_configuration(told)
         self.assertEqual(json.loads(run("export", str(self.folder / "data"), "--keys")[1]), self.old)
 
     def test_explain_and_status_tell_of_tenants_but_not_of_keys(self):
         state = ReplicatedState()
         state.apply(1, configure(0, self.old))
-        board = Board("e")
+        board = ViewPublisher("e")
         told = [account.explain(0.0, state, board, "tiles.example", path, None) for path in ("/open/", "/pay/")]
         lines = ["\n".join(show.explained(one)) for one in told]
         self.assertNotIn("needs a tenant's key", lines[0])
--- a/tests/system/test_client_leaves.py
+++ b/tests/system/test_client_leaves.py
@@ -12,7 +12,7 @@
 
 from standins.nodes import SHED, RawClient, StandIn, answer, front, routes, view
 
-from knotwalk.discovery.view_types import Line
+from knotwalk.discovery.view_types import Assignment
 from knotwalk.edge.client_connection import Hearing
 from knotwalk.edge.client_state import DEPTH
 from tests.system.edge_case import EdgeCase
@@ -201,16 +201,16 @@
 
     async def test_who_waits_for_a_node_is_offered_to_none_once_its_client_has_reset(self):
         await self.begin()
-        owners = self.front.view.shardings["k"]
+        owners = self.front.view.assignments["k"]
         for prefix in ("/ki/", "/kn/"):
             with self.subTest(prefix=prefix):
-                lines, owners.lines = owners.lines, [Line() for _ in owners.lines]
+                lines, owners.by_slice = owners.by_slice, [Assignment() for _ in owners.by_slice]
                 client = await self.client()
                 client.ask(prefix, "waits", "POST", **HELD)
                 await until(lambda: self.front.forwarder.waiting, "it waits for an owner")
                 client.reset()
                 await self.idle()
-                owners.lines = lines
+                owners.by_slice = lines
                 self.front.view_changed({"lines"})
                 for _ in range(20):
                     await asyncio.sleep(0)
