--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -11,23 +11,23 @@
 
 from benchmarks import configuration as sizes
 from knotwalk.configuration import change_requests
-from knotwalk.configuration.change_requests import History, judge, parsed, reading
+from knotwalk.configuration.change_requests import ChangeHistory, decide_change, parse_json, read_response
 from knotwalk.configuration.documents import (
-    Invalid,
-    apply_difference,
-    difference,
-    document,
-    patched,
-    read_configuration,
-    version_number,
-    version_text,
+    InvalidConfigurationError,
+    apply_diff,
+    apply_patch,
+    diff_documents,
+    format_version,
+    parse_configuration,
+    parse_version,
+    to_document,
 )
-from knotwalk.configuration.history import REMEMBERED
-from knotwalk.configuration.index import Index, canonical_host
+from knotwalk.configuration.history import MAX_REMEMBERED
+from knotwalk.configuration.index import RouteIndex, canonical_host
 from knotwalk.configuration.objects import Configuration, Limits, Route, Service, Tenant
 from knotwalk.control_plane.replicated_state import ReplicatedState
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.discovery.view_publisher import Board
+from knotwalk.discovery.view_publisher import ViewPublisher
 
 OPENAPI = pathlib.Path(__file__).parents[2] / "openapi" / "control.yaml"
 
@@ -136,13 +136,13 @@
 class Reading(unittest.TestCase):
     def test_each_mistake_has_one_line(self):
         for sent, line in WRONG:
-            with self.subTest(line), self.assertRaises(Invalid) as caught:
-                read_configuration(sent)
+            with self.subTest(line), self.assertRaises(InvalidConfigurationError) as caught:
+                parse_configuration(sent)
             self.assertEqual(line, str(caught.exception))
-            self.assertEqual(line, f"{caught.exception.where}: {caught.exception.mistake}")
+            self.assertEqual(line, f"{caught.exception.location}: {caught.exception.mistake}")
 
     def test_edges_of_what_is_allowed(self):
-        read = read_configuration(
+        read = parse_configuration(
             whole(
                 route("r", prefix="/", timeout="600s", target_latency="659999ms", priority=0.0, traffic_split=None),
                 route("s", prefix="//", **split(("calm", 0.5), ("brisk", 0))),
@@ -153,7 +153,7 @@
         self.assertEqual((("calm", 0.5),), read.routes["s"].splits)
 
     def test_fields_left_out_have_defaults(self):
-        read = read_configuration(whole(service("s", sharded=True, prewarm="3s"), limits(idle_timeout="1s")))
+        read = parse_configuration(whole(service("s", sharded=True, prewarm="3s"), limits(idle_timeout="1s")))
         self.assertEqual(
             {"calm": Service("calm"), "brisk": Service("brisk"), "s": Service("s", "/", 100, True, 3.0)}, read.services
         )
@@ -166,13 +166,13 @@
             limits() | {"extra": 1},
             note="spring",
         )
-        read = read_configuration(copy.deepcopy(sent))
-        self.assertEqual(json.dumps(sent), json.dumps(document(read)))
+        read = parse_configuration(copy.deepcopy(sent))
+        self.assertEqual(json.dumps(sent), json.dumps(to_document(read)))
         self.assertEqual(["r"], list(read.routes))
 
     def test_versions_are_strict(self):
-        self.assertEqual(12, version_number("r12"))
-        self.assertEqual("r12", version_text(12))
+        self.assertEqual(12, parse_version("r12"))
+        self.assertEqual("r12", format_version(12))
         for text in (
             "12",
             "r",
@@ -190,17 +190,19 @@
             None,
         ):
             with self.subTest(text), self.assertRaises(ValueError):
-                version_number(text)
+                parse_version(text)
 
 
 class Patching(unittest.TestCase):
     def setUp(self):
-        self.base = read_configuration(
+        self.base = parse_configuration(
             whole(route("a"), route("b", "/b/", service="brisk"), limits(idle_timeout="9s"), note=1)
         )
 
     def patch(self, *upsert, version="r3", **remove):
-        return patched(self.base, {"config_version": version, "upsert": {"objects": list(upsert)}, "remove": remove})
+        return apply_patch(
+            self.base, {"config_version": version, "upsert": {"objects": list(upsert)}, "remove": remove}
+        )
 
     def test_replace_add_remove(self):
         made = self.patch(
@@ -209,8 +211,8 @@
         self.assertEqual((3, ["a", "c"], ["calm"]), (made.version, list(made.routes), list(made.services)))
         self.assertEqual(2.0, made.routes["a"].timeout)
         self.assertEqual(Limits(), made.limits)
-        self.assertEqual(made, read_configuration(document(made)))
-        self.assertEqual(1, document(made)["note"])
+        self.assertEqual(made, parse_configuration(to_document(made)))
+        self.assertEqual(1, to_document(made)["note"])
         self.assertEqual(["a", "b"], list(self.base.routes))
 
     def test_what_did_not_change_is_shared(self):
@@ -231,12 +233,12 @@
             ([], {"routes": "a"}, 'remove: "routes" must be a list of names'),
             ([], {"routes": [1]}, 'remove: "routes" must be a list of names'),
         ):
-            with self.subTest(line), self.assertRaises(Invalid) as caught:
+            with self.subTest(line), self.assertRaises(InvalidConfigurationError) as caught:
                 self.patch(*upsert, **remove)
             self.assertEqual(line, str(caught.exception))
         # Weight 0 names a service as well, also in a route that the patch leaves alone.
         self.base = self.patch(route("b", "/b/", **split(("calm", 1), ("brisk", 0))))
-        with self.assertRaises(Invalid):
+        with self.assertRaises(InvalidConfigurationError):
             self.patch(services=["brisk"])
 
     def test_shapes_of_patches(self):
@@ -250,10 +252,10 @@
             ),
             (whole(), "patch: items to add or replace belong in upsert.objects"),
         ):
-            with self.subTest(line), self.assertRaises(Invalid) as caught:
-                patched(self.base, patch)
+            with self.subTest(line), self.assertRaises(InvalidConfigurationError) as caught:
+                apply_patch(self.base, patch)
             self.assertEqual(line, str(caught.exception))
-        self.assertEqual(self.base.routes, patched(self.base, {"config_version": "r3"}).routes)
+        self.assertEqual(self.base.routes, apply_patch(self.base, {"config_version": "r3"}).routes)
 
 
 ITEMS = some.dictionaries(
@@ -280,22 +282,22 @@
     def test_a_difference_makes_the_new_of_the_old(self, old, new):
         old, new = _plain(old, "r1"), _plain(new, "r2")
         kept = json.dumps(old)
-        if (patch := difference(old, new)) is not None:
-            self.assertEqual(json.dumps(new), json.dumps(apply_difference(old, patch)))
+        if (patch := diff_documents(old, new)) is not None:
+            self.assertEqual(json.dumps(new), json.dumps(apply_diff(old, patch)))
             self.assertLessEqual(len(patch["upsert"]["objects"]), len(new["objects"]))
         self.assertEqual(kept, json.dumps(old))
 
     def test_small_changes_travel_small(self):
         old = whole(*(route(f"r{n}", f"/{n}/") for n in range(50)), note=1)
-        made = patched(
-            read_configuration(old),
+        made = apply_patch(
+            parse_configuration(old),
             {
                 "config_version": "r2",
                 "remove": {"routes": ["r7"]},
                 "upsert": {"objects": [route("r9", "/9/", timeout="2s")]},
             },
         )
-        patch = difference(old, document(made))
+        patch = diff_documents(old, to_document(made))
         self.assertEqual(
             {
                 "config_version": "r2",
@@ -304,10 +306,10 @@
             },
             patch,
         )
-        self.assertEqual(made, read_configuration(apply_difference(old, json.loads(json.dumps(patch)))))
-        self.assertIsNone(difference(old, whole(version="r2")))
-        self.assertIsNone(difference(old, old | {"note": 2}))
-        self.assertIsNone(difference(old, old | {"objects": old["objects"][::-1]}))
+        self.assertEqual(made, parse_configuration(apply_diff(old, json.loads(json.dumps(patch)))))
+        self.assertIsNone(diff_documents(old, whole(version="r2")))
+        self.assertIsNone(diff_documents(old, old | {"note": 2}))
+        self.assertIsNone(diff_documents(old, old | {"objects": old["objects"][::-1]}))
 
 
 PARTS = some.lists(some.sampled_from(["a", "b", "%2F", ""]), max_size=4)
@@ -327,7 +329,7 @@
             taken = [(canonical_host(one.hostname), one.path_prefix) for one in routes.values()]
             if (host.lower(), prefix) not in taken:
                 routes[str(number)] = Route(str(number), host, prefix, True, 1.0, 1.0, 0, (("s", 1.0),), 1)
-        index = Index(Configuration(1, routes, {}, Limits()))
+        index = RouteIndex(Configuration(1, routes, {}, Limits()))
         for host, start, end in asked:
             path = start + end
             fitting = [
@@ -353,7 +355,7 @@
             self.assertEqual(plain, canonical_host(host))
 
     def test_odd_paths_find_nothing(self):
-        index = Index(read_configuration(whole(route("r", "/a/"))))
+        index = RouteIndex(parse_configuration(whole(route("r", "/a/"))))
         for path in ("", "*", "a/", "/a", "/A/", "%2Fa/", "/a%2F", "?/a/"):
             self.assertIsNone(index.find("one.example", path))
         self.assertIsNone(index.find("two.example", "/a/"))
@@ -366,16 +368,18 @@
 
 class Judging(unittest.TestCase):
     def setUp(self):
-        self.current, self.history = None, History()
+        self.current, self.history = None, ChangeHistory()
 
     def call(self, method, if_match, body):
         """Judge a call and, where it may be proposed, put it in force as the log would."""
-        verdict = judge(self.current, self.history, method, if_match, body if type(body) is bytes else sent(body))
-        if verdict.status == 200 and not verdict.same:
+        verdict = decide_change(
+            self.current, self.history, method, if_match, body if type(body) is bytes else sent(body)
+        )
+        if verdict.status == 200 and not verdict.already_applied:
             self.assertEqual(verdict.base, self.current.version if self.current else 0)
-            self.assertEqual(verdict.document, document(verdict.configuration))
+            self.assertEqual(verdict.document, to_document(verdict.configuration))
             self.current = verdict.configuration
-            self.history.note(verdict.version, verdict.digest)
+            self.history.record(verdict.version, verdict.digest)
         return verdict
 
     def refused(self, status, line, *call):
@@ -385,12 +389,12 @@
         return verdict
 
     def test_first_next_and_patch(self):
-        self.assertEqual(404, reading(self.current)[0])
+        self.assertEqual(404, read_response(self.current)[0])
         self.assertEqual({"config_version": "r5"}, self.call("PUT", "0", whole(route("a"), version="r5")).body())
         self.assertEqual(200, self.call("PUT", '"r5"', whole(route("a"), version="r7")).status)
         patch = {"config_version": "r9", "upsert": {"objects": [route("b", "/b/")]}}
         self.assertEqual(200, self.call("PATCH", "r7", patch).status)
-        self.assertEqual((200, document(self.current)), reading(self.current))
+        self.assertEqual((200, to_document(self.current)), read_response(self.current))
         self.assertEqual(["a", "b"], list(self.current.routes))
 
     def test_the_same_call_again_is_taken_once(self):
@@ -400,12 +404,12 @@
             ("PUT", "r3", whole(version="r8")),
         ]
         for call in calls:
-            self.assertFalse(self.call(*call).same)
-        self.history = History.from_dict(json.loads(json.dumps(self.history.to_dict())))
+            self.assertFalse(self.call(*call).already_applied)
+        self.history = ChangeHistory.from_dict(json.loads(json.dumps(self.history.to_dict())))
         for method, if_match, body in calls:
             again = json.dumps(dict(reversed(body.items())), indent=1).encode()
             verdict = self.call(method, if_match.removeprefix("r"), again)
-            self.assertEqual((200, True, None), (verdict.status, verdict.same, verdict.configuration))
+            self.assertEqual((200, True, None), (verdict.status, verdict.already_applied, verdict.configuration))
             self.assertEqual({"config_version": body["config_version"]}, verdict.body())
         self.assertEqual(8, self.current.version)
 
@@ -426,7 +430,7 @@
         one, two = whole(route("a"), version="r4"), whole(route("b"), version="r4")
         self.assertEqual(200, self.call("PUT", "r2", one).status)
         self.refused(412, "built on r2, but r4 is current", "PUT", "r2", two)
-        self.assertTrue(self.call("PUT", "r2", one).same)
+        self.assertTrue(self.call("PUT", "r2", one).already_applied)
 
     def test_wrong_calls(self):
         missing = "If-Match: is missing; it carries the version built on, 0 for the first"
@@ -458,21 +462,21 @@
                 self.refused(400, line, "PUT", "0", body)
         self.refused(
             413,
-            f"body: longer than {change_requests.MOST_BYTES} bytes",
+            f"body: longer than {change_requests.MAX_BODY_BYTES} bytes",
             "PUT",
             "0",
-            b" " * (change_requests.MOST_BYTES + 1),
+            b" " * (change_requests.MAX_BODY_BYTES + 1),
         )
         self.refused(412, "built on r1, but r0 is current", "PUT", "r1", good)
-        self.assertEqual("\U0001f600", parsed(b'"\\ud83d\\ude00"'))
+        self.assertEqual("\U0001f600", parse_json(b'"\\ud83d\\ude00"'))
 
     def test_history_is_bounded(self):
-        last = REMEMBERED + 135
+        last = MAX_REMEMBERED + 135
         for version in range(1, last + 1):
-            self.history.note(version, str(version))
-        self.assertEqual(REMEMBERED, len(self.history.taken))
-        self.assertTrue(self.history.holds(last, str(last)))
-        self.assertFalse(self.history.holds(last - REMEMBERED, str(last - REMEMBERED)))
+            self.history.record(version, str(version))
+        self.assertEqual(MAX_REMEMBERED, len(self.history.versions))
+        self.assertTrue(self.history.contains(last, str(last)))
+        self.assertFalse(self.history.contains(last - MAX_REMEMBERED, str(last - MAX_REMEMBERED)))
 
 
 ANY = some.recursive(
@@ -492,20 +496,20 @@
 
     def sizes(self, routes):
         """Bytes of the log's entry and of the news to an edge when one route of so many changes."""
-        state, board, view = ReplicatedState(), Board("b"), ClusterView()
+        state, board, view = ReplicatedState(), ViewPublisher("b"), ClusterView()
         base = sizes.made(routes, max(1, routes // 100))
         state.apply(1, {"do": "configure", "base": 0, "version": 1, "digest": "0", "document": base})
-        board.set_config(1, document(state.configuration))
-        view.apply(1.0, board.since(view.ask(), 1.0))
+        board.set_config(1, to_document(state.configuration))
+        view.apply(1.0, board.changes_since(view.positions(), 1.0))
         route = copy.deepcopy(base["objects"][1])
         route["specification"]["timeout"] = "1002ms"
         patch = json.dumps({"config_version": "r2", "upsert": {"objects": [route]}}).encode()
-        verdict = judge(state.configuration, History(), "PATCH", "1", patch)
-        less = difference(document(state.configuration), verdict.document)
+        verdict = decide_change(state.configuration, ChangeHistory(), "PATCH", "1", patch)
+        less = diff_documents(to_document(state.configuration), verdict.document)
         command = {"do": "configure", "base": 1, "version": 2, "digest": "2", "difference": less}
         self.assertEqual(state.apply(2, command)[0], "done")
-        board.set_config(2, document(state.configuration))
-        return len(json.dumps(command)), len(json.dumps(board.since(view.ask(), 1.0)))
+        board.set_config(2, to_document(state.configuration))
+        return len(json.dumps(command)), len(json.dumps(board.changes_since(view.positions(), 1.0)))
 
     def test_a_change_of_one_route_stays_small(self):
         for few, many in zip(self.sizes(3), self.sizes(300)):
@@ -514,32 +518,34 @@
     def test_an_order_too_large_for_a_cores_disk_is_refused_unless_it_was_taken(self):
         base = sizes.made(30, 1)
         body = json.dumps(base).encode()
-        self.assertEqual(judge(None, History(), "PUT", "0", body, len(body)).status, 200)
-        refused = judge(None, History(), "PUT", "0", body, len(body) - 1)
+        self.assertEqual(decide_change(None, ChangeHistory(), "PUT", "0", body, len(body)).status, 200)
+        refused = decide_change(None, ChangeHistory(), "PUT", "0", body, len(body) - 1)
         self.assertEqual((refused.status, "\n" in refused.message), (413, False))
-        taken = History()
-        taken.note(1, judge(None, History(), "PUT", "0", body).digest)
-        self.assertTrue(judge(read_configuration(base), taken, "PUT", "0", body, len(body) - 1).same)
+        taken = ChangeHistory()
+        taken.record(1, decide_change(None, ChangeHistory(), "PUT", "0", body).digest)
+        self.assertTrue(
+            decide_change(parse_configuration(base), taken, "PUT", "0", body, len(body) - 1).already_applied
+        )
         added = json.dumps({"config_version": "r2", "upsert": {"objects": [route("one more", service="a")]}}).encode()
-        whole = judge(read_configuration(base), taken, "PATCH", "1", added).document
+        whole = decide_change(parse_configuration(base), taken, "PATCH", "1", added).document
         most = len(json.dumps(whole, separators=(",", ":")))
         for limit, status in ((most, 200), (most - 1, 413)):
-            self.assertEqual(judge(read_configuration(base), taken, "PATCH", "1", added, limit).status, status)
+            self.assertEqual(decide_change(parse_configuration(base), taken, "PATCH", "1", added, limit).status, status)
 
 
 class Fuzzing(unittest.TestCase):
     """Whatever is sent, an answer comes, and what is taken reads back as it was sent."""
 
-    base = read_configuration(whole(route("a"), version="r1"))
+    base = parse_configuration(whole(route("a"), version="r1"))
 
     def judged(self, method, if_match, body):
-        verdict = judge(self.base, History(), method, if_match, body)
+        verdict = decide_change(self.base, ChangeHistory(), method, if_match, body)
         self.assertIn(verdict.status, (200, 400, 412))
         self.assertTrue(verdict.message.isprintable() and verdict.message.isascii() and len(verdict.message) < 400)
         if verdict.status == 200:
             text = json.dumps(verdict.document, allow_nan=False, ensure_ascii=False).encode()
-            self.assertEqual(verdict.configuration, read_configuration(json.loads(text)))
-            Index(verdict.configuration)
+            self.assertEqual(verdict.configuration, parse_configuration(json.loads(text)))
+            RouteIndex(verdict.configuration)
         return verdict
 
     @given(some.sampled_from(["PUT", "PATCH"]), some.text(max_size=6) | some.just("r1"), some.binary(max_size=40))
@@ -618,19 +624,19 @@
         for name in route("a")["specification"]:
             with self.subTest(name):
                 try:
-                    read_configuration(whole(route("a", **{name: ...})))
+                    parse_configuration(whole(route("a", **{name: ...})))
                     missed = False
-                except Invalid:
+                except InvalidConfigurationError:
                     missed = True
                 self.assertEqual(name in told | {"service"}, missed)
 
     def test_answers(self):
-        verdict = change_requests.Verdict(412, "x", 3)
+        verdict = change_requests.Decision(412, "x", 3)
         for name, body in (
-            ("Taken", change_requests.Verdict(200, "x", version=3).body()),
+            ("Taken", change_requests.Decision(200, "x", version=3).body()),
             ("OtherVersion", verdict.body()),
-            ("Error", change_requests.Verdict(400, "x").body()),
-            ("Error", reading(None)[1]),
+            ("Error", change_requests.Decision(400, "x").body()),
+            ("Error", read_response(None)[1]),
         ):
             self.assertEqual(set(self.schemas[name]["required"]), set(body))
         self.assertEqual(set(self.schemas["Configuration"]["required"]), set(whole()))
--- a/tests/system/test_consensus_store.py
+++ b/tests/system/test_consensus_store.py
@@ -16,7 +16,7 @@
 from typing import Any
 from unittest import mock
 
-from knotwalk.configuration.change_requests import DISK_PART
+from knotwalk.configuration.change_requests import MAX_DISK_FRACTION
 from knotwalk.consensus.orders import Entry, Save, Saved
 from knotwalk.consensus.store import ASIDE, NAME, Damaged, Refused, Store, StoreBroken
 from tests.standins.disk import FULL, REFUSED, FaultyDisk, FolderNames
@@ -475,7 +475,7 @@
     def test_three_of_the_largest_orders_at_once_leave_room(self) -> None:
         """They come before the state is put down once, and again after each restart, beside a state of that size."""
         disk, last = FaultyDisk(), 0
-        largest = int(3_000_000 * DISK_PART) // 2
+        largest = int(3_000_000 * MAX_DISK_FRACTION) // 2
         with disk.own(self.folder):
             disk.most = 3_000_000
             store, _ = self.open(disk_mb=3)
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from knotwalk.configuration.documents import document, patched, read_configuration
+from knotwalk.configuration.documents import apply_patch, parse_configuration, to_document
 from knotwalk.consensus.orders import Pace, Save, Saved
 from knotwalk.consensus.store import NAME, Damaged, Refused, Store
 from knotwalk.control_plane import consensus_driver, control
@@ -21,12 +21,12 @@
 from knotwalk.control_plane.peer_api import PeerApi
 from knotwalk.control_plane.slice_manager import LANES, SliceManager
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.discovery.loads import Loads, merge
-from knotwalk.discovery.view_publisher import Board
+from knotwalk.discovery.loads import LoadReports, merge_report
+from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge.link import FIRST_WAIT, WAIT, Link
 from knotwalk.leases.orders import UNSENT, Grant, Pace as LeasePace
-from knotwalk.runtime.compression import LEAST, unpack
+from knotwalk.runtime.compression import MIN_COMPRESSED_BYTES, decompress
 from knotwalk.runtime.errors import PeerError
 from tests.standins.jumps import JumpingCase
 
@@ -296,7 +296,7 @@
 
     async def test_a_core_that_never_gets_fresh_is_served_by_and_others_are_asked_all_the_while(self):
         """What an edge that just started has from a core that just started is better than nothing, and no more."""
-        board = Board("b")
+        board = ViewPublisher("b")
         board.set_config(5, DOCUMENT)
         nodes = {"x": Node("x", "s", ("10.0.1.1", 80), "z", 2)}
         asked, heard = [], []
@@ -309,7 +309,7 @@
                 told = {"fresh": False, "zone": "z", "edges": 1}
                 if len(asked) == 1:
                     return told | {"provisional": {"config": {"order": 5}, "nodes": {}}}  # not understood
-                return told | {"provisional": json.loads(json.dumps(board.provisional(nodes, 0.0)))}
+                return told | {"provisional": json.loads(json.dumps(board.provisional_view(nodes, 0.0)))}
 
         link = Link("e", ClusterView(), Cores(), ADDRESSES, 1, "z", dict, lambda changed, edges: heard.append(edges))
         with (
@@ -322,7 +322,7 @@
         self.assertEqual(
             ({url for url, _ in asked}, len(logs.output)), ({f"http://{at}/cluster-view" for at in ADDRESSES}, 1)
         )
-        self.assertEqual((heard, link.view.whole, link.view.config_order), ([0], True, 5))
+        self.assertEqual((heard, link.view.is_complete, link.view.config_order), ([0], True, 5))
         self.assertTrue(link.view.provisional)
 
 
@@ -352,7 +352,11 @@
                 await asyncio.sleep(0)
                 return self.status, {}, json.dumps({"instances": {"i-1": entry}, "next_token": None}).encode()
 
-        self.platform, self.board, self.machine = Platform(), Board("b"), SimpleNamespace(rumour=None, role="follower")
+        self.platform, self.board, self.machine = (
+            Platform(),
+            ViewPublisher("b"),
+            SimpleNamespace(rumour=None, role="follower"),
+        )
         consensus = SimpleNamespace(machine=self.machine)
         list_poller = ListPoller(
             SimpleNamespace(platform=SimpleNamespace(address=("h", 1)), zone="z"),
@@ -361,14 +365,14 @@
             self.platform,
             "me",
         )
-        self.peer_api = PeerApi("me", consensus, list_poller, None, self.board, Loads(), None)
+        self.peer_api = PeerApi("me", consensus, list_poller, None, self.board, LoadReports(), None)
 
     async def ask(self, **more):
         asked = json.dumps({"edge": "e", "epoch": "", "at": 0, "wait": 0.0, "bare": True} | more).encode()
         return json.loads((await self.peer_api.view(SimpleNamespace(body=asked, headers={}))).body)
 
     async def test_a_large_view_is_packed_for_an_edge_that_takes_it(self):
-        self.board.set_config(5, DOCUMENT | {"filler": "x" * LEAST})
+        self.board.set_config(5, DOCUMENT | {"filler": "x" * MIN_COMPRESSED_BYTES})
         asked = json.dumps({"edge": "e", "epoch": "", "at": 0, "wait": 0.0, "bare": True}).encode()
         plain, found = [
             await self.peer_api.view(SimpleNamespace(body=asked, headers=headers))
@@ -376,7 +380,7 @@
         ]
         self.assertNotIn("content-encoding", plain.headers)
         self.assertEqual(found.headers["content-encoding"], "deflate")
-        self.assertEqual(unpack(found.body, 10 * LEAST), plain.body)
+        self.assertEqual(decompress(found.body, 10 * MIN_COMPRESSED_BYTES), plain.body)
         self.assertLess(len(found.body), len(plain.body) / 4)
 
     async def test_only_a_bare_edge_is_told_and_only_before_a_leader_is_known(self):
@@ -388,8 +392,8 @@
         for one in told:
             self.assertFalse(one["fresh"])
             view = ClusterView()
-            self.assertEqual(view.provide(0.0, one["provisional"]), {"config", "nodes"})
-            self.assertTrue(view.whole and view.nodes["i-1"].draining)
+            self.assertEqual(view.apply_provisional(0.0, one["provisional"]), {"config", "nodes"})
+            self.assertTrue(view.is_complete and view.nodes["i-1"].draining)
         self.assertNotIn("provisional", await self.ask(bare=False))
         self.machine.rumour = "a:1"
         self.assertNotIn("provisional", await self.ask())
@@ -411,73 +415,75 @@
     def nodes(self, *ids):
         return {id: Node(id, "s", ("10.0.1.1", 80 + n), "z", 2) for n, id in enumerate(ids)}
 
-    def tell(self, board: Board, view: ClusterView) -> set[str]:
-        message = board.since(json.loads(json.dumps(view.ask())), 0.0)
+    def tell(self, board: ViewPublisher, view: ClusterView) -> set[str]:
+        message = board.changes_since(json.loads(json.dumps(view.positions())), 0.0)
         return view.apply(0.0, json.loads(json.dumps(message))) if message else set()
 
     def test_changes_only_and_never_back(self):
-        ahead, behind, view = Board("a"), Board("b"), ClusterView()
+        ahead, behind, view = ViewPublisher("a"), ViewPublisher("b"), ClusterView()
         for board in (ahead, behind):
             board.set_config(5, DOCUMENT)
             board.set_nodes((1, 1), self.nodes("x", "y"))
-            board.set_lines(7, "s", {0: ("x", True), 1: ("x", True), 2: ("y", False)})
+            board.set_assignments(7, "s", {0: ("x", True), 1: ("x", True), 2: ("y", False)})
         self.assertEqual(self.tell(ahead, view), {"config", "nodes", "lines"})
-        self.assertTrue(view.whole)
+        self.assertTrue(view.is_complete)
         ahead.set_config(9, {**DOCUMENT, "config_version": "r4"})
         ahead.set_nodes((1, 2), self.nodes("x"))
-        ahead.set_lines(8, "s", {2: ("x", True)})
+        ahead.set_assignments(8, "s", {2: ("x", True)})
         self.assertEqual(self.tell(ahead, view), {"config", "nodes", "lines"})
         self.assertEqual(self.tell(behind, view), set())  # whole, but older in every topic
         self.assertEqual((view.configuration.version, set(view.nodes)), (4, {"x"}))
-        self.assertEqual(view.shardings["s"].lines[2].owner, "x")
-        behind.set_lines(11, "s", {1: ("", False), 2: ("x", True)})
+        self.assertEqual(view.assignments["s"].by_slice[2].owner, "x")
+        behind.set_assignments(11, "s", {1: ("", False), 2: ("x", True)})
         behind.set_nodes((2, 1), self.nodes("x", "z"))
         self.assertEqual(self.tell(behind, view), {"nodes", "lines"})
-        self.assertEqual([line.owner for line in view.shardings["s"].lines[:3]], ["x", "", "x"])
+        self.assertEqual([line.owner for line in view.assignments["s"].by_slice[:3]], ["x", "", "x"])
         self.assertEqual(set(view.nodes), {"x", "z"})
 
-    def change(self, board: Board, order: int) -> None:
+    def change(self, board: ViewPublisher, order: int) -> None:
         """The next configuration, made as the log makes it: items not named stay the same objects."""
-        before = read_configuration(board.config[1])
+        before = parse_configuration(board.config[1])
         route = before.items["routes", "r"]
         route = route | {"specification": route["specification"] | {"timeout": f"{order}s"}}
         board.set_config(
             order,
-            document(patched(before, {"config_version": f"r{before.version + 1}", "upsert": {"objects": [route]}})),
+            to_document(
+                apply_patch(before, {"config_version": f"r{before.version + 1}", "upsert": {"objects": [route]}})
+            ),
         )
 
     def test_a_provisional_picture_is_replaced_by_any_fresh_one_and_never_follows_one(self):
-        old, fresh, view = Board("a"), Board("b"), ClusterView()
+        old, fresh, view = ViewPublisher("a"), ViewPublisher("b"), ClusterView()
         old.set_config(50, {**DOCUMENT, "config_version": "r9"})
-        old.set_lines(51, "s", {0: ("x", True), 9: ("gone", True)})
-        old.set_lines(52, "dropped", {0: ("x", True)})
-        provisional = json.loads(json.dumps(old.provisional(self.nodes("x", "gone"), 0.0)))
-        self.assertTrue(view.ask()["bare"])
-        self.assertEqual(view.provide(0.0, provisional), {"config", "nodes", "lines"})
-        self.assertEqual(view.provide(0.0, provisional | {"nodes": {}}), set())  # one is enough
-        self.assertEqual((view.whole, view.shardings["s"].lines[9].node.id), (True, "gone"))
+        old.set_assignments(51, "s", {0: ("x", True), 9: ("gone", True)})
+        old.set_assignments(52, "dropped", {0: ("x", True)})
+        provisional = json.loads(json.dumps(old.provisional_view(self.nodes("x", "gone"), 0.0)))
+        self.assertTrue(view.positions()["bare"])
+        self.assertEqual(view.apply_provisional(0.0, provisional), {"config", "nodes", "lines"})
+        self.assertEqual(view.apply_provisional(0.0, provisional | {"nodes": {}}), set())  # one is enough
+        self.assertEqual((view.is_complete, view.assignments["s"].by_slice[9].node.id), (True, "gone"))
         self.assertEqual(
-            {k: v for k, v in view.ask().items() if k != "at"},
+            {k: v for k, v in view.positions().items() if k != "at"},
             {"epoch": "", "config": 50, "nodes": (-1, -1), "lines": -1, "provisional": True},
         )
         fresh.set_config(5, DOCUMENT)  # behind, fresh by a leader of before: what is committed is not gone back from
         self.assertEqual(self.tell(fresh, view), set())
         self.assertEqual((view.configuration.version, view.provisional), (9, True))
         fresh.set_config(60, DOCUMENT | {"config_version": "r11"})  # a fresh core before its leader has read the list
-        fresh.set_lines(7, "s", {0: ("x", True), 1: ("y", True)})
+        fresh.set_assignments(7, "s", {0: ("x", True), 1: ("y", True)})
         self.assertEqual(self.tell(fresh, view), {"config", "lines"})
-        self.assertEqual((view.whole, view.provisional, set(view.nodes)), (True, True, {"x", "gone"}))
-        self.assertEqual((view.configuration.version, set(view.shardings)), (11, {"s"}))
-        self.assertEqual(view.shardings["s"].lines[9].owner, "")
+        self.assertEqual((view.is_complete, view.provisional, set(view.nodes)), (True, True, {"x", "gone"}))
+        self.assertEqual((view.configuration.version, set(view.assignments)), (11, {"s"}))
+        self.assertEqual(view.assignments["s"].by_slice[9].owner, "")
         fresh.set_nodes((1, 1), self.nodes("x", "y"))
         self.assertEqual(self.tell(fresh, view), {"nodes"})
-        self.assertEqual((view.whole, view.provisional, set(view.nodes)), (True, False, {"x", "y"}))
-        self.assertEqual(view.shardings["s"].lines[1].node.id, "y")
-        self.assertEqual(view.provide(0.0, provisional), set())
+        self.assertEqual((view.is_complete, view.provisional, set(view.nodes)), (True, False, {"x", "y"}))
+        self.assertEqual(view.assignments["s"].by_slice[1].node.id, "y")
+        self.assertEqual(view.apply_provisional(0.0, provisional), set())
         self.assertEqual(view.configuration.version, 11)
 
     def test_changes_alone_or_the_whole_by_what_the_picture_has_whichever_board_it_heard(self):
-        one, two = Board("a"), Board("b")
+        one, two = ViewPublisher("a"), ViewPublisher("b")
         views = [ClusterView(), ClusterView(), ClusterView()]
         much = {
             **DOCUMENT,
@@ -486,32 +492,34 @@
         }
         for board in (one, two):
             board.set_config(5, much)
-            board.set_lines(7, "s", {k: ("x" if k % 2 else "y", True) for k in range(40)})
+            board.set_assignments(7, "s", {k: ("x" if k % 2 else "y", True) for k in range(40)})
         for board, view in zip((one, one, two), views):
             self.tell(board, view)
         for order in (6, 7, 8):
             for board in (one, two):
                 self.change(board, order)
             self.tell(one, views[0])
-        self.assertEqual(two.since(views[0].ask(), 0.0), {"epoch": "b", "at": two.at})
-        behind = [board.since(views[1].ask(), 0.0)["config"] for board in (one, two)]
+        self.assertEqual(two.changes_since(views[0].positions(), 0.0), {"epoch": "b", "at": two.revision})
+        behind = [board.changes_since(views[1].positions(), 0.0)["config"] for board in (one, two)]
         self.assertEqual(behind[0], behind[1])
         self.assertEqual((behind[0]["base"], len(behind[0]["changes"])), (5, 3))
-        two.set_lines(8, "s", {3: ("z", False)})
-        self.assertEqual(two.since(views[0].ask(), 0.0)["lines"], {"order": 8, "set": {"s": [[3, 3, "z", 0]]}})
+        two.set_assignments(8, "s", {3: ("z", False)})
+        self.assertEqual(
+            two.changes_since(views[0].positions(), 0.0)["lines"], {"order": 8, "set": {"s": [[3, 3, "z", 0]]}}
+        )
         for board, view in zip((one, two, one), views):
             self.tell(board, view)
-            self.assertEqual(document(view.configuration), one.config[1])
+            self.assertEqual(to_document(view.configuration), one.config[1])
             self.assertEqual(view.index.find("a.example", "/a/").timeout, 8.0)
         two.set_config(9, json.loads(json.dumps(one.config[1])))  # came whole, as by a snapshot
         for order in range(10, 300):
             self.change(one, order)
         self.assertLess(sum(size for _, _, size in one.changes), len(json.dumps(much)))
         for board, has in ((two, 5), (two, 8), (one, 8)):
-            self.assertIn("document", board.since({"epoch": "", "at": 0, "config": has}, 0.0)["config"])
+            self.assertIn("document", board.changes_since({"epoch": "", "at": 0, "config": has}, 0.0)["config"])
 
     def test_a_change_that_fits_not_is_left_out_and_the_whole_is_asked_for(self):
-        board, view = Board("a"), ClusterView()
+        board, view = ViewPublisher("a"), ClusterView()
         board.set_config(5, DOCUMENT)
         self.tell(board, view)
         standing = view.configuration
@@ -526,15 +534,18 @@
                     "lines": {"order": 9, "set": {}},
                 },
             )
-            self.assertEqual((bool(view.fault), view.ask()["config"], view.epoch, view.lines_order), (True, -1, "a", 9))
+            self.assertEqual(
+                (bool(view.config_error), view.positions()["config"], view.epoch, view.assignments_order),
+                (True, -1, "a", 9),
+            )
             self.assertIs(view.configuration, standing)
         board.set_config(9, {**DOCUMENT, "config_version": "r6"})
         self.assertEqual(self.tell(board, view), {"config"})
-        self.assertEqual((view.fault, view.ask()["config"]), ("", 9))
+        self.assertEqual((view.config_error, view.positions()["config"]), ("", 9))
 
     def test_a_change_of_the_list_is_told_only_to_who_had_the_list_before(self):
         """A cluster view ahead of a board took the board's next change onto another list: a gone node stayed."""
-        ahead, behind, view = Board("a"), Board("b"), ClusterView()
+        ahead, behind, view = ViewPublisher("a"), ViewPublisher("b"), ClusterView()
         for board, order, ids in ((ahead, (1, 1), "xy"), (behind, (1, 1), "xy"), (ahead, (1, 2), "xyz")):
             board.set_nodes(order, self.nodes(*ids))
         self.tell(ahead, view)
@@ -549,18 +560,18 @@
             self.assertEqual(behind.nodes_order, (2, order))
         for order, ids in (((1, 3), "xy"), ((2, 1), "xy"), ((2, 4), "x")):
             ahead.set_nodes(order, self.nodes(*ids))
-        found = ahead.since(view.ask(), 0.0)["nodes"]
+        found = ahead.changes_since(view.positions(), 0.0)["nodes"]
         self.assertEqual((found["full"], found["set"], found["gone"]), (False, {}, ["y"]))
 
     def test_a_long_gone_node_needs_no_tombstone(self):
-        board, view = Board("a"), ClusterView()
+        board, view = ViewPublisher("a"), ClusterView()
         board.set_config(1, DOCUMENT)
         for turn in range(300):
             board.set_nodes((1, turn), self.nodes("x", f"n{turn}"))
             if turn in (3, 299):
                 self.tell(board, view)
         self.assertEqual(set(view.nodes), {"x", "n299"})
-        self.assertLess(len(board.node_at), 120)
+        self.assertLess(len(board.node_revisions), 120)
 
 
 class ListCase(unittest.IsolatedAsyncioTestCase):
@@ -587,7 +598,7 @@
         list_poller = ListPoller(
             SimpleNamespace(platform=SimpleNamespace(address=("h", 1))),
             SimpleNamespace(machine=machine),
-            Board("b"),
+            ViewPublisher("b"),
             Platform(),
             "me",
         )
@@ -615,7 +626,7 @@
                 raise PeerError("list", "h:1", "no answer within 1 s")
 
         settings = SimpleNamespace(platform=SimpleNamespace(address=("h", 1)))
-        list_poller = ListPoller(settings, SimpleNamespace(), Board("b"), Silent(), "me")
+        list_poller = ListPoller(settings, SimpleNamespace(), ViewPublisher("b"), Silent(), "me")
         left, stays = (asyncio.ensure_future(list_poller.own_nodes()) for _ in range(2))
         await asyncio.sleep(0)
         left.cancel()
@@ -647,7 +658,7 @@
                 await free.wait()
                 return 200, {}, b""
 
-        conductor = SliceManager("me", None, Board("b"), Loads(), Node(), LeasePace(), 1, None)
+        conductor = SliceManager("me", None, ViewPublisher("b"), LoadReports(), Node(), LeasePace(), 1, None)
         conductor.keeper.answered = lambda at, order, status, *_: ends.append((order.fence, status))
         lanes = LANES["grant"]
         orders = [
@@ -669,12 +680,12 @@
 
 class LoadsCase(unittest.TestCase):
     def test_sums_kept_up_are_those_of_the_window(self):
-        chance, loads = random.Random(4), Loads()
+        chance, loads = random.Random(4), LoadReports()
         for step in range(400):
             now = step / 10  # busy at first, then one report now and then
             for _ in range(chance.randrange(3) if step < 250 else step % 30 == 0):
                 row = [0, 0, 2, chance.randrange(3), 0, chance.randrange(2), chance.random()]
-                loads.add(
+                loads.add_report(
                     now,
                     {
                         "demand": {"s": {str(chance.randrange(9)): chance.randrange(3)}},
@@ -682,10 +693,10 @@
                     },
                     False,
                 )
-            found, _ = loads.sums(now)
+            found, _ = loads.window_sums(now)
             plain = {}
             for _, raw in loads.window:
-                merge(plain, raw)
+                merge_report(plain, raw)
             for topic in ("demand", "nodes"):
                 rows, wanted = found.get(topic, {}), plain.get(topic, {})
                 if topic == "demand":
@@ -698,29 +709,29 @@
     def test_demand_that_begins_is_counted_over_the_time_since(self):
         """Divided by all of the window, capacities were learned as a quarter of what they are in a service's first
         seconds."""
-        loads = Loads()
+        loads = LoadReports()
         for step in range(96):
             now, edge = step / 8, step % 8  # eight edges, a report a second each; 80 requests a second from 5.0
             requests = max(0.0, min(1.0, now - 5.0)) * 10
-            loads.add(now, {"demand": {"s": {"7": requests}} if requests else {}}, edge < 4)
-            found, spans = loads.sums(now)
+            loads.add_report(now, {"demand": {"s": {"7": requests}} if requests else {}}, edge < 4)
+            found, spans = loads.window_sums(now)
             if now > 7.1:
                 self.assertAlmostEqual(found["demand"]["s"]["7"] / spans["s"], 80, delta=16, msg=now)
-        self.assertEqual(loads.sums(20.0)[1], {})
+        self.assertEqual(loads.window_sums(20.0)[1], {})
 
     def test_a_lost_edge_is_forgotten_though_cores_tell_each_other_of_edges(self):
         """The budget's slack is shared by the count: passed on and on, a lost edge kept its part for ever."""
-        one, two = Loads(), Loads()
+        one, two = LoadReports(), LoadReports()
         counts = []
         for second in range(30):
             if second < 5:
-                one.heard(second, "e-lost")
-            one.heard(second, "e-1")
-            two.heard(second, "e-2")
+                one.record_edge(second, "e-lost")
+            one.record_edge(second, "e-1")
+            two.record_edge(second, "e-2")
             for here, there in ((one, two), (two, one)):
-                for name in here.take(second + 0.5)["edges"]:
-                    there.heard(second + 0.5, name, False)
-            counts.append((one.count(second + 0.6), two.count(second + 0.6)))
+                for name in here.take_unsent(second + 0.5)["edges"]:
+                    there.record_edge(second + 0.5, name, False)
+            counts.append((one.edge_count(second + 0.6), two.edge_count(second + 0.6)))
         self.assertEqual((counts[4], counts[-1]), ((3, 3), (2, 2)))
 
 
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -11,16 +11,16 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from knotwalk.configuration.documents import document
+from knotwalk.configuration.documents import to_document
 from knotwalk.consensus.orders import Pace, Save, Saved
 from knotwalk.control_plane import consensus_driver, control, list_poller, peer_api
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost
 from knotwalk.control_plane.control import Control
 from knotwalk.control_plane.list_poller import ListPoller
-from knotwalk.control_plane.peer_api import FRESH, PROVISIONAL, PeerApi
+from knotwalk.control_plane.peer_api import MAX_LEADER_SILENCE_S, PROVISIONAL, PeerApi
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.discovery.loads import Loads
-from knotwalk.discovery.view_publisher import Board
+from knotwalk.discovery.loads import LoadReports
+from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge import link
 from knotwalk.edge.link import Link
@@ -82,7 +82,7 @@
         self.consensus = ConsensusDriver(Disk(), saved, self, Pace(), seed, float("-inf"))
         self.consensus.writer = Inline()
         self.consensus.machine.address = at
-        self.board, self.loads = Board(f"b{seed}"), Loads()
+        self.board, self.loads = ViewPublisher(f"b{seed}"), LoadReports()
         settings = SimpleNamespace(platform=SimpleNamespace(address=("h", 1)), zone="z")
         self.poller = ListPoller(settings, self.consensus, self.board, self, saved.me)
         conductor = SimpleNamespace(leased=lambda *_: None, look=lambda **_: None, stop=lambda: None)
@@ -102,7 +102,7 @@
     def configured(self):
         state = self.consensus.state
         if state.configuration is not None:
-            self.board.set_config(state.order, document(state.configuration))
+            self.board.set_config(state.order, to_document(state.configuration))
             self.peers.changed()
 
     @property
@@ -403,7 +403,7 @@
                             core = next(one for one in world.cores.values() if one is not core)
                         core.freeze() if shape == "frozen" else world.cut(core.at, shape)
                         start, fresh = clock(), []
-                        asked = {"edge": "e", "epoch": core.board.epoch, "at": core.board.at, "wait": 1.0}
+                        asked = {"edge": "e", "epoch": core.board.epoch, "at": core.board.revision, "wait": 1.0}
                         while clock() < start + 5:
                             begun = clock()
                             told = json.loads(
@@ -412,7 +412,7 @@
                             if told["fresh"]:
                                 fresh.append(clock() - start)
                             await asyncio.sleep(max(0.01, begun + 0.05 - clock()))
-                        self.assertLess(max(fresh, default=0.0), PROOF + FRESH + 0.01)
+                        self.assertLess(max(fresh, default=0.0), PROOF + MAX_LEADER_SILENCE_S + 0.01)
 
                     play(story)
 
@@ -488,7 +488,7 @@
     def test_a_core_alone_for_long_or_left_out_or_that_hears_of_a_leader_gives_no_picture(self):
         async def story(world):
             core, _ = await self.behind(world)
-            wanted = json.dumps(ClusterView().ask() | {"edge": "e", "wait": 0.0}).encode()
+            wanted = json.dumps(ClusterView().positions() | {"edge": "e", "wait": 0.0}).encode()
             asked = SimpleNamespace(body=wanted, headers={})
 
             async def given():
@@ -517,20 +517,24 @@
         play(story)
 
     def test_of_two_that_just_started_the_newer_disk_counts_and_no_older_one_after_it(self):
-        old, new = Board("a"), Board("b")
+        old, new = ViewPublisher("a"), ViewPublisher("b")
         old.set_config(5, DOCUMENT)
         new.set_config(9, DOCUMENT | {"config_version": "r7"})
         nodes = {"i-1": list_node()}
-        first, second = (json.loads(json.dumps(board.provisional(nodes, 0.0))) for board in (old, new))
+        first, second = (json.loads(json.dumps(board.provisional_view(nodes, 0.0))) for board in (old, new))
         view = ClusterView()
-        view.provide(0.0, first)
-        self.assertEqual((view.ask().get("bare"), view.ask()["provisional"]), (None, True))
-        view.provide(0.0, second)
-        view.provide(0.0, first)
+        view.apply_provisional(0.0, first)
+        self.assertEqual((view.positions().get("bare"), view.positions()["provisional"]), (None, True))
+        view.apply_provisional(0.0, second)
+        view.apply_provisional(0.0, first)
         self.assertEqual(view.configuration.version, 7)
         old.set_nodes((1, 1), nodes)
-        view.apply(0.0, json.loads(json.dumps(old.since(view.ask(), 0.0))))  # fresh by a leader of before, for a moment
-        self.assertEqual((view.configuration.version, view.provisional, "provisional" in view.ask()), (7, False, False))
+        view.apply(
+            0.0, json.loads(json.dumps(old.changes_since(view.positions(), 0.0)))
+        )  # fresh by a leader of before, for a moment
+        self.assertEqual(
+            (view.configuration.version, view.provisional, "provisional" in view.positions()), (7, False, False)
+        )
 
 
 class LeaseCase(unittest.TestCase):
--- a/tests/system/test_edge.py
+++ b/tests/system/test_edge.py
@@ -12,7 +12,7 @@
 from standins.jumps import Held
 from standins.nodes import ELSEWHERE, SHED, answer, routes, show
 
-from knotwalk.discovery.view_types import WIDTH, Line
+from knotwalk.discovery.view_types import SLICE_WIDTH, Assignment
 from knotwalk.edge.choose import seen
 from tests.system.edge_case import (
     BOTH,
@@ -219,7 +219,7 @@
             for key in (0, 127, 128, 65535):
                 self.reset()
                 self.assertEqual((await self.ask(prefix, headers=self.key(key)))[0], 200)
-                owner = self.view.shardings["k"].line(key).owner
+                owner = self.view.assignments["k"].assignment(key).owner
                 self.assertEqual([node.id for node in self.nodes if node.seen], [owner])
                 self.assertEqual([n for n in self.nodes if n.seen][0].seen[0].headers["target-instance"], owner)
 
@@ -232,7 +232,7 @@
     async def test_a_closed_line_is_waited_for_briefly(self):
         """The line opens elsewhere while the request waits; if it stays closed, the client is told to come back."""
         await self.begin(2, "k", table=routes(aim=4.0))
-        line = self.view.shardings["k"].line(5)
+        line = self.view.assignments["k"].assignment(5)
         line.open = False
         client = await self.client()
         client.ask("/kn/", headers=self.key(5))
@@ -247,7 +247,7 @@
     async def test_a_line_that_stays_closed(self):
         held = Held(self.loop)
         await self.begin(2, "k", table=routes(aim=0.1), now=held.now)
-        self.view.shardings["k"].lines[0] = Line()
+        self.view.assignments["k"].by_slice[0] = Assignment()
         asked = self.loop.create_task(self.ask("/kn/", headers=self.key(5)))
         await wait_for(lambda: self.front.forwarder.waiting)
         held.moment += 0.1
@@ -267,7 +267,7 @@
             return False
 
         self.front.forwarder._waited = waited
-        line = self.view.shardings["k"].line(0)
+        line = self.view.assignments["k"].assignment(0)
         line.open = False
         self.assertEqual((await self.ask("/kn/", headers=self.key(0)))[0], 503)
         line.open = True
@@ -280,7 +280,7 @@
         """The owner says that it has not the key: nobody is asked until the line changes."""
         await self.begin(2, "k", table=routes(aim=4.0))
         self.nodes[0].script = [ELSEWHERE]
-        line = self.view.shardings["k"].line(0)
+        line = self.view.assignments["k"].assignment(0)
         client = await self.client()
         client.ask("/kn/", headers=self.key(0))
         while not self.front.forwarder.waiting:
@@ -368,7 +368,7 @@
         await self.begin(2, "k")
         self.nodes[0].load = "1,2,4"
         await self.ask("/kn/", headers=self.key(0))
-        await self.ask("/kn/", headers=self.key(WIDTH + 2))
+        await self.ask("/kn/", headers=self.key(SLICE_WIDTH + 2))
         found = self.front.report(0.0)
         self.assertEqual(found["demand"], {"k": {0: 1, 1: 1}})
         self.assertEqual(found["nodes"]["i-0"], [2, 1, 4])
--- a/tests/system/test_edge_tenants.py
+++ b/tests/system/test_edge_tenants.py
@@ -247,7 +247,7 @@
         self.held.moment += 4.8
         node = self.nodes[0].node()
         self.view.nodes[node.id] = node
-        self.view.by_service["s"] = [node]
+        self.view.nodes_by_service["s"] = [node]
         self.front.view_changed({"nodes"})
         for one in asked:
             await wait_for(one.done)
--- a/tests/system/test_leases.py
+++ b/tests/system/test_leases.py
@@ -9,7 +9,7 @@
 import random
 import unittest
 
-from knotwalk.discovery.view_types import SLICES, WIDTH, Node
+from knotwalk.discovery.view_types import SLICE_COUNT, SLICE_WIDTH, Node
 from knotwalk.leases.keeper import Keeper
 from knotwalk.leases.ledger import LIFT, Change, Ledger, ranges
 from knotwalk.leases.orders import LONGEST, REFUSED, SLOW, Grant, Pace, Propose, Release
@@ -509,7 +509,7 @@
         for name in "abc":
             rows = [["s", a, z, 0, f"n{a % 7}"] for a, z in ranges(self.held()[name])]
             self.apply({"do": "move", "by": name, "moves": rows})
-            self.apply({"do": "granted", "by": name, "fence": self.index, "slices": {"s": [[0, SLICES - 1]]}})
+            self.apply({"do": "granted", "by": name, "fence": self.index, "slices": {"s": [[0, SLICE_COUNT - 1]]}})
         self.owned = self.owners()
 
     def apply(self, command):
@@ -573,8 +573,8 @@
         self.assertTrue(all(count <= HAND for _, count in handed))
         self.assertTrue(all(b - a >= 0.99 for (a, _), (b, _) in zip(handed, handed[1:])))
         counts = {c: len(ks) for c, ks in self.held().items()}
-        self.assertGreaterEqual(min(counts.values()), (1 - LACK) * SLICES / 3 - 1)
-        self.assertLess(max(counts.values()), 1.1 * SLICES / 3)
+        self.assertGreaterEqual(min(counts.values()), (1 - LACK) * SLICE_COUNT / 3 - 1)
+        self.assertLess(max(counts.values()), 1.1 * SLICE_COUNT / 3)
         self.assertEqual(self.owners(), self.owned)
         self.assertEqual(self.run_for(20.0), [])
 
@@ -722,7 +722,7 @@
         grant = self.opened(1.0, 2, 4, "n")
         self.assertEqual(
             (grant.first_key, grant.last_key, grant.fence, grant.hold, grant.handover),
-            (2 * WIDTH, 5 * WIDTH - 1, 3, PACE.hold, None),
+            (2 * SLICE_WIDTH, 5 * SLICE_WIDTH - 1, 3, PACE.hold, None),
         )
         (again,) = self.next(1.1)
         self.assertTrue(1.0 + 0.8 * PACE.renew <= self.now <= 1.01 + PACE.renew)
@@ -732,7 +732,7 @@
         self.opened(1.0, 0, 5, "n")
         (release,) = self.move(1.5, 2, 3, "m")
         self.assertIsInstance(release, Release)
-        self.assertEqual((release.node, release.first_key, release.fence), ("n", 2 * WIDTH, 5))
+        self.assertEqual((release.node, release.first_key, release.fence), ("n", 2 * SLICE_WIDTH, 5))
         (grant,) = self.answer(1.6, release, 200, "h1")
         self.assertEqual((grant.node, grant.fence, grant.handover), ("m", 5, "h1"))
         (propose,) = self.answer(1.7, grant, 200)
@@ -844,7 +844,7 @@
         self.assertIs(self.keeper.tenures["s", 0].state, State.GRANTED)
 
     def test_runs(self):
-        self.assertEqual(ranges(range(SLICES)), [[0, SLICES - 1]])
+        self.assertEqual(ranges(range(SLICE_COUNT)), [[0, SLICE_COUNT - 1]])
         self.assertEqual(ranges([]), [])
 
 
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings, strategies as some
 
 from knotwalk.configuration import history as memory
-from knotwalk.configuration.change_requests import History, judge
-from knotwalk.configuration.documents import document, version_text
-from knotwalk.configuration.history import REMEMBERED, REMEMBERED_BEFORE, Standing, mark
+from knotwalk.configuration.change_requests import ChangeHistory, decide_change
+from knotwalk.configuration.documents import format_version, to_document
+from knotwalk.configuration.history import LEGACY_MAX_REMEMBERED, MAX_REMEMBERED, ChangeStatus, fingerprint
 from knotwalk.consensus.orders import Pace, Saved
 from knotwalk.control_plane import consensus_driver, control
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost
@@ -28,34 +28,34 @@
     """An order's body; `health` tells contents apart."""
     services = [{"object_kind": "services", "metadata": {"name": "s"}, "specification": {"health_check": health}}]
     objects = {"objects": [*services, *DOCUMENT["objects"][1:]]}
-    return {"config_version": version_text(version)} | (objects if method == "PUT" else {"upsert": objects})
+    return {"config_version": format_version(version)} | (objects if method == "PUT" else {"upsert": objects})
 
 
 def command(base, version, health="/h"):
     """The order as it stands in the log."""
-    verdict = judge(None, History(), "PUT", "0", json.dumps(body(version, health)).encode())
+    verdict = decide_change(None, ChangeHistory(), "PUT", "0", json.dumps(body(version, health)).encode())
     digest = f"{base} {version} {health}"
     return {"do": "configure", "base": base, "version": version, "digest": digest, "document": verdict.document}
 
 
 class Remembering(unittest.TestCase):
     def test_a_version_tells_only_from_the_floor_on(self):
-        history = History()
-        with mock.patch.object(memory, "REMEMBERED", 3):
+        history = ChangeHistory()
+        with mock.patch.object(memory, "MAX_REMEMBERED", 3):
             for version in (2, 5, 9, 14, 15):
-                history.note(version, str(version))
-        history = History.from_dict(json.loads(json.dumps(history.to_dict())))
-        self.assertEqual((list(history.taken), history.floor), ([9, 14, 15], 9))
+                history.record(version, str(version))
+        history = ChangeHistory.from_dict(json.loads(json.dumps(history.to_dict())))
+        self.assertEqual((list(history.versions), history.floor), ([9, 14, 15], 9))
         for base, version, digest, standing in (
-            (5, 9, "9", Standing.TAKEN),
-            (5, 9, "another", Standing.NOT_TAKEN),
-            (9, 14, "another", Standing.NOT_TAKEN),
-            (0, 15, "lost its race early, asking for a high number", Standing.NOT_TAKEN),
-            (2, 5, "5", Standing.UNKNOWN),
-            (2, 8, "may have made r8", Standing.UNKNOWN),
-            (8, 8, "does not rise", Standing.NOT_TAKEN),
+            (5, 9, "9", ChangeStatus.TAKEN),
+            (5, 9, "another", ChangeStatus.NOT_TAKEN),
+            (9, 14, "another", ChangeStatus.NOT_TAKEN),
+            (0, 15, "lost its race early, asking for a high number", ChangeStatus.NOT_TAKEN),
+            (2, 5, "5", ChangeStatus.UNKNOWN),
+            (2, 8, "may have made r8", ChangeStatus.UNKNOWN),
+            (8, 8, "does not rise", ChangeStatus.NOT_TAKEN),
         ):
-            self.assertEqual(history.standing(base, version, digest), standing, digest)
+            self.assertEqual(history.status(base, version, digest), standing, digest)
 
     def test_hundreds_of_changes_and_restarts_later_a_repeat_is_known(self):
         state, repeats = ReplicatedState(), []
@@ -70,38 +70,40 @@
         self.assertEqual(state.version, 1398)
 
     def test_a_week_of_changes_is_bounded_in_memory_and_in_a_snapshot(self):
-        history = History()
-        for version in range(3, 7 * (REMEMBERED + 500), 7):
-            history.note(version, str(version))
-        self.assertEqual(len(history.taken), REMEMBERED)
-        self.assertLessEqual(len(history.taken) * history.taken.itemsize + len(history.marks), 24 * REMEMBERED)
-        self.assertLess(len(json.dumps(history.to_dict(), separators=(",", ":"))), 25 * REMEMBERED)
+        history = ChangeHistory()
+        for version in range(3, 7 * (MAX_REMEMBERED + 500), 7):
+            history.record(version, str(version))
+        self.assertEqual(len(history.versions), MAX_REMEMBERED)
+        self.assertLessEqual(
+            len(history.versions) * history.versions.itemsize + len(history.fingerprints), 24 * MAX_REMEMBERED
+        )
+        self.assertLess(len(json.dumps(history.to_dict(), separators=(",", ":"))), 25 * MAX_REMEMBERED)
 
     def test_snapshots_of_earlier_formats_are_read_and_guess_nothing(self):
-        for first, count, floor in ((1, REMEMBERED_BEFORE - 1, 0), (40, REMEMBERED_BEFORE, 40)):
+        for first, count, floor in ((1, LEGACY_MAX_REMEMBERED - 1, 0), (40, LEGACY_MAX_REMEMBERED, 40)):
             versions = range(first, first + count)
             old = ReplicatedState()
             old.apply(9, command(0, versions[-1]))
-            raw = old.to_dict() | {"format": 3, "history": {version_text(one): f"{one:064x}" for one in versions}}
+            raw = old.to_dict() | {"format": 3, "history": {format_version(one): f"{one:064x}" for one in versions}}
             state = ReplicatedState.from_dict(json.loads(json.dumps(raw)))
             self.assertEqual(state.history.floor, floor)
             for one in versions:
-                self.assertEqual(state.history.standing(one - 1, one, f"{one:064x}"), Standing.TAKEN)
-                self.assertEqual(state.history.standing(one - 1, one, "another"), Standing.NOT_TAKEN)
+                self.assertEqual(state.history.status(one - 1, one, f"{one:064x}"), ChangeStatus.TAKEN)
+                self.assertEqual(state.history.status(one - 1, one, "another"), ChangeStatus.NOT_TAKEN)
             again = ReplicatedState.from_dict(json.loads(json.dumps(state.to_dict())))
             self.assertEqual(again.to_dict(), state.to_dict())
-        self.assertEqual(state.history.standing(38, 39, "dropped, or never taken"), Standing.UNKNOWN)
+        self.assertEqual(state.history.status(38, 39, "dropped, or never taken"), ChangeStatus.UNKNOWN)
         late = state.apply(10, command(38, 39))[0]
-        self.assertEqual((late, state.version), (control.UNKNOWN, versions[-1]))
+        self.assertEqual((late, state.version), (control.STATUS_UNKNOWN_MESSAGE, versions[-1]))
 
     def test_a_history_that_does_not_fit_together_is_not_read(self):
-        history = History()
-        history.note(3, "d")
+        history = ChangeHistory()
+        history.record(3, "d")
         with self.assertRaises(ValueError):
-            History.from_dict(history.to_dict() | {"steps": [3, 1]})
+            ChangeHistory.from_dict(history.to_dict() | {"steps": [3, 1]})
         with self.assertRaises(ValueError):
             ReplicatedState.from_dict(ReplicatedState().to_dict() | {"format": 5})
-        self.assertEqual(len(mark("d")), 16)
+        self.assertEqual(len(fingerprint("d")), 16)
 
 
 class Core:
@@ -117,8 +119,8 @@
         method, base, version, health = order
         text = json.dumps(body(version, health, method), indent=len(spelling))
         state = self.states[member]
-        verdict = judge(state.configuration, state.history, method, spelling.format(base), text.encode())
-        if verdict.status == 200 and not verdict.same:
+        verdict = decide_change(state.configuration, state.history, method, spelling.format(base), text.encode())
+        if verdict.status == 200 and not verdict.already_applied:
             made = {"do": "configure", "base": base, "version": version, "digest": verdict.digest}
             self.pending.append((order, made | {"document": verdict.document}))
             return None
@@ -134,7 +136,7 @@
         self.applied += 1
         said = []
         for reach, state in zip(self.reaches, self.states, strict=True):
-            with mock.patch.object(memory, "REMEMBERED", reach):
+            with mock.patch.object(memory, "MAX_REMEMBERED", reach):
                 said.append(state.apply(self.applied, entry)[0])
         return order, said
 
@@ -159,7 +161,7 @@
     @given(some.lists(STEPS, max_size=60))
     @settings(max_examples=300, deadline=None, database=None)
     def test_against_a_plain_model(self, steps):
-        core, sent = Core([1, 3, REMEMBERED]), []
+        core, sent = Core([1, 3, MAX_REMEMBERED]), []
         spellings = itertools.cycle(["{}", "r{}", '"r{}"', " r{} "])
         for what, member, more in steps:
             if what == "new":
@@ -181,7 +183,7 @@
         self.assertEqual(len({one[1] for one in core.taken}), len(core.taken))
         for state in core.states:
             self.assertEqual(state.version, core.version)
-            self.assertEqual(*(document(one.configuration) for one in (state, core.states[0]) if one.configuration)
+            self.assertEqual(*(to_document(one.configuration) for one in (state, core.states[0]) if one.configuration)
                              if core.taken else (1, 1))  # fmt: skip
         for member, order in itertools.product(range(3), core.taken):
             self.judged(core, member, order, "{}")
@@ -205,7 +207,9 @@
         order, said = core.apply()
         for member, one in enumerate(said):
             if order in core.taken:
-                self.assertIn(one, (DONE,) if self.remembered(core, member, order) else (control.UNKNOWN,))
+                self.assertIn(
+                    one, (DONE,) if self.remembered(core, member, order) else (control.STATUS_UNKNOWN_MESSAGE,)
+                )
             else:
                 self.assertNotEqual(one, DONE)
         if said[-1] != DONE:
@@ -279,7 +283,7 @@
     async def send(self, at, base, version, health="/h", method="PUT"):
         request = SimpleNamespace(
             method=method,
-            headers={"if-match": version_text(base)},
+            headers={"if-match": format_version(base)},
             body=json.dumps(body(version, health, method)).encode(),
         )
         return await self.ports[at].change(request)
@@ -361,7 +365,7 @@
             self.assertEqual([await self.clear(*first), await self.clear(*second)], [200, 412])
 
     async def test_what_cannot_be_told_is_neither_confirmed_nor_refused(self):
-        with mock.patch.object(memory, "REMEMBERED", 2):
+        with mock.patch.object(memory, "MAX_REMEMBERED", 2):
             for number in range(4):
                 self.assertEqual(await self.clear(number, number + 1), 200)
             answer = await self.send(await self.leads(), 0, 1)
@@ -375,7 +379,7 @@
         with mock.patch.object(ConsensusDriver, "current", side_effect=Lost):
             for order in ((0, 3), (0, 3, "/rival"), (3, 2), (3, 4, "no slash")):
                 self.assertEqual((await self.send(at, *order)).status, 503)
-        with mock.patch.object(ConsensusDriver, "propose", return_value=control.UNKNOWN):
+        with mock.patch.object(ConsensusDriver, "propose", return_value=control.STATUS_UNKNOWN_MESSAGE):
             self.assertEqual((await self.send(at, 3, 4)).status, 503)
 
     async def test_an_outcome_that_is_not_known_is_not_called_done(self):
--- a/tests/system/test_outliers.py
+++ b/tests/system/test_outliers.py
@@ -4,9 +4,15 @@
 import unittest
 
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.discovery.loads import SPAN, Loads
-from knotwalk.discovery.outliers import AGAIN, PART, REST, REST_LAST, OutlierDetection
-from knotwalk.discovery.view_publisher import Board
+from knotwalk.discovery.loads import WINDOW_S, LoadReports
+from knotwalk.discovery.outliers import (
+    EJECTION_RESET_S,
+    FIRST_EJECTION_S,
+    MAX_EJECTED_FRACTION,
+    MAX_EJECTION_S,
+    OutlierDetection,
+)
+from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge.choose import pick
 from tests.system.test_placement import Fleet
@@ -19,7 +25,7 @@
         self.random, self.edges, self.rate, self.now = random.Random(seed), edges, rate, 0.0
         self.nodes = {f"n{n}": Node(f"n{n}", "s", ("10.0.0.1", n), "z", 2) for n in range(nodes)}
         self.chances = dict.fromkeys(self.nodes, 0.0)
-        self.loads, self.full = Loads(), set()
+        self.loads, self.full = LoadReports(), set()
 
     def report(self, telling):
         """What one edge tells of a second: few tries at few nodes."""
@@ -41,8 +47,8 @@
         for _ in range(count):
             for _ in range(self.edges):
                 self.now += 1.0 / self.edges
-                self.loads.add(self.now, self.report(telling), True)
-            yield self.loads.ailing.judge(self.now, self.nodes)
+                self.loads.add_report(self.now, self.report(telling), True)
+            yield self.loads.outlier_detection.evaluate(self.now, self.nodes)
 
 
 class AilingTest(unittest.TestCase):
@@ -71,7 +77,7 @@
         met = Met()
         met.chances |= {f"n{n}": 0.9 for n in range(9)}
         found = list(met.seconds(6))
-        self.assertEqual(max(len(rests) for rests in found), PART * 20)
+        self.assertEqual(max(len(rests) for rests in found), MAX_EJECTED_FRACTION * 20)
         self.assertLessEqual(set().union(*found), {f"n{n}" for n in range(9)})
 
     def test_a_full_node_that_resets_connections_does_not_ail(self):
@@ -86,30 +92,32 @@
         met.chances["n3"] = 1.0
         record, rests = None, []
         for _ in met.seconds(60):
-            record = met.loads.ailing.records["n3"]
-            rests += [record.rest] if record.rest and record.until == met.now + record.rest else []
-        self.assertEqual(rests, [REST, 2 * REST] + [REST_LAST] * (len(rests) - 2))
+            record = met.loads.outlier_detection.records["n3"]
+            rests += (
+                [record.ejection_s] if record.ejection_s and record.ejected_until == met.now + record.ejection_s else []
+            )
+        self.assertEqual(rests, [FIRST_EJECTION_S, 2 * FIRST_EJECTION_S] + [MAX_EJECTION_S] * (len(rests) - 2))
         self.assertGreaterEqual(len(rests), 4)
         met.chances["n3"] = 0.0
-        self.assertEqual(list(met.seconds(int(REST_LAST + AGAIN)))[-1], set())
+        self.assertEqual(list(met.seconds(int(MAX_EJECTION_S + EJECTION_RESET_S)))[-1], set())
         met.chances["n3"] = 1.0
         list(met.seconds(4))
-        self.assertEqual(record.rest, REST)  # it was well for long
+        self.assertEqual(record.ejection_s, FIRST_EJECTION_S)  # it was well for long
 
     def test_what_another_core_was_told_leads_to_the_same(self):
-        met, other = Met(), Loads()
+        met, other = Met(), LoadReports()
         met.chances["n3"] = 0.7
         for _ in met.seconds(4):
-            other.add(met.now, met.loads.take(met.now), False)
-        self.assertEqual(other.ailing.judge(met.now, met.nodes), {"n3"})
-        self.assertEqual(met.loads.sums(met.now + SPAN + 1)[0].get("bad", {}), {})
+            other.add_report(met.now, met.loads.take_unsent(met.now), False)
+        self.assertEqual(other.outlier_detection.evaluate(met.now, met.nodes), {"n3"})
+        self.assertEqual(met.loads.window_sums(met.now + WINDOW_S + 1)[0].get("bad", {}), {})
 
     def test_a_node_that_ended_is_forgotten(self):
         ailing, node = OutlierDetection(), Node("a", "s", ("10.0.0.1", 1), "z", 2)
         others = {f"n{n}": Node(f"n{n}", "s", ("10.0.0.1", n), "z", 2) for n in range(8)}
-        ailing.hear(0.0, {"bad": {"a": [9, 9]}, "nodes": {id: [5, 5, 2] for id in others}})
-        self.assertEqual(ailing.judge(0.1, others | {"a": node}), {"a"})
-        self.assertEqual(ailing.judge(0.2, others), set())
+        ailing.add_report(0.0, {"bad": {"a": [9, 9]}, "nodes": {id: [5, 5, 2] for id in others}})
+        self.assertEqual(ailing.evaluate(0.1, others | {"a": node}), {"a"})
+        self.assertEqual(ailing.evaluate(0.2, others), set())
         self.assertNotIn("a", ailing.records)
 
 
@@ -125,25 +133,25 @@
             self.assertEqual(fleet.loads()["n3"] == 0.0, emptied, load)
 
     def test_no_request_of_an_undivided_service_goes_there_while_there_are_others(self):
-        nodes = [Node(f"n{n}", "s", ("10.0.0.1", n), "z", 2, ailing=n != 2) for n in range(4)]
+        nodes = [Node(f"n{n}", "s", ("10.0.0.1", n), "z", 2, is_outlier=n != 2) for n in range(4)]
         luck = random.Random(1)
         self.assertEqual({pick(nodes, 0.0, "z", luck).id for _ in range(50)}, {"n2"})
         self.assertEqual({pick(nodes[:2], 0.0, "z", luck).id for _ in range(50)}, {"n0", "n1"})
 
     def test_edges_go_by_the_core_that_they_heard_last(self):
-        first, second, view = Board("one"), Board("two"), ClusterView()
+        first, second, view = ViewPublisher("one"), ViewPublisher("two"), ClusterView()
         nodes = {id: Node(id, "s", ("10.0.0.1", n), "z", 2) for n, id in enumerate("abc")}
         for board in (first, second):
             board.set_nodes((1, 1), nodes, True)
 
         def hear(board):
-            if message := board.since(view.ask(), 0.0):
+            if message := board.changes_since(view.positions(), 0.0):
                 view.apply(0.0, message)
-            return {id for id, node in view.nodes.items() if node.ailing}
+            return {id for id, node in view.nodes.items() if node.is_outlier}
 
         self.assertEqual(hear(first), set())
-        self.assertTrue(first.set_ailing(frozenset("ad")))
-        self.assertFalse(first.set_ailing(frozenset("ad")))
+        self.assertTrue(first.set_outliers(frozenset("ad")))
+        self.assertFalse(first.set_outliers(frozenset("ad")))
         self.assertEqual(hear(first), {"a"})
         first.set_nodes((1, 2), nodes | {"d": Node("d", "s", ("10.0.0.1", 9), "z", 2)}, True)
         self.assertEqual(hear(first), {"a", "d"})  # it was held ailing before the list had it
--- a/tests/system/test_placement.py
+++ b/tests/system/test_placement.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from knotwalk.discovery.view_types import SLICES, Node
+from knotwalk.discovery.view_types import SLICE_COUNT, Node
 from knotwalk.leases.ledger import Ledger
 from knotwalk.placement.capacity import SETTLE, Capacities, Report, utilizations
 from knotwalk.placement.passes import place, strip
@@ -28,7 +28,7 @@
     worse,
 )
 
-UNIT = 512 / SLICES  # a slice's load: 512 of load in all, whatever the number of slices
+UNIT = 512 / SLICE_COUNT  # a slice's load: 512 of load in all, whatever the number of slices
 
 
 class Fleet:
@@ -43,13 +43,13 @@
         for n in range(nodes):
             self.add(f"n{n}", zones[n % len(zones)])
         self.capacities = capacities or {}
-        self.demand = {k: UNIT for k in range(SLICES)}
+        self.demand = {k: UNIT for k in range(SLICE_COUNT)}
         self.told = {}
         self.spans = {"s": 4.0}
         self.moves = []  # (when, by, slice, target) of all commands
         self.apply({"do": "shard", "services": ["s"]})
         for n, name in enumerate(conductors):
-            first, last = n * SLICES // len(conductors), (n + 1) * SLICES // len(conductors) - 1
+            first, last = n * SLICE_COUNT // len(conductors), (n + 1) * SLICE_COUNT // len(conductors) - 1
             self.apply({"do": "lease", "to": name, "slices": {"s": [[first, last]]}})
         self.step()  # the first laying-out waits for nodes that start at the same time
         self.now += GATHER_MOST
@@ -158,7 +158,7 @@
 
     def near(self, fleet, homes):
         """The share of slices that node and conductor have in one zone."""
-        return sum(fleet.nodes[x.owner].zone == homes[x.conductor] for x in fleet.line) / SLICES
+        return sum(fleet.nodes[x.owner].zone == homes[x.conductor] for x in fleet.line) / SLICE_COUNT
 
     def test_a_fresh_service_is_laid_out_within_zones_and_as_evenly(self):
         homes = {"a": "x", "b": "y", "c": "z"}
@@ -221,7 +221,7 @@
         fleet.step()
         del fleet.nodes["n0"]
         (command,) = fleet.step(only="b")
-        self.assertTrue(all(256 <= row[1] and row[2] < SLICES for row in command["moves"]))
+        self.assertTrue(all(256 <= row[1] and row[2] < SLICE_COUNT for row in command["moves"]))
         self.assertEqual(command["by"], "b")
         self.assertTrue(any(x.owner == "n0" for x in fleet.line[:256]))
 
@@ -285,7 +285,7 @@
             batches[at] = batches.get(at, 0) + 1
         times = sorted(batches)
         self.assertGreater(len(times), 1)
-        self.assertLessEqual(max(batches.values()), int(SLICES * BATCH))
+        self.assertLessEqual(max(batches.values()), int(SLICE_COUNT * BATCH))
         self.assertTrue(all(b - a >= BATCH_PAUSE for a, b in zip(times, times[1:])))
 
     def test_an_even_fleet_is_left_alone_and_a_heavy_slice_stays(self):
--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -48,7 +48,7 @@
 
     async def call(self, number, patience=LONG):
         for node in self.front.view.nodes.values():
-            node.seen = None  # whatever was learnt must not keep the next call from being sent
+            node.local_state = None  # whatever was learnt must not keep the next call from being sent
         client = await RawClient.to(self.front.port)
         try:
             client.ask(self.path, f"id{number}", deadline=int(min(patience, DEADLINE) * 1000))
@@ -93,17 +93,17 @@
 
     async def open(self, peer):
         self.url = "http://{}:{}/x".format(*peer.address)
-        self.caller = runtime_call.Caller(**self.options)
+        self.caller = runtime_call.HttpClient(**self.options)
 
 
 class Grant(CoreToCore):
     """From a core to a node: the node names no call in its answers."""
 
-    alone, options = False, {"resets": True, "named": False}
+    alone, options = False, {"reset_on_close": True, "with_call_ids": False}
 
     async def call(self, number, patience=LONG):
         with contextlib.suppress(PeerError):
-            status, _, body = await self.caller.send("POST", self.url, {"n": number}, patience, alone=self.alone)
+            status, _, body = await self.caller.send("POST", self.url, {"n": number}, patience, single_use=self.alone)
             return number_in(body) if status == 200 else FAILED
         return FAILED
 
@@ -333,7 +333,9 @@
         return (await self.table(paths, chosen, points))[0]
 
     async def test_a_stale_connection_used_again(self):
-        with mock.patch.object(runtime_call, "spoilt", lambda protocol: not protocol.is_connected()):  # as aiohttp does
+        with mock.patch.object(
+            runtime_call, "has_unexpected_input", lambda protocol: not protocol.is_connected()
+        ):  # as aiohttp does
             self.assertTrue(await self.idle(Grant, mishaps.extra, 50))
             self.assertTrue(await self.idle(List, mishaps.extra, 0))
         with mock.patch.object(edge_caller.Connection, "fit", lambda self: self.line is edge_caller.Line.IDLE):
@@ -353,7 +355,7 @@
                 await self.found((EdgeToNode,), (mishaps.stray,), (READ,))
         with mock.patch.object(edge_caller.Connection, "on_headers_complete", lambda self: None):
             self.assertTrue(await self.found((EdgeToCore,), (mishaps.stray,), (READ,)))
-        with mock.patch.object(runtime_call.NamedResponse, "start", aiohttp.ClientResponse.start):
+        with mock.patch.object(runtime_call.CallIdResponse, "start", aiohttp.ClientResponse.start):
             self.assertTrue(await self.found((CoreToCore,), (mishaps.stray,), (READ,)))
 
     async def test_what_may_not_be_repeated_sent_twice(self):
@@ -361,14 +363,14 @@
         proofs = {**outcome.PROOFS, outcome.End.LOST: outcome.Proof.NEVER_RAN}
         with mock.patch.object(outcome, "PROOFS", proofs), mock.patch.object(forwarder, "PROOFS", proofs):
             self.assertTrue(await self.found((EdgeToNode,), (mishaps.reset,), (READ,)))
-        session = runtime_call.session
+        session = runtime_call.make_session
 
         def retrying(*asked):
             made = session(*asked)
             made._retry_connection = True
             return made
 
-        with mock.patch.object(runtime_call, "session", retrying):
+        with mock.patch.object(runtime_call, "make_session", retrying):
             self.assertTrue(await self.found((List,), (mishaps.reset,), (READ,)))
 
     async def test_a_release_on_a_connection_that_is_used_again(self):
--- a/tests/system/test_runtime.py
+++ b/tests/system/test_runtime.py
@@ -15,9 +15,9 @@
 
 from knotwalk.runtime import lifecycle, metrics, text_port
 from knotwalk.runtime.errors import PeerError, SettingsError
-from knotwalk.runtime.http_client import Caller
+from knotwalk.runtime.http_client import HttpClient
 from knotwalk.runtime.lifecycle import metrics_port
-from knotwalk.runtime.settings import VARIABLE, load, parse
+from knotwalk.runtime.settings import SETTINGS_VARIABLE, load_settings, parse_settings
 
 ROOT = Path(__file__).parents[2]
 GOOD = {
@@ -52,10 +52,10 @@
 
 class SettingsCase(unittest.TestCase):
     def test_each_mistake_is_one_line_that_names_its_field(self):
-        self.assertEqual(parse(GOOD).bounds.max_hold, 9.0)
+        self.assertEqual(parse_settings(GOOD).bounds.max_hold, 9.0)
         for change, where in WRONG:
             with self.subTest(where), self.assertRaises(SettingsError) as met:
-                parse(GOOD | change)
+                parse_settings(GOOD | change)
             self.assertIn(where, str(met.exception))
             self.assertNotIn("\n", str(met.exception))
 
@@ -70,7 +70,7 @@
                     cwd=ROOT,
                     capture_output=True,
                     text=True,
-                    env=os.environ | {VARIABLE: str(file)},
+                    env=os.environ | {SETTINGS_VARIABLE: str(file)},
                     timeout=60,
                 )
                 self.assertEqual((ended.returncode, ended.stderr.count("\n")), (2, 1), ended.stderr)
@@ -83,7 +83,7 @@
         taken, told = [], []
         with (
             tempfile.TemporaryDirectory() as folder,
-            mock.patch.object(lifecycle, "LOOK", 0.001),
+            mock.patch.object(lifecycle, "SETTINGS_POLL_INTERVAL_S", 0.001),
             mock.patch.object(lifecycle.logs, "log_warning", lambda event, **fields: told.append(fields["why"])),
         ):
             file = Path(folder, "node.json")
@@ -98,11 +98,11 @@
                         await asyncio.sleep(0)
 
             put(json.dumps(GOOD))
-            with mock.patch.dict(os.environ, {VARIABLE: str(file)}):
-                self.assertEqual(load().seeds, [("127.0.0.1", 80)])
-                read = load()
+            with mock.patch.dict(os.environ, {SETTINGS_VARIABLE: str(file)}):
+                self.assertEqual(load_settings().seeds, [("127.0.0.1", 80)])
+                read = load_settings()
                 put(json.dumps(GOOD | {"seed_nodes": ["127.0.0.7:80"]}))  # after it was read, before anybody looks
-                lifecycle.Ending(taken.append, read.mark).listen()
+                lifecycle.ProcessSignals(taken.append, read.file_state).install()
                 await until(lambda: taken)
                 put(json.dumps(GOOD | {"seed_nodes": ["127.0.0.9:80"]}))
                 await until(lambda: len(taken) > 1)
@@ -122,7 +122,9 @@
                 pipe = Path(folder, "node.json")
                 os.mkfifo(pipe)
                 started = subprocess.Popen(
-                    [sys.executable, "-m", module], env=os.environ | {VARIABLE: str(pipe)}, stderr=subprocess.PIPE
+                    [sys.executable, "-m", module],
+                    env=os.environ | {SETTINGS_VARIABLE: str(pipe)},
+                    stderr=subprocess.PIPE,
                 )
                 try:
                     written = self.opened(pipe, started)
@@ -152,7 +154,7 @@
         asyncio.get_running_loop().set_debug(False)
         door = socket.create_server(("127.0.0.1", 0))
         door.setblocking(False)
-        caller = Caller(resets=True)
+        caller = HttpClient(reset_on_close=True)
         try:
             call = asyncio.ensure_future(
                 caller.send("POST", f"http://127.0.0.1:{door.getsockname()[1]}/grant", {}, 0.5)
--- a/tests/system/test_unknown_words.py
+++ b/tests/system/test_unknown_words.py
@@ -9,11 +9,11 @@
 import tempfile
 import unittest
 
-from knotwalk.configuration.change_requests import refused_place
-from knotwalk.configuration.documents import Invalid, read_configuration
-from knotwalk.configuration.index import Index
-from knotwalk.configuration.unknown_kinds import unknown_words
-from knotwalk.runtime.settings import VARIABLE, parse, unknown_contracts
+from knotwalk.configuration.change_requests import rejection_location
+from knotwalk.configuration.documents import InvalidConfigurationError, parse_configuration
+from knotwalk.configuration.index import RouteIndex
+from knotwalk.configuration.unknown_kinds import unknown_kinds
+from knotwalk.runtime.settings import SETTINGS_VARIABLE, parse_settings, unknown_contracts
 from tests.system.test_configuration import route, service
 
 
@@ -39,8 +39,8 @@
             route("keyed", "/b/", route_type="keyed"),
             route("new", "/c/", route_type="maybe"),
         )
-        made = read_configuration(configuration(*items))
-        index = Index(made)
+        made = parse_configuration(configuration(*items))
+        index = RouteIndex(made)
         self.assertTrue(index.find("one.example", "/a/x").idempotent)
         for path in ("/b/x", "/c/x"):
             with self.subTest(path):
@@ -48,9 +48,9 @@
 
     def test_what_is_not_known_is_told(self):
         items = route("plain"), route("new", "/c/", route_type="maybe"), route("x", "/d/", route_type="maybe")
-        made = read_configuration(configuration({"object_kind": "moons"}, *items))
-        self.assertEqual(unknown_words(made.items), ["object_kind moons", "route_type maybe"])
-        self.assertEqual(unknown_words(read_configuration(configuration(route("k", route_type="keyed"))).items), [])
+        made = parse_configuration(configuration({"object_kind": "moons"}, *items))
+        self.assertEqual(unknown_kinds(made.items), ["object_kind moons", "route_type maybe"])
+        self.assertEqual(unknown_kinds(parse_configuration(configuration(route("k", route_type="keyed"))).items), [])
 
     def test_the_place_of_a_mistake_names_nothing_of_the_operator_s(self):
         for message, place in (
@@ -61,19 +61,21 @@
             ("upsert.objects[1]: x", "upsert.objects"),
             ("", "other"),
         ):
-            self.assertEqual(refused_place(message), place)
+            self.assertEqual(rejection_location(message), place)
 
     def test_a_contract_that_is_not_known_ends_no_program(self):
         raw = {"node_name": "n", "active_contracts": ["base", "moons", "keys"], "moon": {"deep": 1}}
-        self.assertEqual(unknown_contracts(parse(raw)), ["moons"])
+        self.assertEqual(unknown_contracts(parse_settings(raw)), ["moons"])
 
     def test_null_in_place_of_a_field_is_as_none(self):
-        plain = parse({"node_name": "n", "limits": {}, "timing_bounds": {}})
+        plain = parse_settings({"node_name": "n", "limits": {}, "timing_bounds": {}})
         raw = {"node_name": "n", "zone": None, "region": None, "active_contracts": None, "role": None}
-        self.assertEqual(parse(raw | {"limits": {"cpu_share": None}, "timing_bounds": {"contact": None}}), plain)
+        self.assertEqual(
+            parse_settings(raw | {"limits": {"cpu_share": None}, "timing_bounds": {"contact": None}}), plain
+        )
 
     def test_null_in_place_of_any_part_is_as_none(self):
-        plain = parse({"node_name": "n"})
+        plain = parse_settings({"node_name": "n"})
         for name in (
             "limits",
             "fault_tolerance",
@@ -88,20 +90,20 @@
             "serves",
         ):
             with self.subTest(name):
-                self.assertEqual(parse({"node_name": "n", name: None}), plain)
+                self.assertEqual(parse_settings({"node_name": "n", name: None}), plain)
         inner = {"cloud_api": {"address": None}, "listen_addresses": {"control": None}, "seed_nodes": [None]}
-        self.assertEqual(parse({"node_name": "n", **inner}), plain)
+        self.assertEqual(parse_settings({"node_name": "n", **inner}), plain)
 
     def test_a_listener_that_is_not_known_may_be_anything(self):
         for value in ("/run/moon.sock", 5, None, {"port": 1}):
             raw = {"node_name": "n", "listen_addresses": {"moon": value, "control": "127.0.0.1:1"}}
             with self.subTest(value):
-                self.assertEqual(parse(raw).listen, {"control": ("127.0.0.1", 1)})
+                self.assertEqual(parse_settings(raw).listen, {"control": ("127.0.0.1", 1)})
 
     def test_null_in_a_tenant_s_fields_is_as_none(self):
         def made(**fields):
             one = {"object_kind": "tenants", "metadata": {"name": "t"}, "specification": fields}
-            return read_configuration(configuration(one)).tenants
+            return parse_configuration(configuration(one)).tenants
 
         for name in ("rate_per_s", "burst_size", "api_keys", "priority"):
             with self.subTest(name):
@@ -122,7 +124,9 @@
             raw["listen_addresses"] |= dict(zip(("data_plane", "readiness"), ports, strict=True))
             path.write_text(json.dumps(raw))
             command = [sys.executable, "-m", "knotwalk.edge"]
-            with subprocess.Popen(command, env=os.environ | {VARIABLE: str(path)}, stderr=subprocess.PIPE) as edge:
+            with subprocess.Popen(
+                command, env=os.environ | {SETTINGS_VARIABLE: str(path)}, stderr=subprocess.PIPE
+            ) as edge:
                 lines = []
                 while not lines or json.loads(lines[-1])["event"] not in ("listening", "ended by an error"):
                     lines.append(edge.stderr.readline())
@@ -133,5 +137,5 @@
 
     def test_a_route_type_that_is_missing_or_no_text_is_invalid(self):
         for wrong in (..., None, 7, "", ["idempotent"], True):
-            with self.subTest(wrong), self.assertRaises(Invalid):
-                read_configuration(configuration(route("r", route_type=wrong)))
+            with self.subTest(wrong), self.assertRaises(InvalidConfigurationError):
+                parse_configuration(configuration(route("r", route_type=wrong)))
--- a/tests/system/test_unproven_ends.py
+++ b/tests/system/test_unproven_ends.py
@@ -6,7 +6,7 @@
 
 import unittest
 
-from knotwalk.discovery.reachability import WORD, PeerReachability, UnreachedNodes, unreached_nodes
+from knotwalk.discovery.reachability import REPORT_TTL_S, PeerReachability, UnreachedNodes, parse_unreached_nodes
 from knotwalk.leases.orders import REFUSED, SLOW, Grant, Release
 from knotwalk.leases.slice_tenure import MOVE_TIME
 from tests.system.test_leases import PACE, KeeperHarness, World
@@ -116,14 +116,14 @@
 
     def test_the_longest_word_counts_until_it_is_withdrawn_or_old(self):
         reach = PeerReachability()
-        reach.hear(10.0, unreached_nodes(UnreachedNodes("a", {"n": 2.0, "m": 1.0}).to_dict()))
-        reach.hear(10.5, UnreachedNodes("b", {"n": 0.5}))
-        self.assertEqual(reach.since(11.0), {"n": 8.0, "m": 9.0})
-        reach.hear(11.0, UnreachedNodes("a", {}))
-        self.assertEqual(reach.since(11.0), {"n": 10.0})
-        self.assertEqual(reach.since(10.5 + WORD), {})
+        reach.add_report(10.0, parse_unreached_nodes(UnreachedNodes("a", {"n": 2.0, "m": 1.0}).to_dict()))
+        reach.add_report(10.5, UnreachedNodes("b", {"n": 0.5}))
+        self.assertEqual(reach.unreached_since(11.0), {"n": 8.0, "m": 9.0})
+        reach.add_report(11.0, UnreachedNodes("a", {}))
+        self.assertEqual(reach.unreached_since(11.0), {"n": 10.0})
+        self.assertEqual(reach.unreached_since(10.5 + REPORT_TTL_S), {})
 
     def test_what_is_no_word_names_the_mistake(self):
         for raw in (None, {"core": "a"}, {"core": 1, "nodes": {}}, {"core": "a", "nodes": {"n": "long"}}):
             with self.assertRaisesRegex(ValueError, "unreached nodes: "):
-                unreached_nodes(raw)
+                parse_unreached_nodes(raw)
--- a/tests/system/test_village.py
+++ b/tests/system/test_village.py
@@ -15,7 +15,7 @@
 
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.logs import clock
-from knotwalk.runtime.metrics import complete_modules
+from knotwalk.runtime.metrics import restore_tls_modules
 from tests.standins.documents import FIRST, route
 from tests.standins.village import Village
 
@@ -127,7 +127,7 @@
 
     @here
     async def test_each_program_tells_its_figures_under_the_names_of_the_guide(self, village):
-        complete_modules()
+        restore_tls_modules()
         from prometheus_client.parser import text_string_to_metric_families
 
         told = {}
