--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -35,7 +35,7 @@
 from knotwalk.replay.model import Model
 from knotwalk.replay.past import Past
 from knotwalk.settings.operator import Operator, Record
-from knotwalk.told import Bounds
+from knotwalk.wire_values import Bounds
 
 GROWN = Size(servers=66, proxies=130, slices=130, rate=220.0, parts=3)  # one of three conductors' part
 FLEET = Size(servers=10, proxies=20, slices=60, rate=90.0)
--- a/knotwalk/decide/__init__.py
+++ b/knotwalk/decide/__init__.py
@@ -5,17 +5,17 @@
 from the paper. A slice is in one share or, when hot, in several; a share is the paper's virtual server.
 """
 
+from knotwalk.decide.controller_state import Server, Slice
 from knotwalk.decide.health import Health
-from knotwalk.decide.holdings import Server, Slice
+from knotwalk.decide.inbox import InboxHandlers
 from knotwalk.decide.levels import Levels
-from knotwalk.decide.news import News
 from knotwalk.decide.passes import Passes
 from knotwalk.interface import Orders
 
 __all__ = ["Conductor", "Server", "Slice"]
 
 
-class Conductor(News, Health, Passes, Levels):
+class Conductor(InboxHandlers, Health, Passes, Levels):
     """One controller."""
 
     def decide(self, now: float, inbox: list, out: Orders) -> None:
--- a/knotwalk/decide/holdings.py
+++ b/knotwalk/decide/controller_state.py
@@ -48,7 +48,7 @@
         self.levels, self.told_levels = [], []      # shares let in, by method, and what of it was told
 
 
-class Holdings:
+class ControllerState:
     """All that a controller knows and keeps; the concerns add what they make of it."""
 
     RETRY = 1       # on proof only; see Orders.admit
--- a/knotwalk/decide/estimates.py
+++ b/knotwalk/decide/estimates.py
@@ -2,11 +2,11 @@
 
 from statistics import fmean
 
-from knotwalk.decide.holdings import Holdings, Server
+from knotwalk.decide.controller_state import ControllerState, Server
 from knotwalk.placement.passes import fit
 
 
-class Estimates(Holdings):
+class Estimates(ControllerState):
     UNHEARD = 1e-6  # demand where nothing was heard of any slice: next to none, but it adds up
     WINDOW = 8.0    # seconds of demand: a slice of a few RPCs a second needs some twenty for a steady figure
 
--- a/knotwalk/decide/health.py
+++ b/knotwalk/decide/health.py
@@ -1,9 +1,9 @@
 """Health: how far a server is trusted, by what proxies met there."""
 
-from knotwalk.decide.holdings import Holdings, Server
+from knotwalk.decide.controller_state import ControllerState, Server
 
 
-class Health(Holdings):
+class Health(ControllerState):
     def judge(self) -> None:
         """Lower the trust in servers that answer badly, from what proxies met and not from reports.
 
--- a/knotwalk/decide/news.py
+++ b/knotwalk/decide/inbox.py
@@ -2,10 +2,10 @@
 
 from zlib import crc32
 
-from knotwalk.decide.holdings import Holdings, Server, Slice
+from knotwalk.decide.controller_state import ControllerState, Server, Slice
 
 
-class News(Holdings):
+class InboxHandlers(ControllerState):
     def server(self, id: str) -> Server:
         if (server := self.servers.get(id)) is None:
             server = self.servers[id] = Server(id)
--- a/knotwalk/decide/levels.py
+++ b/knotwalk/decide/levels.py
@@ -1,7 +1,7 @@
 """Levels: which part of each method's RPCs a slice's proxies let in, where servers cannot do all."""
 
+from knotwalk.decide.controller_state import Server
 from knotwalk.decide.estimates import Estimates
-from knotwalk.decide.holdings import Server
 
 
 class Levels(Estimates):
--- a/knotwalk/decide/passes.py
+++ b/knotwalk/decide/passes.py
@@ -2,7 +2,7 @@
 
 from operator import attrgetter
 
-from knotwalk.decide.holdings import Server, Slice
+from knotwalk.decide.controller_state import Server, Slice
 from knotwalk.decide.sending import Sending
 from knotwalk.placement.passes import place, strip
 
--- a/knotwalk/decide/sending.py
+++ b/knotwalk/decide/sending.py
@@ -2,8 +2,8 @@
 
 from collections import deque
 
+from knotwalk.decide.controller_state import Server, Slice
 from knotwalk.decide.estimates import Estimates
-from knotwalk.decide.holdings import Server, Slice
 from knotwalk.interface import Orders
 
 
--- a/knotwalk/net/collectors.py
+++ b/knotwalk/net/collectors.py
@@ -10,7 +10,7 @@
 from knotwalk.net.log import Log
 from knotwalk.net.loop import Link, Loop, Unreadable
 from knotwalk.net.resp import Resp, packed
-from knotwalk.told import LOADS, Bounds, count, figure, plain
+from knotwalk.wire_values import LOADS, Bounds, count, figure, plain
 
 ALIVE = packed("alive")
 # Collectors send the sums of a period as a burst of messages, which the module is to see as a whole: it
--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -21,10 +21,10 @@
 from knotwalk.net.log import Log
 from knotwalk.net.loop import Loop, Timer
 from knotwalk.net.relay import Calls, News
+from knotwalk.order_log import Through
 from knotwalk.placement import passes
 from knotwalk.state import carry
-from knotwalk.tape import Through
-from knotwalk.told import (
+from knotwalk.wire_values import (
     Malformed,
     figure,
     flattened,
--- a/knotwalk/net/discovery.py
+++ b/knotwalk/net/discovery.py
@@ -11,7 +11,7 @@
 from knotwalk.net.ending import Ending, Role, outcome
 from knotwalk.net.log import Log
 from knotwalk.net.loop import AGAIN_FIRST, Kept, Link, Loop, Timer, Unreadable
-from knotwalk.told import STATES, figure, plain
+from knotwalk.wire_values import STATES, figure, plain
 
 WAIT = 1.0  # seconds that a watch may wait: a change counts as told 2 s after, whether it came or not
 LATE = 0.5  # seconds past its wait after which a call is silent; the whole list has none
--- a/knotwalk/net/relay.py
+++ b/knotwalk/net/relay.py
@@ -12,7 +12,7 @@
 from knotwalk.net.ending import Ending, Outcome, Role, outcome
 from knotwalk.net.log import Log
 from knotwalk.net.loop import AGAIN_FIRST, AGAIN_MOST, CONNECT, Kept, Link, Loop, Timer, TooLong, Unreadable
-from knotwalk.told import count, figure, plain
+from knotwalk.wire_values import count, figure, plain
 
 CALL_MOST = 60_000  # bytes of orders in a call, as the protocol has it
 ANSWER = 0.15  # an answer comes within 50 ms or never; the rest is for a late loop
--- a/knotwalk/replay/exact.py
+++ b/knotwalk/replay/exact.py
@@ -11,10 +11,10 @@
 
 from knotwalk import state
 from knotwalk.decide import Conductor
+from knotwalk.order_log import Tape
 from knotwalk.record.format import CHECK, FAILED, LIFE, ROUND
 from knotwalk.record.reader import Block, Loss, Recording
 from knotwalk.state import Unfit
-from knotwalk.tape import Tape
 
 MOST = 20  # divergences kept: all that follow the first of a life mostly follow from it
 
--- a/knotwalk/replay/model.py
+++ b/knotwalk/replay/model.py
@@ -14,10 +14,10 @@
 
 from knotwalk.decide import Conductor
 from knotwalk.interface import Settings
+from knotwalk.order_log import Tape
 from knotwalk.replay.day_parts import SHAPE, Report
 from knotwalk.replay.past import Past
 from knotwalk.rules import Break, Rules
-from knotwalk.tape import Tape
 
 GIVE_UP = 5.0  # seconds that a client waits where the recording does not say: past most soft deadlines
 WAIT_MOST = 8.0  # seconds of wait at which a server takes no more: its queues have some end
--- a/knotwalk/wirehost/host.py
+++ b/knotwalk/wirehost/host.py
@@ -8,7 +8,7 @@
 from typing import BinaryIO, TextIO
 
 from knotwalk.decide import Conductor
-from knotwalk.told import LOADS, STATES, Malformed, plain, read_methods, read_settings
+from knotwalk.wire_values import LOADS, STATES, Malformed, plain, read_methods, read_settings
 
 EVERY_SLICE = 65535
 
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -14,7 +14,7 @@
 
 from knotwalk.decide import Conductor
 from knotwalk.interface import Method, Settings
-from knotwalk.tape import Tape
+from knotwalk.order_log import Tape
 
 METHODS = (Method(soft_deadline=1.5, criticality=3.0), Method(soft_deadline=1.0, criticality=9.0))
 WORK, SHARE, DEADLINE = (0.26, 0.15), (0.55, 0.45), (5.0, 2.5)  # by method: core seconds, part, seconds
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -10,8 +10,8 @@
 
 from knotwalk.decide import Conductor
 from knotwalk.interface import Method, Settings
+from knotwalk.order_log import Tape
 from knotwalk.rules import Limits, Rules
-from knotwalk.tape import Tape
 
 ZONES = ("east", "west")
 LEASE_LATE = 2.5  # seconds until a lost conductor's slices are the others'
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -103,7 +103,7 @@
         assert done.stdout.strip() == first, done.stderr
     # Each conductor's inbox, played to a module of its own with no other beside it, gives its orders.
     from knotwalk.decide import Conductor
-    from knotwalk.tape import Tape
+    from knotwalk.order_log import Tape
 
     for seat in f.seats:
         alone = Conductor(f.settings._replace(place=seat.place), 900 + seat.place)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -8,7 +8,7 @@
 from knotwalk.net.loop import TooLong, Unreadable
 from knotwalk.net.resp import Resp, packed
 from knotwalk.net.ring import Ring
-from knotwalk.told import Malformed, flattened, read_methods, read_settings
+from knotwalk.wire_values import Malformed, flattened, read_methods, read_settings
 
 
 def fault_of(machine, data):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 from knotwalk.net.ending import Ending
 from knotwalk.net.relay import Calls, News
 from knotwalk.net.resp import packed
-from knotwalk.told import Bounds
+from knotwalk.wire_values import Bounds
 
 HOME = ("127.0.0.1", 1)
 HEARD = packed(
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -7,7 +7,7 @@
 
 from knotwalk import state
 from knotwalk.decide import Conductor, Server, Slice
-from knotwalk.tape import Tape
+from knotwalk.order_log import Tape
 
 SMALL = Size(servers=5, proxies=4, slices=12, rate=40.0)
 
