--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -34,8 +34,8 @@
 from knotwalk.replay import change, exact, verdict
 from knotwalk.replay.model import Model
 from knotwalk.replay.past import Past
-from knotwalk.settings.operator import Operator, Record
-from knotwalk.wire_values import Bounds
+from knotwalk.settings.operator import OperatorSettings, RecordSettings
+from knotwalk.wire_values import ReportBounds
 
 GROWN = Size(servers=66, proxies=130, slices=130, rate=220.0, parts=3)  # one of three conductors' part
 FLEET = Size(servers=10, proxies=20, slices=60, rate=90.0)
@@ -107,11 +107,11 @@
         path = Path(folder, "config.json")
         path.write_text(json.dumps(stand.told))
         hosts = []
-        for record in (None, Operator(Record(True, folder + "/r"))):
+        for record in (None, OperatorSettings(RecordSettings(True, folder + "/r"))):
             config = Config({"EDGE_CONFIG": str(path)})
             config.settings, config.tick = day.settings, 0.0
             config.methods = {"m0": 0, "m1": 1}
-            config.bounds = Bounds(frozenset({"east", "west"}), GROWN.slices, 1e9, 1e9)
+            config.bounds = ReportBounds(frozenset({"east", "west"}), GROWN.slices, 1e9, 1e9)
             host = Host(config, Log(open(os.devnull, "w")), record)
             host.loop.now = lambda: clock_of[0]  # type: ignore[method-assign]
             host.names = {0: "m0", 1: "m1"}
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -13,7 +13,7 @@
 from knotwalk.leases.evidence import Event, Evidence, HolderCleared, NodeUnreachable
 from knotwalk.leases.keeper import Keeper
 from knotwalk.leases.orders import REFUSED, UNSENT, Grant, Pace, Propose, Release
-from knotwalk.placement.capacity import Report, utilizations
+from knotwalk.placement.capacity import LoadReport, utilizations
 from knotwalk.placement.placer import Placer
 from knotwalk.runtime.call import Caller, Refused
 from knotwalk.runtime.errors import PeerError
@@ -200,7 +200,7 @@
         lapsed = self.keeper.lapsed(now)
         avoided = frozenset(self.peers_reach.since(now))
         news = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.ailing
-        if not self.placer.due(now, news):
+        if not self.placer.is_due(now, news):
             return []
         return self.placer.place(now, ledger, self.board.nodes, self.report(now, unreachable, lapsed, avoided))
 
@@ -211,7 +211,7 @@
 
     def report(
         self, now: float, unreachable: set[str], lapsed: frozenset[tuple[str, int]], avoided: frozenset[str]
-    ) -> Report:
+    ) -> LoadReport:
         """What the placement goes by, besides the ledger and the list."""
         sums, spans = self.loads.sums(now)
         # Requests, not their seconds: those grow with a node's queue, and would make the slices of a full node heavier.
@@ -221,7 +221,7 @@
             if slices
         }
         told = utilizations(sums.get("nodes", {}), spans, self.board.nodes)
-        return Report(
+        return LoadReport(
             demand=demand,
             utilization=told,
             heard={id: now for id in told},
--- a/knotwalk/decide/estimates.py
+++ b/knotwalk/decide/estimates.py
@@ -1,126 +1,126 @@
-"""Estimates: demand by slice, load and capacity by server. Whatever moves or levels rest on is worked out here."""
+"""Estimates on which moves and admission levels rest: demand by slice, load and capacity by server."""
 
 from statistics import fmean
 
 from knotwalk.decide.controller_state import ControllerState, Server
-from knotwalk.placement.passes import fit
+from knotwalk.placement.passes import utilization
 
 
 class Estimates(ControllerState):
-    UNHEARD = 1e-6  # demand where nothing was heard of any slice: next to none, but it adds up
-    WINDOW = 8.0    # seconds of demand: a slice of a few RPCs a second needs some twenty for a steady figure
+    UNHEARD = 1e-6  # demand of a slice where no demand has been reported at all: negligible, but it adds up
+    WINDOW = 8.0    # seconds of demand: a slice of a few RPCs a second needs some twenty for a steady estimate
 
-    def measure(self) -> None:
-        """Demand by slice, load and capacity by server, from the samples kept."""
+    def update_estimates(self) -> None:
+        """Estimate demand, load and capacity from the samples kept."""
         for s in self.slices.values():
-            while s.samples and s.samples[0][0] < self.heard_at - self.WINDOW:
+            while s.samples and s.samples[0][0] < self.demand_reported_at - self.WINDOW:
                 s.samples.popleft()
-            s.work = [0.0] * len(self.cost)
-            over = max(self.period, min(self.WINDOW, self.heard_at - s.since))
+            s.method_demand = [0.0] * len(self.rpc_costs)
+            seconds = max(self.report_period, min(self.WINDOW, self.demand_reported_at - s.demand_since))
             for x in s.samples:
-                s.work[x[4]] += x[2] / over
-            s.demand, s.unsure = sum(s.work), not any(s.work)
-            recent = [x for x in s.samples if x[0] > self.heard_at - 0.5 * self.period]
+                s.method_demand[x[4]] += x[2] / seconds
+            s.demand, s.demand_unknown = sum(s.method_demand), not any(s.method_demand)
+            recent = [x for x in s.samples if x[0] > self.demand_reported_at - 0.5 * self.report_period]
             if recent:
                 span, rpcs = max(x[1] for x in recent), sum(x[3] for x in recent)
-                # A jump that chance does not explain counts at once.
-                surely = sum(x[2] for x in recent) / max(span, 0.1) * max(0.0, 1 - 1.5 / max(1, rpcs) ** 0.5)
-                if surely > s.demand:
-                    s.work = [w * surely / s.demand for w in s.work]
-                    s.demand = surely
-        heard_of = [s.demand for s in self.slices.values() if s.since < float("inf")]
-        # A slice just given is as the others are: at no demand, many would go to one and the same server.
+                # A jump too large to be chance counts at once.
+                certain = sum(x[2] for x in recent) / max(span, 0.1) * max(0.0, 1 - 1.5 / max(1, rpcs) ** 0.5)
+                if certain > s.demand:
+                    s.method_demand = [w * certain / s.demand for w in s.method_demand]
+                    s.demand = certain
+        reported = [s.demand for s in self.slices.values() if s.demand_since < float("inf")]
+        # A slice just given counts as the mean of the others: at no demand, many would go to the same server.
         for s in self.slices.values():
-            if s.since == float("inf") and self.heard_at < s.given_at + self.period:
-                s.demand = fmean(heard_of or [self.UNHEARD])
+            if s.demand_since == float("inf") and self.demand_reported_at < s.given_at + self.report_period:
+                s.demand = fmean(reported or [self.UNHEARD])
         known = [s.demand for s in self.slices.values()]
-        ready = self.ready()
+        ready = self.ready_servers()
         rpcs = [(x[2], x[3]) for s in self.slices.values() for x in s.samples]
-        usual_cost = sum(work for work, _ in rpcs) / max(1, sum(n for _, n in rpcs))
+        mean_cost = sum(work for work, _ in rpcs) / max(1, sum(n for _, n in rpcs))
         for server in self.servers.values():
-            server.load = server.shut_out = server.coming = 0.0
+            server.load = server.rejected_load = server.incoming_load = 0.0
         for s in self.slices.values():
-            shut_out = sum(work * (1 - level) for work, level in zip(s.work, s.told_levels))
+            rejected = sum(work * (1 - level) for work, level in zip(s.method_demand, s.sent_levels))
             for server in s.shares:
                 server.load += s.demand / len(s.shares)
-                server.shut_out += shut_out / len(s.shares)
-        # Other controllers' slices load the servers too. Unheard, they count as ours and fill what ours
-        # leave of an even load: a server is not idle because few of ours are there.
-        others = sum(known) * (self.slices_all / max(1, len(known)) - 1)
-        parts = [x.size * self.ramp(x) * x.proven for x in ready]
+                server.rejected_load += rejected / len(s.shares)
+        # Other controllers' slices load the servers too. Until reported, they count as ours do on average and fill
+        # up what ours leave of an even load: a server with few of our slices is not idle for that.
+        others = sum(known) * (self.total_slices / max(1, len(known)) - 1)
+        parts = [x.size * self.ramp_share(x) * x.proven for x in ready]
         even = (sum(known) + others) / max(1e-9, sum(parts))
         gaps = [max(0.0, even * part - x.load) for x, part in zip(ready, parts)]
         for server, gap in zip(ready, gaps):
-            server.spread = gap * others / max(1e-9, sum(gaps))
-            # Nor while slices change hands: a controller that was cut off hears loads it has no slices for.
+            server.others_load = gap * others / max(1e-9, sum(gaps))
             rates = [rate for _, rate in server.reports if rate is not None] if others else []
-            settled = self.now - max(server.moved, self.taken_at) > self.settle
-            while server.shifts and server.shifts[0][0] <= self.now - self.settle + self.period:
-                server.shifts.popleft()
-            # One that tells its rate need not settle: what came or left lately is not in its word yet.
-            if server.reports and len(heard_of) > 0.5 * len(self.slices) and (
-                    settled and not self.cold(server) or rates and self.now - self.taken_at > self.settle):
-                # Only work let in and answered: what was pushed back kept no core busy.
-                own = server.load - sum(load for _, load in server.shifts)
-                done = max(0.0, own - server.shut_out) * self.answered(server)
-                # What a server says it serves is all of its load, whoever sent it.
-                told = fmean(rates) * usual_cost if rates else done + server.spread
-                done = done if settled else min(done, told)
-                other = max(0.0, told - done)
-                used = fmean(used for used, _ in server.reports) * self.certain(server)
-                # Next to idle by its word at a usual load is no word to go by: it would look huge.
-                if used > self.IDLE * (done + other) / max(self.unit * server.size, 1e-9) or not self.unit:
-                    server.uses.append((self.now, done, other, used))
-                    server.empty = False
-        # Capacity: demand over utilization, each summed over the samples, steadied by the fleet's figure.
+            # Reports soon after a move, or after slices were taken, do not count: they tell of load that is not ours.
+            settled = self.now - max(server.last_move_at, self.last_taken_at) > self.settle_time
+            while server.load_shifts and server.load_shifts[0][0] <= self.now - self.settle_time + self.report_period:
+                server.load_shifts.popleft()
+            # A report with a rate counts in spite of recent moves: their load, not yet in it, is deducted.
+            if server.reports and len(reported) > 0.5 * len(self.slices) and (
+                    settled and not self.is_cold(server) or rates and self.now - self.last_taken_at > self.settle_time):
+                # Only work admitted and answered: what was rejected kept no core busy.
+                own = server.load - sum(load for _, load in server.load_shifts)
+                done = max(0.0, own - server.rejected_load) * self.success_rate(server)
+                # The rate that a server reports is all of its load, whoever sent it.
+                total = fmean(rates) * mean_cost if rates else done + server.others_load
+                done = done if settled else min(done, total)
+                other = max(0.0, total - done)
+                used = fmean(used for used, _ in server.reports) * self.warm_share(server)
+                # A near-idle report at a usual load is ignored: the server would look huge.
+                if (used > self.IDLE * (done + other) / max(self.unit_capacity * server.size, 1e-9)
+                        or not self.unit_capacity):
+                    server.usage_samples.append((self.now, done, other, used))
+                    server.unmeasured = False
         for server in self.servers.values():
             if server.reports:
-                server.used, server.reported = fmean(used for used, _ in server.reports), self.now
+                server.reported_use, server.reported_at = fmean(used for used, _ in server.reports), self.now
                 server.reports = []
-        sums = [(x, sum(u[1] + u[2] for u in x.uses), sum(u[3] for u in x.uses)) for x in ready]
+        # Capacity: demand over utilization, each summed over the samples and blended with the fleet's average.
+        sums = [(x, sum(u[1] + u[2] for u in x.usage_samples), sum(u[3] for u in x.usage_samples)) for x in ready]
         used_all = sum(used * x.size for x, _, used in sums)
-        self.average = sum(load for _, load, _ in sums) / used_all if used_all else 0.0     # per unit of size
-        usual = used_all / max(1.0, sum(x.size * len(x.uses) for x in ready))
+        self.mean_capacity = sum(load for _, load, _ in sums) / used_all if used_all else 0.0    # of size 1
+        mean_used = used_all / max(1.0, sum(x.size * len(x.usage_samples) for x in ready))
         for server, load, used in sums:
-            weight = self.PRIOR * usual
-            base = (load + weight * self.average * server.size) / (used + weight) if weight else 0.0
-            if self.cold(server):
-                base = min(base, self.average * server.size)
-            server.whole = base * self.ramp(server)
-            server.capacity = server.whole * server.health
-            # Utilization beyond our slices is another controller's, a neighbour's, or a slow core's doing.
-            # Where it is unheard of, our part is ours to fill: if each waited for the others none would.
-            recent = [used * base - own for at, own, _, used in server.uses if at > self.now - self.RECENT]
-            # One that came back empty is filled by the controller whose it is: for it, nobody else is there.
-            theirs = server.whole * (1 - len(known) / max(1, self.slices_all))
-            unheard = (0.0 if server.empty and server.ours else min(server.spread, theirs)
-                       if not self.cold(server) else theirs if server.ours else server.whole)
-            server.load += max(0.0, sum(recent) / len(recent)) if recent else unheard
-        self.unit = self.average
-        self.average *= sum(x.size for x in ready) / max(1, len(ready))                     # of a server
+            weight = self.PRIOR * mean_used
+            base = (load + weight * self.mean_capacity * server.size) / (used + weight) if weight else 0.0
+            if self.is_cold(server):
+                base = min(base, self.mean_capacity * server.size)
+            server.full_capacity = base * self.ramp_share(server)
+            server.capacity = server.full_capacity * server.health
+            # Utilization that our slices do not explain comes from another controller, a neighbour or a slow core.
+            # Where none is reported, our part is ours to fill: if each controller waited for the others, none would.
+            recent = [used * base - own for at, own, _, used in server.usage_samples if at > self.now - self.RECENT]
+            # A restarted server is filled by the controller that owns it, which assumes no other load there.
+            theirs = server.full_capacity * (1 - len(known) / max(1, self.total_slices))
+            unreported = (0.0 if server.unmeasured and server.owned else min(server.others_load, theirs)
+                          if not self.is_cold(server) else theirs if server.owned else server.full_capacity)
+            server.load += max(0.0, sum(recent) / len(recent)) if recent else unreported
+        self.unit_capacity = self.mean_capacity
+        self.mean_capacity *= sum(x.size for x in ready) / max(1, len(ready))    # of a server of mean size
 
-    IDLE = 0.2      # of the utilization that the fleet's figure expects: chance seldom shows so little
+    IDLE = 0.2      # of the utilization expected from the average capacity: chance seldom shows so little
 
-    RECENT = 6.0    # seconds of utilization that tell the load of now: less swings with every RPC
-    PRIOR = 2.0     # samples that the fleet's figure counts for: a server's own outweigh it in a few periods
+    RECENT = 6.0    # seconds of utilization that make up the current load: less varies with every RPC
+    PRIOR = 2.0     # samples that the fleet's average counts for: a server's own outweigh it in a few periods
 
     @staticmethod
-    def answered(server: Server) -> float:
+    def success_rate(server: Server) -> float:
         """The share of the last tries there that got a good answer."""
-        tries = sum(m[2] for m in server.met)
-        return sum(m[3] for m in server.met) / tries if tries else 1.0
+        tries = sum(m[2] for m in server.outcomes)
+        return sum(m[3] for m in server.outcomes) / tries if tries else 1.0
 
-    def certain(self, server: Server) -> float:
-        """The part of its capacity that a cold server has for certain, which grows evenly."""
+    def warm_share(self, server: Server) -> float:
+        """The part of its capacity that a cold server is certain to have; it grows linearly (rule 4)."""
         age = min(1.0, (self.now - server.started) / self.cold_time) if server.started else 1.0
         return self.cold_share + (1 - self.cold_share) * age
 
-    def cold(self, server: Server) -> bool:
-        return self.certain(server) < 1
+    def is_cold(self, server: Server) -> bool:
+        return self.warm_share(server) < 1
 
-    def ramp(self, server: Server) -> float:
-        """The part of its capacity that a cold server is given (rule 4): half of what is certain till its own
-        word on what that is has come, since the estimate may be too high."""
-        return self.certain(server) * (0.5 if server.empty and self.cold(server) else 1.0)
+    def ramp_share(self, server: Server) -> float:
+        """The part of its capacity that a server is given (rule 4): half if cold and unmeasured: it may be slower."""
+        return self.warm_share(server) * (0.5 if server.unmeasured and self.is_cold(server) else 1.0)
 
-    fit = staticmethod(fit)
+    utilization = staticmethod(utilization)
--- a/knotwalk/net/collectors.py
+++ b/knotwalk/net/collectors.py
@@ -10,7 +10,7 @@
 from knotwalk.net.log import Log
 from knotwalk.net.loop import Link, Loop, Unreadable
 from knotwalk.net.resp import Resp, packed
-from knotwalk.wire_values import LOADS, Bounds, count, figure, plain
+from knotwalk.wire_values import LOAD_COLUMNS, ReportBounds, error_text, parse_amount, parse_count
 
 ALIVE = packed("alive")
 # Collectors send the sums of a period as a burst of messages, which the module is to see as a whole: it
@@ -33,16 +33,16 @@
     return dict(zip(items[1::2], items[2::2]))
 
 
-def load_of(text: str, bounds: Bounds) -> dict[str, float]:
+def load_of(text: str, bounds: ReportBounds) -> dict[str, float]:
     """A load report.
 
-    >>> load_of("inflight:7,util:0.61", Bounds(frozenset(), 1, 100, 5))
+    >>> load_of("inflight:7,util:0.61", ReportBounds(frozenset(), 1, 100, 5))
     {'inflight': 7.0, 'utilization': 0.61}
     """
     pairs = [part.partition(":") for part in text.split(",") if part]
-    load = {LOADS.get(name, name): figure(value) for name, _, value in pairs}
-    figure(load.get("utilization", 0), bounds.utilization)
-    figure(load.get("qps", 0), bounds.rate)
+    load = {LOAD_COLUMNS.get(name, name): parse_amount(value) for name, _, value in pairs}
+    parse_amount(load.get("utilization", 0), bounds.utilization)
+    parse_amount(load.get("qps", 0), bounds.rate)
     return load
 
 
@@ -53,7 +53,7 @@
         self,
         loop: Loop,
         methods: Mapping[str, int],
-        bounds: Bounds,
+        bounds: ReportBounds,
         knows: Callable[[str], bool],
         zones: Callable[[], Set[str]],
         tell: Callable,
@@ -156,8 +156,8 @@
                     self.message(link, items)
                 except (ValueError, KeyError) as fault:
                     if not self.agent:  # spoilt reports come from collectors alone: it is a stranger
-                        raise Unreadable(f"unjoined, {items[0][:40]}: {plain(fault)}") from None
-                    self.all.log("message dropped", f"{' '.join(items)[:120]}: {plain(fault)}")
+                        raise Unreadable(f"unjoined, {items[0][:40]}: {error_text(fault)}") from None
+                    self.all.log("message dropped", f"{' '.join(items)[:120]}: {error_text(fault)}")
             if link.over:
                 return
         self.hold(self.resp.weight())
@@ -188,8 +188,8 @@
             if f["zone"] not in self.all.zones():
                 raise ValueError(f"no such zone '{f['zone']}'")
             span, tries, aborted = self.tries(f)
-            count(aborted, tries)
-            latency = figure(f["mean_ms"]) / 1e3 if aborted < tries else 0.0
+            parse_count(aborted, tries)
+            latency = parse_amount(f["mean_ms"]) / 1e3 if aborted < tries else 0.0
             self.all.report(
                 "heard",
                 f["server"],
@@ -197,25 +197,27 @@
                 span,
                 tries,
                 aborted,
-                figure(latency, bounds.latency),
+                parse_amount(latency, bounds.latency),
                 load_of(f.get("load", ""), bounds),
             )
         elif kind == "hot":
             if f["class"] not in self.all.methods:
                 raise ValueError(f"no such method '{f['class']}'")
             span, tries, _ = self.tries(f)
-            self.all.report("wanted", count(f["slice"], bounds.slices - 1), self.all.methods[f["class"]], span, tries)
+            self.all.report(
+                "wanted", parse_count(f["slice"], bounds.slices - 1), self.all.methods[f["class"]], span, tries
+            )
         else:
             raise ValueError("no such message")
 
     def tries(self, f: Mapping[str, str]) -> tuple[float, int, int]:
         """Seconds, tries in them, and those that were aborted."""
-        span = figure(f["span_ms"], 1e3 * self.all.bounds.span) / 1e3
+        span = parse_amount(f["span_ms"], 1e3 * self.all.bounds.span) / 1e3
         if not span:
             raise ValueError("a span of nothing")
         most = self.all.bounds.rate * span
         # Of a slice more may have failed than were begun (seen): tries end in a later span than they begin.
-        return span, count(f["tries"], most), count(f["failed"], most)
+        return span, parse_count(f["tries"], most), parse_count(f["failed"], most)
 
     def ended(self, link: Link | None, ending: Ending) -> None:
         self.all.links.pop(self, None)
--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -21,15 +21,15 @@
 from knotwalk.net.log import Log
 from knotwalk.net.loop import Loop, Timer
 from knotwalk.net.relay import Calls, News
-from knotwalk.order_log import Through
+from knotwalk.order_log import OrderTee
 from knotwalk.placement import passes
-from knotwalk.state import carry
+from knotwalk.state import carry_over
 from knotwalk.wire_values import (
-    Malformed,
-    figure,
-    flattened,
-    number,
-    plain,
+    MalformedError,
+    error_text,
+    flatten_settings,
+    number_setting,
+    parse_amount,
     read_bounds,
     read_limits,
     read_methods,
@@ -41,7 +41,7 @@
     from knotwalk.pubsub.keep import Keeper
     from knotwalk.record.feed import Feed
     from knotwalk.record.recorder import Recorder
-    from knotwalk.settings.operator import Operator, Pubsub, Record
+    from knotwalk.settings.operator import OperatorSettings, PubsubSettings, RecordSettings
 
 SEATS = 0.8  # of the sockets allowed, for those that connect to us: our own peers take a dozen
 ROOM = 0.25  # of the memory allowed, for their unfinished messages: the program itself takes under 40 MB
@@ -90,17 +90,17 @@
             known = told.get("known") or {"version": 0, "servers": []}
             self.known_version = int(known["version"])
             self.known = [entry(f) for f in known["servers"]]
-            pairs = flattened(told["settings"])
+            pairs = flatten_settings(told["settings"])
             self.settings, self.methods = read_settings(pairs), read_methods(pairs)
             self.bounds, self.rules = read_bounds(pairs), read_limits(pairs)
-            self.tick = number(pairs, "tick_us") / 1e6
+            self.tick = number_setting(pairs, "tick_us") / 1e6
             limits = told.get("limits") or {}
-            self.seats = int(SEATS * figure(limits.get("sockets", 1024)))
-            self.room = int(ROOM * 1e6 * figure(limits.get("memory_mb", 192)))
+            self.seats = int(SEATS * parse_amount(limits.get("sockets", 1024)))
+            self.room = int(ROOM * 1e6 * parse_amount(limits.get("memory_mb", 192)))
         except Misfit:
             raise
-        except (Malformed, KeyError, ValueError, TypeError, AttributeError) as fault:
-            raise Misfit(f"EDGE_CONFIG: {path}: {plain(fault)}") from None
+        except (MalformedError, KeyError, ValueError, TypeError, AttributeError) as fault:
+            raise Misfit(f"EDGE_CONFIG: {path}: {error_text(fault)}") from None
 
     def follow(self, old: "Config") -> None:
         """Take another's place in a running conductor, or raise what stands against it."""
@@ -155,7 +155,7 @@
 class Host:
     """One conductor: its module, its peers, its rounds, and what else the operator wants at the same seam."""
 
-    def __init__(self, config: Config, log: Log, operator: "Operator | None" = None):
+    def __init__(self, config: Config, log: Log, operator: "OperatorSettings | None" = None):
         self.config, self.log, self.loop = config, log, Loop()
         self.stopped = False
         self.names = {k: name for name, k in config.methods.items()}
@@ -179,7 +179,7 @@
         if operator and operator.pubsub.enabled:
             self.publish(operator.pubsub)
 
-    def record(self, wanted: "Record") -> None:
+    def record(self, wanted: "RecordSettings") -> None:
         """Record from the start on; what that takes is loaded only here."""
         from knotwalk.record.feed import Feed
         from knotwalk.record.recorder import Recorder
@@ -201,7 +201,7 @@
             self.log,
         )
 
-    def publish(self, wanted: "Pubsub") -> None:
+    def publish(self, wanted: "PubsubSettings") -> None:
         """Open the publisher's port; what that takes is loaded only here. Raises Misfit."""
         from pathlib import Path
 
@@ -285,7 +285,7 @@
         self.last = now
         inbox, self.inbox = self.inbox, []
         out = Writer(self)
-        tape = Through(out) if self.recorder or self.publisher else None
+        tape = OrderTee(out) if self.recorder or self.publisher else None
         try:
             self.module.decide(now, inbox, tape or out)
         except Exception:  # whatever it is: see restart
@@ -316,7 +316,7 @@
     def renew(self, why: str) -> None:
         """A new module, that starts from what stands; what came in for the old one is void."""
         old, self.module = self.module, Conductor(self.config.settings, self.config.seed + self.starts)
-        carry(old, self.module)
+        carry_over(old, self.module)
         self.starts += 1
         self.lives(why)
         self.inbox, self.callers.burst = [], []
@@ -389,15 +389,15 @@
             self.keeper.close()
 
 
-def wanted_of(operator: str | None) -> "Operator | None":
+def wanted_of(operator: str | None) -> "OperatorSettings | None":
     """What the operator's file asks for; raises Misfit."""
     if not operator:
         return None
-    from knotwalk.settings.operator import Refused, load_apart
+    from knotwalk.settings.operator import SettingsError, load_in_subprocess
 
     try:
-        return load_apart(operator)
-    except Refused as fault:
+        return load_in_subprocess(operator)
+    except SettingsError as fault:
         raise Misfit(str(fault)) from None
 
 
--- a/knotwalk/net/discovery.py
+++ b/knotwalk/net/discovery.py
@@ -11,7 +11,7 @@
 from knotwalk.net.ending import Ending, Role, outcome
 from knotwalk.net.log import Log
 from knotwalk.net.loop import AGAIN_FIRST, Kept, Link, Loop, Timer, Unreadable
-from knotwalk.wire_values import STATES, figure, plain
+from knotwalk.wire_values import SERVER_STATES, error_text, parse_amount
 
 WAIT = 1.0  # seconds that a watch may wait: a change counts as told 2 s after, whether it came or not
 LATE = 0.5  # seconds past its wait after which a call is silent; the whole list has none
@@ -24,14 +24,14 @@
     >>> entry({"id": "s", "zone": "cork", "state": "leaving", "weight": 1.5, "started_ms": 2500})
     ('s', 'cork', 'draining', 1.5, 2.5)
     """
-    if f["state"] not in STATES:
+    if f["state"] not in SERVER_STATES:
         raise ValueError(f"no such state '{f['state']}'")
     return (
         str(f["id"]),
         str(f.get("zone", "")),
-        STATES[f["state"]],
-        figure(f.get("weight", 1)),
-        figure(f.get("started_ms") or 0) / 1e3,
+        SERVER_STATES[f["state"]],
+        parse_amount(f.get("weight", 1)),
+        parse_amount(f.get("started_ms") or 0) / 1e3,
     )
 
 
@@ -83,7 +83,7 @@
             version, full, servers = int(told["version"]), bool(told["full"]), told["servers"]
             entries = [entry(f) for f in servers]
         except (ValueError, TypeError, AttributeError, KeyError) as fault:
-            raise Unreadable(f"no list: {plain(fault)}") from None
+            raise Unreadable(f"no list: {error_text(fault)}") from None
         if not self.whole:
             self.wait = AGAIN_FIRST
         if not full and version < self.version:
--- a/knotwalk/net/relay.py
+++ b/knotwalk/net/relay.py
@@ -12,7 +12,7 @@
 from knotwalk.net.ending import Ending, Outcome, Role, outcome
 from knotwalk.net.log import Log
 from knotwalk.net.loop import AGAIN_FIRST, AGAIN_MOST, CONNECT, Kept, Link, Loop, Timer, TooLong, Unreadable
-from knotwalk.wire_values import count, figure, plain
+from knotwalk.wire_values import error_text, parse_amount, parse_count
 
 CALL_MOST = 60_000  # bytes of orders in a call, as the protocol has it
 ANSWER = 0.15  # an answer comes within 50 ms or never; the rest is for a late loop
@@ -147,9 +147,9 @@
                 raise ValueError(f"no such error: {error!r}"[:80])
             if error is None and (self.status != 200 or type(told["accepted"]) is not int):
                 raise ValueError(f"{self.status} {self.body[:80]!r}")
-            accepted = 0 if error else count(told["accepted"], len(self.under_way))
+            accepted = 0 if error else parse_count(told["accepted"], len(self.under_way))
         except (ValueError, TypeError, AttributeError, KeyError) as fault:
-            raise Unreadable(f"no answer to a call: {plain(fault)}") from None
+            raise Unreadable(f"no answer to a call: {error_text(fault)}") from None
         orders, self.under_way = self.under_way, []
         self.stop("silence")
         self.wait = AGAIN_FIRST
@@ -411,7 +411,7 @@
                     self.slice_read()
                 getattr(self, f"on_{kind or 'sign'}", self.on_unknown)(f)
             except (ValueError, TypeError, KeyError, OverflowError) as fault:
-                raise Unreadable(f"no news: {kind}: {plain(fault)}") from None
+                raise Unreadable(f"no news: {kind}: {error_text(fault)}") from None
 
     def on_unknown(self, f: dict) -> None:
         self.log("news unknown", f"{f}")
@@ -426,7 +426,7 @@
                 self.lose(slice_id)
 
     def on_hello(self, f: dict) -> None:
-        proxy = count(f["proxy"])
+        proxy = parse_count(f["proxy"])
         self.zones.add(str(f.get("zone", "")))
         self.seen.add(("hello", proxy))
         if not self.reading:
@@ -436,7 +436,7 @@
             self.tell("joined", proxy)
 
     def on_bye(self, f: dict) -> None:
-        proxy = count(f["proxy"])
+        proxy = parse_count(f["proxy"])
         self.seen.discard(("hello", proxy))
         if proxy in self.proxies:
             self.proxies.discard(proxy)
@@ -444,16 +444,16 @@
 
     def on_ack(self, f: dict) -> None:
         try:
-            proxy, mark = count(f["proxy"]), count(f["mark"])
+            proxy, mark = parse_count(f["proxy"]), parse_count(f["mark"])
         except (ValueError, TypeError, KeyError) as fault:  # another's answer to it tells as much
-            self.log("answer to a mark dropped", plain(fault))
+            self.log("answer to a mark dropped", error_text(fault))
             return
         self.tell("applied", proxy, mark)
         if self.doubt:
             self.doubt.receipt(mark)
 
     def on_lease(self, f: dict) -> None:
-        slice_id = count(f["slice"])
+        slice_id = parse_count(f["slice"])
         if not f["on"]:
             self.seen.discard(("lease", slice_id))
             self.lose(slice_id)
@@ -464,7 +464,7 @@
             self.give(slice_id, {})
 
     def on_line(self, f: dict) -> None:
-        slice_id, server, weight = count(f["slice"]), str(f["server"]), figure(f["weight"])
+        slice_id, server, weight = parse_count(f["slice"]), str(f["server"]), parse_amount(f["weight"])
         if self.current and self.current[0] == slice_id:
             self.current[1][server] = weight
         elif slice_id in self.slices:
--- a/knotwalk/order_log.py
+++ b/knotwalk/order_log.py
@@ -1,13 +1,13 @@
-"""Writers of orders that note a round down.
+"""Implementations of Orders (interface.py) that record a round's orders.
 
-Owns the list of one round. It must never change, hold back or reorder what it passes on.
+Owns the list of one round's orders. It must never change, delay or reorder what it passes on.
 """
 
 from knotwalk.interface import Orders
 
 
-class Tape:
-    """Notes orders as (name, arguments)."""
+class OrderLog:
+    """Records orders as (name, arguments)."""
 
     __slots__ = ("orders",)
 
@@ -36,8 +36,8 @@
         self.orders.append(("note", (text,)))
 
 
-class Through(Tape):
-    """Notes orders on their way to the writer that carries them out."""
+class OrderTee(OrderLog):
+    """Records orders and passes each on to the writer that carries it out."""
 
     __slots__ = ("out",)
 
--- a/knotwalk/placement/capacity.py
+++ b/knotwalk/placement/capacity.py
@@ -35,7 +35,7 @@
 
 
 @dataclass
-class Report:
+class LoadReport:
     """What was heard of loads. Utilization: (running + waiting) / slots, a mean over the last seconds; who waits counts
     up to half a round."""
 
@@ -105,7 +105,7 @@
         self,
         nodes: Mapping[str, Node],
         work: Mapping[str, float],
-        report: Report,
+        report: LoadReport,
         moved: Mapping[str, float],
         cold: Iterable[str],
     ) -> None:
--- a/knotwalk/placement/placer.py
+++ b/knotwalk/placement/placer.py
@@ -25,8 +25,8 @@
 
 from knotwalk.discovery.view_types import Node
 from knotwalk.leases.ledger import Ledger, Slice
-from knotwalk.placement.capacity import Capacities, Report
-from knotwalk.placement.passes import fit, place, strip
+from knotwalk.placement.capacity import Capacities, LoadReport
+from knotwalk.placement.passes import place, strip, utilization
 
 PERIOD = 5.0  # s between passes (the paper's 60: days here last minutes)
 EMERGENCY_REST = 2.0  # s from a pass to one that a node above k_e brings on: the last must show first
@@ -88,7 +88,7 @@
 
 
 def own_part(loads: Iterable[Load], threshold: float, own: Mapping[str, list[tuple[float, int]]]) -> Callable:
-    """`may_go` for one `strip`: of each node's excess the part that the slices in `own` make up; none that is too heavy
+    """`can_move` for a `strip`: of each node's excess the part that the slices in `own` make up; none that is too heavy
     or too light for it. It keeps account, so it serves once."""
     left = {}
     for node in loads:
@@ -96,19 +96,19 @@
         if excess >= GAIN * node.capacity:
             left[node.id] = excess * min(1.0, sum(load for load, _ in own.get(node.id, ())) / node.load)
 
-    def may_go(load: float, _: int, node: Load) -> bool:
+    def can_move(load: float, _: int, node: Load) -> bool:
         part = left.get(node.id, 0.0)
         if part <= 0 or not LIGHT * node.capacity <= load <= part + GAIN * node.capacity:
             return False
         left[node.id] = part - load
         return True
 
-    return may_go
+    return can_move
 
 
 def worse(node: Load, load: float) -> float:
     """`room` for `place`: a target that is only as good as the source is none."""
-    return fit(node, load) + EQUAL
+    return utilization(node, load) + EQUAL
 
 
 def open_targets(loads: Iterable[Load]) -> list[Load]:
@@ -121,7 +121,11 @@
     """Those of the own zone, unless the best of them is much worse than the best of all."""
     found = open_targets(loads)
     near = [x for x in found if x.near]
-    return near if near and fit(min(near, key=fit)) <= fit(min(found, key=fit)) + NEAR else found
+    return (
+        near
+        if near and utilization(min(near, key=utilization)) <= utilization(min(found, key=utilization)) + NEAR
+        else found
+    )
 
 
 class Placer:
@@ -150,7 +154,7 @@
         self._begun: float | None = None  # when nodes were gathered; who was there is no newcomer
         self._wanted = HEARD  # seconds of demand heard that a pass wants
 
-    def due(self, now: float, news: object) -> bool:
+    def is_due(self, now: float, news: object) -> bool:
         """Whether `place` has anything to do: `news` (the ledger's entry, the list, who isn't reached) is not what it
         was, loads were last looked at a while ago, or the time of a pass, a batch or a lost move has come."""
         if news == self._news and now < min(self._wake, self._looked + LOOK):
@@ -158,7 +162,7 @@
         self._news, self._looked = news, now
         return True
 
-    def place(self, now: float, ledger: Ledger, nodes: dict[str, Node], report: Report) -> list[dict]:
+    def place(self, now: float, ledger: Ledger, nodes: dict[str, Node], report: LoadReport) -> list[dict]:
         """Commands to propose, at most one `move`; `nodes` is the platform's list."""
         self._follow(now, ledger, nodes)
         if self._gathering(now, ledger, nodes):
@@ -198,7 +202,7 @@
         if self._last is None:
             self._last = now - PERIOD * self._random.random()
         heard = {service: fleet for service, fleet in fleets.items() if report.spans.get(service, 0.0) >= self._wanted}
-        hot = any(fit(x) > K_E for fleet in heard.values() for x in fleet.values())
+        hot = any(utilization(x) > K_E for fleet in heard.values() for x in fleet.values())
         due = self._last + (EMERGENCY_REST if hot else PERIOD)
         if heard and now >= due:
             self._last = now
@@ -227,7 +231,7 @@
     # --- what is known ---
 
     @staticmethod
-    def _waits(key: tuple[str, int], owner: str, nodes: Mapping[str, Node], report: Report) -> bool:
+    def _waits(key: tuple[str, int], owner: str, nodes: Mapping[str, Node], report: LoadReport) -> bool:
         """Whether a slice stays with an owner that isn't reached: until it lapses nobody else can be granted it, and
         edges may reach the owner."""
         node = nodes.get(owner)
@@ -274,7 +278,7 @@
                 owners[k] = target
         return owners
 
-    def _demand(self, ledger: Ledger, report: Report) -> dict[str, list[float]]:
+    def _demand(self, ledger: Ledger, report: LoadReport) -> dict[str, list[float]]:
         """Load by service and slice, none of them nothing; all alike where nothing has been heard."""
         found = {service: [0.0] * len(line) for service, line in ledger.slices.items()}
         for service, line in found.items():
@@ -291,7 +295,7 @@
         nodes: Mapping[str, Node],
         owners: Mapping[str, list[str]],
         demand: Mapping[str, list[float]],
-        report: Report,
+        report: LoadReport,
         cold: set[str],
     ) -> None:
         work: dict[str, float] = {}
@@ -305,7 +309,7 @@
         self,
         service: str,
         nodes: Mapping[str, Node],
-        report: Report,
+        report: LoadReport,
         estimates: Mapping[str, float],
         cold: set[str],
         whole: float,
@@ -365,7 +369,7 @@
         moves = []
         tie = {id: 1 + TIE * self._random.random() for id in fleet}
         for k in sorted(left, key=lambda k: (-demand[k], k)):
-            target = min(fleet.values(), key=lambda x: fit(x, demand[k]) * tie[x.id] - NEAR * x.near)
+            target = min(fleet.values(), key=lambda x: utilization(x, demand[k]) * tie[x.id] - NEAR * x.near)
             target.load += demand[k]
             moves.append(Move(service, k, target.id))
         return moves
@@ -421,7 +425,7 @@
                 own.setdefault(x.owner, []).append((demand[k], k))
         loads = [replace(x) for x in fleet.values()]  # apart: moves go out by and by
         threshold = (1 + mean) / 2
-        pool = strip(loads, lambda x: own.get(x.id, ()), threshold, may_go=own_part(loads, threshold, own))
+        pool = strip(loads, lambda x: own.get(x.id, ()), threshold, can_move=own_part(loads, threshold, own))
         moves = place(pool, lambda _, source: targets(x for x in loads if x is not source), worse)
         return [Move(service, k, target.id) for k, _, target in moves]
 
--- a/knotwalk/record/recorder.py
+++ b/knotwalk/record/recorder.py
@@ -67,7 +67,7 @@
         self.life_told = {
             "why": why,
             "seed": f"{seed:x}",
-            "settings": state.settings_told(settings),
+            "settings": state.settings_to_dict(settings),
             "limits": limits._asdict(),
             "policy": self.policy,
         }
--- a/knotwalk/replay/command.py
+++ b/knotwalk/replay/command.py
@@ -17,7 +17,7 @@
 from knotwalk.replay import change, exact, verdict
 from knotwalk.replay.model import Failed, Model, Run
 from knotwalk.replay.past import Past
-from knotwalk.state import Unfit
+from knotwalk.state import SnapshotError
 
 EXACT, UNUSABLE, DIVERGED, BROKEN = 0, 2, 3, 4
 RUNS = 6  # of a model a side: what chance does is known to a fifth or so
@@ -79,7 +79,7 @@
     rules = None
     for blocks in recording.incarnations.values():
         rules = verdict.judged(within(recording, blocks, _work["until"]), rules)
-    return rules and (rules.breaks, rules.more, rules.sent_most, rules.waited_most)
+    return rules and (rules.violations, rules.more_violations, rules.max_messages_sent, rules.max_waiting_lines)
 
 
 def within(recording: Recording, blocks: list, until: float):
@@ -283,7 +283,7 @@
                 raise change.Unusable("--html shows a what-if: --set or --policy is wanted with it")
             write(options["--html"], _work["past"], v, _work["tried"].names, recording.conductor)
             say(f"written: {options['--html']}")
-    except (UnusableRecording, change.Unusable, Unfit, Failed) as fault:
+    except (UnusableRecording, change.Unusable, SnapshotError, Failed) as fault:
         print(f"knotwalk: {' '.join(str(fault).split())}", file=sys.stderr)
         return UNUSABLE
     except OSError as fault:
--- a/knotwalk/replay/exact.py
+++ b/knotwalk/replay/exact.py
@@ -11,10 +11,10 @@
 
 from knotwalk import state
 from knotwalk.decide import Conductor
-from knotwalk.order_log import Tape
+from knotwalk.order_log import OrderLog
 from knotwalk.record.format import CHECK, FAILED, LIFE, ROUND
 from knotwalk.record.reader import Block, Loss, Recording
-from knotwalk.state import Unfit
+from knotwalk.state import SnapshotError
 
 MOST = 20  # divergences kept: all that follow the first of a life mostly follow from it
 
@@ -84,12 +84,12 @@
     for _, f in orders:
         for value in f:
             if (s := module.slices.get(value)) is not None and not isinstance(value, float | bool):
-                told = ", ".join(f"{x.id} {w:g}" for x, w in s.told.items())
+                told = ", ".join(f"{x.id} {w:g}" for x, w in s.sent_lines.items())
                 out.append(f"slice {s.id}: demand {s.demand:.4g}, on {', '.join(x.id for x in s.shares)}; told {told}")
             elif isinstance(value, str) and (x := module.servers.get(value)) is not None:
                 out.append(
                     f"server {x.id}: {x.state}, load {x.load:.4g} of {x.capacity:.4g}, health {x.health:g}, "
-                    f"used {x.used:.3g}"
+                    f"used {x.reported_use:.3g}"
                 )
     return list(dict.fromkeys(out))[:6]
 
@@ -136,7 +136,7 @@
         self.lives += 1
         self.module, self.fresh = None, told["why"] == "start"
         if self.fresh:
-            self.module = self.make(state.settings_read(told["settings"]), int(told["seed"], 16))
+            self.module = self.make(state.settings_from_dict(told["settings"]), int(told["seed"], 16))
 
     def check(self, frame: list) -> None:
         """A checkpoint: the state must be this one, and from here on it is."""
@@ -150,7 +150,7 @@
                 self.joints += 1
         self.fresh = False
         if self.module is None:
-            self.module = state.restored(told, state.settings_read(life["settings"]), self.make)
+            self.module = state.restore(told, state.settings_from_dict(life["settings"]), self.make)
             self.stretches.append([frame[2], frame[2]])
         elif not self.stretches:
             self.stretches.append([frame[2], frame[2]])
@@ -158,7 +158,7 @@
     def round(self, frame: list) -> None:
         assert self.module is not None
         _, number, now, inbox, recorded = frame
-        out = Tape()
+        out = OrderLog()
         try:
             self.module.decide(now, inbox, out)
         except Exception as fault:
@@ -183,7 +183,7 @@
     def failed(self, frame: list) -> None:
         """A round in which the decisions failed: they must fail again, after the same orders."""
         _, number, now, inbox, recorded, text = frame
-        out = Tape()
+        out = OrderLog()
         try:
             assert self.module is not None
             self.module.decide(now, inbox, out)
@@ -260,7 +260,7 @@
 ) -> Outcome:
     """Replay a recording exactly, with so many processes at once; `told` hears of runs done and of how many.
 
-    Raises Unfit for snapshots or settings that this version cannot use.
+    Raises SnapshotError for snapshots or settings that this version cannot use.
     """
     work = []
     for incarnation in recording.incarnations:
@@ -309,4 +309,4 @@
     return len(os.sched_getaffinity(0))
 
 
-__all__ = ["Divergence", "Outcome", "Player", "Stretch", "Unfit", "cores", "play", "replay"]
+__all__ = ["Divergence", "Outcome", "Player", "Stretch", "SnapshotError", "cores", "play", "replay"]
--- a/knotwalk/replay/model.py
+++ b/knotwalk/replay/model.py
@@ -14,10 +14,10 @@
 
 from knotwalk.decide import Conductor
 from knotwalk.interface import Settings
-from knotwalk.order_log import Tape
+from knotwalk.order_log import OrderLog
 from knotwalk.replay.day_parts import SHAPE, Report
 from knotwalk.replay.past import Past
-from knotwalk.rules import Break, Rules
+from knotwalk.rules import RuleChecker, Violation
 
 GIVE_UP = 5.0  # seconds that a client waits where the recording does not say: past most soft deadlines
 WAIT_MOST = 8.0  # seconds of wait at which a server takes no more: its queues have some end
@@ -30,7 +30,7 @@
 
     service: dict[int, list[float]]  # by span: [asked, earned] by method
     tables: list[tuple[float, int, dict[str, float]]]  # each change: when ordered, slice, its lines from then on
-    breaks: list[Break]
+    breaks: list[Violation]
     breaks_more: int
     messages: dict[int, int]  # by span: the most messages that a proxy got within the rules' span
     used: dict[int, dict[str, float]]  # by span: utilization by server
@@ -71,7 +71,7 @@
         life = past.lives[0]
         self.recorded, self.limits = life.settings, life.limits
         self.settings = settings(life.settings)
-        self.rules = Rules(life.settings, life.limits)
+        self.rules = RuleChecker(life.settings, life.limits)
         self.module: Conductor | None = None
         self.servers: dict[str, Server] = {}
         self.proxies: dict[int, float] = {}  # when the last message under way is taken in
@@ -126,8 +126,8 @@
         return Run(
             self.service,
             self.tables,
-            self.rules.breaks,
-            self.rules.more,
+            self.rules.violations,
+            self.rules.more_violations,
             self.messages,
             self.used,
             self.moves,
@@ -143,12 +143,12 @@
         old, self.life = self.module, self.life + 1
         self.recorded, self.limits = life.settings, life.limits
         self.settings = self.change(life.settings)
-        self.rules.follow(life.settings, life.limits)
+        self.rules.update_settings(life.settings, life.limits)
         self.module = self.make(self.settings, life.seed + self.seed)
         if life.why != "start" and old is not None:
-            from knotwalk.state import carry
+            from knotwalk.state import carry_over
 
-            carry(old, self.module)
+            carry_over(old, self.module)
         elif life.why == "start":
             self.ours.clear()
 
@@ -192,7 +192,7 @@
     def round(self, inbox: list) -> None:
         if self.module is None:
             return
-        out, now = Tape(), self.now
+        out, now = OrderLog(), self.now
         try:
             self.module.decide(now, inbox, out)
         except Exception as fault:
--- a/knotwalk/replay/past.py
+++ b/knotwalk/replay/past.py
@@ -71,7 +71,7 @@
                     now,
                     life["why"],
                     int(life["seed"], 16),
-                    state.settings_read(life["settings"]),
+                    state.settings_from_dict(life["settings"]),
                     limits_read(life["limits"]),
                 )
             )
@@ -88,12 +88,12 @@
                     now,
                     "start",
                     int(life["seed"], 16),
-                    state.settings_read(life["settings"]),
+                    state.settings_from_dict(life["settings"]),
                     limits_read(life["limits"]),
                 )
             )
         self.blind = False
-        inbox = state.standing(told)
+        inbox = state.inbox_of(told)
         joined = {f[0] for name, f in inbox if name == "joined"}
         given = {f[0] for name, f in inbox if name == "given"}
         gone: list = [("left", (p,)) for p in self.proxies - joined]
--- a/knotwalk/replay/verdict.py
+++ b/knotwalk/replay/verdict.py
@@ -15,14 +15,14 @@
 from knotwalk.record.reader import Loss
 from knotwalk.replay.model import SPAN, Run
 from knotwalk.replay.past import Past, limits_read, worth
-from knotwalk.rules import Break, Rules
+from knotwalk.rules import RuleChecker, Violation
 
 # Student's t, 95% both ways, by degrees of freedom: few runs tell little of how far chance goes.
 T95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23)
 LEAST = 0.004  # of service: under this nobody would change a setting, and the model has its grain
 
 
-def judged(events: Iterable[list | Loss], rules: Rules | None = None) -> Rules | None:
+def judged(events: Iterable[list | Loss], rules: RuleChecker | None = None) -> RuleChecker | None:
     """The rules over what was recorded; None where nothing was. After a loss they begin anew."""
     blind = True
     for event in events:
@@ -31,20 +31,20 @@
             continue
         kind, _, now, *rest = event
         if kind == LIFE:
-            settings, limits = state.settings_read(rest[0]["settings"]), limits_read(rest[0]["limits"])
+            settings, limits = state.settings_from_dict(rest[0]["settings"]), limits_read(rest[0]["limits"])
             if rules is None:
-                rules = Rules(settings, limits)
-            rules.follow(settings, limits)
+                rules = RuleChecker(settings, limits)
+            rules.update_settings(settings, limits)
             if rest[0]["why"] == "start":
-                rules.start()
+                rules.restart()
             blind = False
         elif kind == CHECK and blind:
-            settings, limits = state.settings_read(rest[1]["settings"]), limits_read(rest[1]["limits"])
+            settings, limits = state.settings_from_dict(rest[1]["settings"]), limits_read(rest[1]["limits"])
             if rules is None:
-                rules = Rules(settings, limits)
-            rules.follow(settings, limits)
-            rules.start()
-            rules.feed(now, state.standing(rest[0]), ())
+                rules = RuleChecker(settings, limits)
+            rules.update_settings(settings, limits)
+            rules.restart()
+            rules.feed(now, state.inbox_of(rest[0]), ())
             blind = False
         elif kind in (ROUND, FAILED) and not blind and rules is not None:
             rules.feed(now, rest[0], rest[1])
@@ -66,7 +66,7 @@
     methods: list[Likely]
     course: list[tuple[float, float]]  # (seconds from the start, service), by SPAN
     moves: float  # lines ordered, the mean of the runs
-    breaks: list[Break]  # of the first run
+    breaks: list[Violation]  # of the first run
     breaks_more: int
     messages: dict[int, int]
     used: dict[int, tuple[float, float]]  # by span: mean and highest utilization of servers
--- a/knotwalk/rules.py
+++ b/knotwalk/rules.py
@@ -1,8 +1,14 @@
-"""The rules as a checker: from orders, receipts, the list and the settings, when and for whom one would have broken.
+"""A checker of the rules: finds violations from orders, receipts, the server list and the settings.
+
+    Rule 1: no slice is without a usable line for longer than a limit.
+    Rule 2: a method that is not idempotent is never retried but on proof that the first try never ran.
+    Rule 3: sending to a server that drains (or is gone, by the settings) stops within the grace.
+    Rule 4: a cold server is not given so many times its capacity, for so long, that it falls over.
+    Rule 5: the lines that wait in the channel, and the messages to a proxy within a span, stay under their caps.
 
 Owns no decision and shares none of the policy's bookkeeping: it keeps its own account of every table and message. It
-sees what a conductor sees and no more, so a break is `sure` where that alone proves it, and else likely: what proxies
-did between an order and its receipt is not seen. Rules 1, 2, 3 and 5 follow the tables; rule 4 needs an estimate.
+sees only what a conductor sees, so a violation is `sure` where that alone proves it and likely otherwise, since what
+proxies do between an order and its receipt is not seen. Rule 4 needs an estimate, the others follow the tables.
 """
 
 from collections import deque
@@ -13,166 +19,182 @@
 
 
 class Limits(NamedTuple):
-    """What a day is judged by beside the settings, and no decision needs; 0 or empty: not told, not judged."""
+    """The rules' limits that are not in the settings, as no decision needs them; 0 or empty: not checked."""
 
-    unserved_most: float = 0.0  # rule 1: seconds without a line
-    grace: float = 0.0  # rules 3 and 4: seconds until sending stops
-    once: tuple[int, ...] = ()  # rule 2: the methods that are not idempotent, by place
-    tip_multiple: float = 0.0  # rule 4: times its capacity, over
-    fall_time: float = 0.0  # so many seconds, at which a cold server falls
+    unserved_most: float = 0.0  # rule 1: the most seconds without a line
+    grace: float = 0.0  # rules 3 and 4: seconds until sending must have stopped
+    once: tuple[int, ...] = ()  # rule 2: indices of the methods that are not idempotent
+    tip_multiple: float = 0.0  # rule 4: the multiple of its capacity
+    fall_time: float = 0.0  # and the seconds at it after which a cold server falls over
     give_up: tuple[float, ...] = ()  # by method: seconds that a client waits
-    late_share: tuple[float, ...] = ()  # by method: what an answer past its soft deadline still earns
+    late_share: tuple[float, ...] = ()  # by method: the share of criticality that a late answer earns
 
 
-class Break(NamedTuple):
-    """A rule that was broken, or was likely to be."""
+class Violation(NamedTuple):
+    """A violation of a rule, certain or likely."""
 
     at: float
     rule: int
-    whom: str  # proxy, slice, server or method
-    what: str  # with the count and the limit
-    sure: bool
+    whom: str  # the proxy, slice, server, method or channel concerned
+    what: str  # with the measured value and the limit
+    sure: bool  # proved; else likely
 
 
 class Table:
-    """What the proxies are told for one slice."""
+    """One slice's table as ordered."""
 
-    __slots__ = ("lines", "given_at", "bare_since", "told_bare")
+    __slots__ = ("lines", "given_at", "unserved_since", "unserved_reported")
 
     def __init__(self, given_at: float):
         self.lines: dict[str, float] = {}
         self.given_at = given_at
-        self.bare_since: float | None = given_at
-        self.told_bare = False
+        self.unserved_since: float | None = given_at
+        self.unserved_reported = False
 
 
-class Listed:
-    """A server as the list and the orders have it."""
+class ServerRecord:
+    """A server by the list and the orders."""
 
-    __slots__ = ("state", "size", "started", "left_at", "judged", "slices", "shut", "off_at", "full_since")
+    __slots__ = (
+        "state",
+        "size",
+        "started",
+        "leaving_since",
+        "drain_checked",
+        "slices",
+        "withdrawn",
+        "removed_by",
+        "overloaded_since",
+    )
 
     def __init__(self) -> None:
         self.state, self.size, self.started = "ready", 1.0, 0.0
-        self.left_at: float | None = None  # since when it must be left
-        self.judged = False  # whether its drain has been judged
+        self.leaving_since: float | None = None  # since when rule 3 holds for it
+        self.drain_checked = False  # rule 3 has been checked for this drain
         self.slices: set[int] = set()  # whose tables name it
-        self.shut = False
-        self.off_at: int | None = None  # the message that took it out of the last table
-        self.full_since: float | None = None
+        self.withdrawn = False
+        self.removed_by: int | None = None  # number of the message that removed it from the last table
+        self.overloaded_since: float | None = None  # -inf: already reported
 
 
 class Proxy:
-    """A proxy and the messages that it has been sent."""
+    """A proxy and the messages sent to it."""
 
-    __slots__ = ("joined_at", "sent", "took")
+    __slots__ = ("joined_at", "sent", "applied")
 
-    def __init__(self, joined_at: float, took: int):
+    def __init__(self, joined_at: float, applied: int):
         self.joined_at = joined_at
         self.sent: deque[float] = deque()  # times, over the last span
-        self.took = took  # the last message that it is known to have taken in
+        self.applied = applied  # number of the last message that it is known to have applied
 
 
-RECENT = 8.0  # seconds of demand that rule 4's estimate rests on, as long as it takes to be steady
-MOST = 1000  # breaks kept whole; the rest is counted
+RECENT_S = 8.0  # of demand for rule 4's estimate: as long as it takes to be steady
+MAX_VIOLATIONS = 1000  # kept; further ones are only counted
 
 
-class Rules:
-    """Fed each round after it was decided. `breaks` has what was found; nothing is ever taken back."""
+class RuleChecker:
+    """Is fed each round after it was decided. `violations` has what was found and is never corrected later."""
 
     def __init__(self, settings: Settings, limits: Limits, broadcast: bool = True):
-        # Whether a round's orders reach every proxy as one message; else the front tells of each by message().
+        # `broadcast`: a round's orders reach every proxy as one message; else the caller reports each message with
+        # record_message().
         self.settings, self.limits, self.broadcast = settings, limits, broadcast
-        self.breaks: list[Break] = []
-        self.more = 0  # those past MOST
+        self.violations: list[Violation] = []
+        self.more_violations = 0  # beyond MAX_VIOLATIONS
         self.slices: dict[int, Table] = {}
-        self.servers: dict[str, Listed] = {}
+        self.servers: dict[str, ServerRecord] = {}
         self.proxies: dict[int, Proxy] = {}
         self.message = 0  # number of the last one
         self.marks: dict[int, int] = {}  # message by receipt mark
-        self.flight: deque[tuple[int, float, float, set[int]]] = deque()  # number, time, lines, proxies to come
-        self.blind_since: float | None = None  # receipts were lost, and none has come since
-        self.leaving: set[str] = set()
-        self.bare: set[int] = set()
-        self.cold: set[str] = set()
-        self.demand: dict[int, deque] = {}
+        # (number, time, lines, proxies that have yet to apply it)
+        self.in_flight: deque[tuple[int, float, float, set[int]]] = deque()
+        self.receipts_lost_at: float | None = None  # None once a receipt has come again
+        self.leaving: set[str] = set()  # servers to check for rule 3
+        self.unserved: set[int] = set()  # slices to check for rule 1
+        self.cold: set[str] = set()  # servers to check for rule 4
+        self.demand: dict[int, deque] = {}  # by slice: (time, work a second)
         self.used: dict[str, tuple[float, float]] = {}  # time and utilization, as last reported
-        self.waited_most = 0.0
-        self.sent_most = 0  # messages to a proxy within the span
+        self.max_waiting_lines = 0.0
+        self.max_messages_sent = 0  # messages to a proxy within the span
 
-    def broke(self, at: float, rule: int, whom: str, what: str, sure: bool) -> None:
-        if len(self.breaks) < MOST:
-            self.breaks.append(Break(at, rule, whom, what, sure))
+    def add_violation(self, at: float, rule: int, whom: str, what: str, sure: bool) -> None:
+        if len(self.violations) < MAX_VIOLATIONS:
+            self.violations.append(Violation(at, rule, whom, what, sure))
         else:
-            self.more += 1
+            self.more_violations += 1
 
-    def start(self) -> None:
-        """A new life of the program: streams, tables and receipts begin anew; what was found stands."""
-        found = self.breaks, self.more, self.waited_most, self.sent_most
+    def restart(self) -> None:
+        """A new incarnation of the process: streams, tables and receipts begin anew; the findings stay."""
+        findings = self.violations, self.more_violations, self.max_waiting_lines, self.max_messages_sent
         self.__init__(self.settings, self.limits, self.broadcast)  # type: ignore[misc]
-        self.breaks, self.more, self.waited_most, self.sent_most = found
+        self.violations, self.more_violations, self.max_waiting_lines, self.max_messages_sent = findings
 
-    def follow(self, settings: Settings, limits: Limits) -> None:
-        """A reload: other figures from now on; what was told and sent stands."""
+    def update_settings(self, settings: Settings, limits: Limits) -> None:
+        """A reload: other settings and limits from now on; tables and messages stay."""
         self.settings, self.limits = settings, limits
 
     def feed(self, now: float, inbox: Iterable, orders: Iterable) -> None:
-        """One round: what came in, and what was ordered on it, as (name, arguments)."""
-        for name, f in inbox:
+        """Check one round: its inbox and its orders, as (name, arguments)."""
+        for name, arguments in inbox:
             handler = getattr(self, f"on_{name}", None)
             if handler:
-                handler(now, *f)
-        self.order(now, orders)
-        self.clock(now)
+                handler(now, *arguments)
+        self.apply_orders(now, orders)
+        self.check_due(now)
 
-    # --- what came in ---
+    # --- inbox ---
 
     def on_listed(self, now: float, full: bool, _cached: bool, entries: list) -> None:
         if full:
-            named = {e[0] for e in entries}
+            named = {entry[0] for entry in entries}
             entries = [
                 *entries,
-                *((x, "", "gone", s.size, s.started) for x, s in self.servers.items() if x not in named),
+                *(
+                    (name, "", "gone", known.size, known.started)
+                    for name, known in self.servers.items()
+                    if name not in named
+                ),
             ]
         for id, _zone, state, size, started in entries:
-            x = self.servers.get(id)
-            if x is None:
+            record = self.servers.get(id)
+            if record is None:
                 if state == "gone":
                     continue
-                x = self.servers[id] = Listed()
-            binds = state == "draining" or state == "gone" and not self.settings.dropped_stay_open
-            if not binds:
-                x.left_at, x.judged = None, False
+                record = self.servers[id] = ServerRecord()
+            must_leave = state == "draining" or state == "gone" and not self.settings.dropped_stay_open
+            if not must_leave:
+                record.leaving_since, record.drain_checked = None, False
                 self.leaving.discard(id)
-            elif x.left_at is None:
-                x.left_at, x.judged = now, False
+            elif record.leaving_since is None:
+                record.leaving_since, record.drain_checked = now, False
                 self.leaving.add(id)
-            if started > x.started:
+            if started > record.started:
                 self.cold.add(id)
-            x.state, x.size, x.started = state, size or 1.0, started
-            if state == "gone" and not x.slices and not binds:
+            record.state, record.size, record.started = state, size or 1.0, started
+            if state == "gone" and not record.slices and not must_leave:
                 del self.servers[id]
 
     def on_joined(self, now: float, proxy: int) -> None:
-        # It reads the store by itself, so it holds what was ordered till now; messages count from here. One that is
-        # told again without having left is told to a module that starts anew: its stream goes on.
+        # A proxy that joins reads the store, so it holds all orders so far; messages count from here. One that joins
+        # again without having left is reported to a new module in the same process: its stream goes on.
         if proxy not in self.proxies:
             self.proxies[proxy] = Proxy(now, self.message)
 
     def on_left(self, _now: float, proxy: int) -> None:
         self.proxies.pop(proxy, None)
-        for *_, to_come in self.flight:
-            to_come.discard(proxy)
+        for *_, pending in self.in_flight:
+            pending.discard(proxy)
 
     def on_given(self, now: float, slice_id: int) -> None:
         self.on_taken(now, slice_id)
         self.slices[slice_id] = Table(now)
-        self.bare.add(slice_id)
+        self.unserved.add(slice_id)
 
     def on_taken(self, _now: float, slice_id: int) -> None:
         table = self.slices.pop(slice_id, None)
         for server in table.lines if table else ():
             self.servers[server].slices.discard(slice_id)
-        self.bare.discard(slice_id)
+        self.unserved.discard(slice_id)
         self.demand.pop(slice_id, None)
 
     def on_held(self, now: float, slice_id: int, server: str, weight: float) -> None:
@@ -202,66 +224,68 @@
         number = self.marks.get(mark)
         if number is None or proxy not in self.proxies:
             return
-        self.blind_since = None
-        self.proxies[proxy].took = max(self.proxies[proxy].took, number)
-        for k, _, _, to_come in self.flight:  # taken in in succession
+        self.receipts_lost_at = None
+        self.proxies[proxy].applied = max(self.proxies[proxy].applied, number)
+        for k, _, _, pending in self.in_flight:  # messages are applied in order
             if k > number:
                 break
-            to_come.discard(proxy)
-        while self.flight and not self.flight[0][3]:
-            self.flight.popleft()
+            pending.discard(proxy)
+        while self.in_flight and not self.in_flight[0][3]:
+            self.in_flight.popleft()
 
     def on_receipts_lost(self, now: float) -> None:
-        self.blind_since = now if self.blind_since is None else self.blind_since
+        self.receipts_lost_at = now if self.receipts_lost_at is None else self.receipts_lost_at
 
-    # --- what was ordered ---
+    # --- orders ---
 
     def line(self, now: float, slice_id: int, server: str, weight: float) -> None:
         table = self.slices[slice_id]
-        x = self.servers.get(server)
-        if x is None:
-            x = self.servers[server] = Listed()
+        record = self.servers.get(server)
+        if record is None:
+            record = self.servers[server] = ServerRecord()
         if weight:
             table.lines[server] = weight
-            x.slices.add(slice_id)
-            x.off_at = None
+            record.slices.add(slice_id)
+            record.removed_by = None
         else:
             table.lines.pop(server, None)
-            x.slices.discard(slice_id)
-        self.bare.add(slice_id)
+            record.slices.discard(slice_id)
+        self.unserved.add(slice_id)
 
-    def order(self, now: float, orders: Iterable) -> None:
+    def apply_orders(self, now: float, orders: Iterable) -> None:
         lines, mark, first = 0, None, self.message + 1
         dropped: set[str] = set()
-        for name, f in orders:
+        for name, arguments in orders:
             if name == "line":
                 lines += 1
-                if f[0] in self.slices:
-                    self.line(now, *f)
-                    if not f[2]:
-                        dropped.add(f[1])
+                if arguments[0] in self.slices:
+                    self.line(now, *arguments)
+                    if not arguments[2]:
+                        dropped.add(arguments[1])
             elif name == "admit":
                 lines += 1
-                slice_id, method, share, retry = f
+                slice_id, method, share, retry = arguments
                 if retry >= 2 and method in self.limits.once:
-                    self.broke(
+                    self.add_violation(
                         now,
                         2,
                         f"method {method}",
-                        f"tries again after any failure (way {retry}) of what must not run twice",
+                        f"retried after any failure (mode {retry}), but must not run twice",
                         True,
                     )
                 if not 0 <= share <= 1:
-                    self.broke(now, 5, f"slice {slice_id}", f"a level of {share}", True)
+                    self.add_violation(
+                        now, 5, f"slice {slice_id}", f"admitted share is {share}, 0 to 1 are allowed", True
+                    )
             elif name == "withdraw":
                 lines += 1
-                if f[0] in self.servers:
-                    self.servers[f[0]].shut = f[1]
-                    if f[1]:
-                        dropped.add(f[0])
-                    self.bare.update(self.servers[f[0]].slices)
+                if arguments[0] in self.servers:
+                    self.servers[arguments[0]].withdrawn = arguments[1]
+                    if arguments[1]:
+                        dropped.add(arguments[0])
+                    self.unserved.update(self.servers[arguments[0]].slices)
             elif name == "receipt":
-                mark = f[0]
+                mark = arguments[0]
         if not lines and mark is None:
             return
         self.message = first
@@ -270,176 +294,180 @@
             while len(self.marks) > 4096:
                 del self.marks[next(iter(self.marks))]
         for server in dropped:
-            x = self.servers[server]
-            if x.shut or not x.slices:
-                x.off_at = first
+            record = self.servers[server]
+            if record.withdrawn or not record.slices:
+                record.removed_by = first
         if self.proxies and self.broadcast:
-            self.message_to(now, set(self.proxies), lines)
+            self.record_message(now, set(self.proxies), lines)
 
-    def message_to(self, now: float, proxies: set[int], lines: float) -> int:
-        """A message of so many lines goes to these proxies; its number, which taken() wants."""
-        s = self.settings
+    def record_message(self, now: float, proxies: set[int], lines: float) -> int:
+        """Record a message of so many lines to these proxies; returns its number, for record_applied()."""
+        settings = self.settings
         if not self.broadcast:
             self.message += 1
-        self.flight.append((self.message, now, lines + s.lines_per_message, set(proxies)))
+        self.in_flight.append((self.message, now, lines + settings.lines_per_message, set(proxies)))
         for id in proxies:
             if id not in self.proxies:
-                self.broke(now, 5, f"proxy {id}", "a message to a proxy that has not joined", True)
+                self.add_violation(now, 5, f"proxy {id}", "got a message without having joined", True)
                 continue
             sent = self.proxies[id].sent
-            while sent and sent[0] <= now - s.messages_span:
+            while sent and sent[0] <= now - settings.messages_span:
                 sent.popleft()
             sent.append(now)
-            self.sent_most = max(self.sent_most, len(sent))
-            if s.messages_most and len(sent) > s.messages_most:
-                self.broke(
+            self.max_messages_sent = max(self.max_messages_sent, len(sent))
+            if settings.messages_most and len(sent) > settings.messages_most:
+                self.add_violation(
                     now,
                     5,
                     f"proxy {id}",
-                    f"{len(sent)} messages within {s.messages_span:g} s, {s.messages_most} are allowed",
+                    f"{len(sent)} messages within {settings.messages_span:g} s, {settings.messages_most} are allowed",
                     True,
                 )
         waiting = self.waiting(now)
-        self.waited_most = max(self.waited_most, waiting)
-        if s.lines_waiting_most and waiting > s.lines_waiting_most:
-            self.broke(
+        self.max_waiting_lines = max(self.max_waiting_lines, waiting)
+        if settings.lines_waiting_most and waiting > settings.lines_waiting_most:
+            self.add_violation(
                 now,
                 5,
                 "the channel",
-                f"{waiting:.0f} lines wait, {s.lines_waiting_most:.0f} are allowed",
-                self.blind_since is None,
+                f"{waiting:.0f} lines wait, {settings.lines_waiting_most:.0f} are allowed",
+                self.receipts_lost_at is None,
             )
 
         return self.message
 
-    def taken(self, proxy: int, number: int) -> None:
-        """A proxy has taken in a message that was told of by message_to()."""
-        for k, _, _, to_come in self.flight:
+    def record_applied(self, proxy: int, number: int) -> None:
+        """A proxy has applied a message that was recorded by record_message()."""
+        for k, _, _, pending in self.in_flight:
             if k == number:
-                to_come.discard(proxy)
-        while self.flight and not self.flight[0][3]:
-            self.flight.popleft()
+                pending.discard(proxy)
+        while self.in_flight and not self.in_flight[0][3]:
+            self.in_flight.popleft()
 
     def waiting(self, now: float) -> float:
-        """Lines that are not known to have left the channel. Once receipts are lost, what the channel's usual
-        rate has taken since counts as gone."""
-        total = sum(lines * len(to_come) for _, _, lines, to_come in self.flight)
-        if self.blind_since is not None:
-            total = max(0.0, total - self.settings.lines_rate * (now - self.blind_since))
+        """Lines that are not known to have left the channel. While receipts are lost, lines are assumed to have left
+        at the channel's usual rate since."""
+        total = sum(lines * len(pending) for _, _, lines, pending in self.in_flight)
+        if self.receipts_lost_at is not None:
+            total = max(0.0, total - self.settings.lines_rate * (now - self.receipts_lost_at))
         return total
 
-    # --- what time tells ---
+    # --- checks at a time ---
 
-    def clock(self, now: float) -> None:
-        if self.bare:
+    def check_due(self, now: float) -> None:
+        if self.unserved:
             self.rule_1(now)
         if self.leaving:
             self.rule_3(now)
         if self.cold:
             self.rule_4(now)
 
-    def usable(self, server: str) -> bool:
-        x = self.servers[server]
-        return not x.shut
+    def is_usable(self, server: str) -> bool:
+        record = self.servers[server]
+        return not record.withdrawn
 
-    def warm(self, now: float) -> bool:
+    def has_warm_server(self, now: float) -> bool:
         return any(
-            x.state == "ready" and not x.shut and now >= x.started + self.settings.cold_time
+            x.state == "ready" and not x.withdrawn and now >= x.started + self.settings.cold_time
             for x in self.servers.values()
         )
 
     def rule_1(self, now: float) -> None:
-        most = self.limits.unserved_most
-        for slice_id in list(self.bare):
+        limit = self.limits.unserved_most
+        for slice_id in list(self.unserved):
             table = self.slices[slice_id]
-            if any(self.usable(x) for x in table.lines):
-                table.bare_since, table.told_bare = None, False
-                self.bare.discard(slice_id)
+            if any(self.is_usable(x) for x in table.lines):
+                table.unserved_since, table.unserved_reported = None, False
+                self.unserved.discard(slice_id)
                 continue
-            if table.bare_since is None:
-                table.bare_since = now
+            if table.unserved_since is None:
+                table.unserved_since = now
             joined = [p.joined_at for p in self.proxies.values()]
-            if not (most and joined and self.warm(now)):
-                table.bare_since = now  # nobody lacks it, or there is nothing to have
-            elif not table.told_bare and now - max(table.bare_since, min(joined)) > most:
-                table.told_bare = True
-                self.broke(
+            if not (limit and joined and self.has_warm_server(now)):
+                table.unserved_since = now  # no proxy lacks a line, or no warm server could have it
+            elif not table.unserved_reported and now - max(table.unserved_since, min(joined)) > limit:
+                table.unserved_reported = True
+                self.add_violation(
                     now,
                     1,
                     f"slice {slice_id}",
-                    f"no line for {now - table.bare_since:.2f} s, {most:g} s are allowed",
+                    f"no line for {now - table.unserved_since:.2f} s, {limit:g} s are allowed",
                     True,
                 )
 
     def rule_3(self, now: float) -> None:
         grace = self.limits.grace
         for id in list(self.leaving):
-            x = self.servers[id]
-            if not grace or x.judged or x.left_at is None or now <= x.left_at + grace:
+            record = self.servers[id]
+            if not grace or record.drain_checked or record.leaving_since is None or now <= record.leaving_since + grace:
                 continue
-            x.judged = True
+            record.drain_checked = True
             self.leaving.discard(id)
-            late = [k for k in x.slices if now > self.slices[k].given_at + grace]
-            if late and not x.shut and any(now > p.joined_at + grace for p in self.proxies.values()):
-                self.broke(
+            late = [k for k in record.slices if now > self.slices[k].given_at + grace]
+            if late and not record.withdrawn and any(now > p.joined_at + grace for p in self.proxies.values()):
+                self.add_violation(
                     now,
                     3,
                     f"server {id}",
                     f"still in the tables of {len(late)} slices "
-                    f"{now - x.left_at:.2f} s after it was told to go, {grace:g} s are allowed",
+                    f"{now - record.leaving_since:.2f} s after it was listed as leaving, {grace:g} s are allowed",
                     True,
                 )
-            elif x.off_at is not None and self.blind_since is None:
-                behind = [k for k, p in self.proxies.items() if p.took < x.off_at and now > p.joined_at + grace]
+            elif record.removed_by is not None and self.receipts_lost_at is None:
+                behind = [
+                    k for k, p in self.proxies.items() if p.applied < record.removed_by and now > p.joined_at + grace
+                ]
                 if behind:
-                    self.broke(
+                    self.add_violation(
                         now,
                         3,
                         f"server {id}",
-                        f"{len(behind)} proxies, proxy {behind[0]} among them, had "
-                        f"not answered {grace:g} s after it was told to go",
+                        f"{len(behind)} proxies, proxy {behind[0]} among them, had not acknowledged its removal "
+                        f"{grace:g} s after it was listed as leaving",
                         False,
                     )
-            if x.state == "gone" and not x.slices:
+            if record.state == "gone" and not record.slices:
                 del self.servers[id]
                 self.used.pop(id, None)
 
     def rule_4(self, now: float) -> None:
-        s, limits = self.settings, self.limits
-        self.cold = {k for k in self.cold if k in self.servers and now < self.servers[k].started + s.cold_time}
+        settings, limits = self.settings, self.limits
+        self.cold = {k for k in self.cold if k in self.servers and now < self.servers[k].started + settings.cold_time}
         if not (self.cold and limits.tip_multiple and limits.fall_time and self.demand):
             return
-        asked: dict[str, float] = {}
+        demand: dict[str, float] = {}  # by server: work a second
         for slice_id, rows in self.demand.items():
-            while rows and rows[0][0] < now - RECENT:
+            while rows and rows[0][0] < now - RECENT_S:
                 rows.popleft()
-            lines = {k: w for k, w in self.slices[slice_id].lines.items() if self.usable(k)}
-            whole, work = sum(lines.values()), sum(w for _, w in rows) * s.report_period / RECENT
+            lines = {k: w for k, w in self.slices[slice_id].lines.items() if self.is_usable(k)}
+            total, work = sum(lines.values()), sum(w for _, w in rows) * settings.report_period / RECENT_S
             for server, weight in lines.items():
-                asked[server] = asked.get(server, 0.0) + work * weight / whole
+                demand[server] = demand.get(server, 0.0) + work * weight / total
         warm = [
-            (k, x)
-            for k, x in self.servers.items()
-            if k not in self.cold and x.state == "ready" and k in self.used and self.used[k][0] > now - RECENT
+            (k, record)
+            for k, record in self.servers.items()
+            if k not in self.cold and record.state == "ready" and k in self.used and self.used[k][0] > now - RECENT_S
         ]
-        used = sum(self.used[k][1] * x.size for k, x in warm)
+        used = sum(self.used[k][1] * record.size for k, record in warm)
         if not used:
             return
-        unit = sum(asked.get(k, 0.0) for k, _ in warm) / used  # work a second that a size of 1 can do
+        unit = sum(demand.get(k, 0.0) for k, _ in warm) / used  # capacity of a server of size 1, in work a second
         for id in self.cold:
-            x = self.servers[id]
-            share = s.cold_share + (1 - s.cold_share) * max(0.0, now - x.started) / max(s.cold_time, 0.001)
-            most = limits.tip_multiple * unit * x.size * min(1.0, share)
-            if asked.get(id, 0.0) <= most:
-                x.full_since = None
-            elif x.full_since is None:
-                x.full_since = now
-            elif x.full_since >= 0 and now - x.full_since > limits.fall_time:
-                x.full_since = float("-inf")  # told once
-                self.broke(
+            record = self.servers[id]
+            share = settings.cold_share + (1 - settings.cold_share) * max(0.0, now - record.started) / max(
+                settings.cold_time, 0.001
+            )
+            limit = limits.tip_multiple * unit * record.size * min(1.0, share)
+            if demand.get(id, 0.0) <= limit:
+                record.overloaded_since = None
+            elif record.overloaded_since is None:
+                record.overloaded_since = now
+            elif record.overloaded_since >= 0 and now - record.overloaded_since > limits.fall_time:
+                record.overloaded_since = float("-inf")  # reported once
+                self.add_violation(
                     now,
                     4,
                     f"server {id}",
-                    f"asked for {asked[id]:.2f} of work a second, about {most:.2f} is what it can take while cold",
+                    f"given {demand[id]:.2f} of work a second while cold, about {limit:.2f} is what it can take",
                     False,
                 )
--- a/knotwalk/state.py
+++ b/knotwalk/state.py
@@ -1,7 +1,7 @@
 """Checkpoints: a module's whole state as plain values, and a module made from them that goes on the same.
 
-Owns the list of what is state and what only follows from the settings. Knows nothing of recordings, files or
-fronts, and must never leave out a field without saying so: a test holds these lists against the module's own.
+Owns the lists of what is state and what follows from the settings alone. Knows nothing of recordings, files or fronts,
+and must never leave out an attribute: a test compares these lists with the module's own attributes.
 """
 
 from collections import deque
@@ -10,9 +10,9 @@
 from knotwalk.decide import Conductor, Server, Slice
 from knotwalk.interface import Method, Settings
 
-FORMAT = 2  # goes up with every change of the lists below; an older snapshot is converted or refused
+FORMAT = 2  # rises with every change of the lists' number or order; an older snapshot is converted or refused
 
-# What is kept as it is.
+# Attributes stored as they are. Snapshots hold the values in this order, without the names.
 SERVER = (
     "id",
     "state",
@@ -20,95 +20,95 @@
     "started",
     "zone",
     "proven",
-    "dropped",
-    "left_at",
-    "shut",
-    "once_shut",
+    "delisted",
+    "leaving_since",
+    "withdrawn",
+    "ever_withdrawn",
     "quota",
     "health",
-    "judged",
-    "moved",
-    "used",
-    "reported",
-    "spread",
-    "whole",
+    "health_changed_at",
+    "last_move_at",
+    "reported_use",
+    "reported_at",
+    "others_load",
+    "full_capacity",
     "capacity",
     "load",
-    "shut_out",
-    "ours",
-    "empty",
-    "coming",
+    "rejected_load",
+    "owned",
+    "unmeasured",
+    "incoming_load",
 )
-SLICE = ("id", "given_at", "urgent", "moved", "since", "demand", "unsure")
+SLICE = ("id", "given_at", "urgent", "last_move_at", "demand_since", "demand", "demand_unknown")
 CONDUCTOR = (
     "now",
-    "back",
-    "taken_at",
-    "heard_at",
-    "mark",
+    "first_slice_at",
+    "last_taken_at",
+    "demand_reported_at",
+    "receipt_mark",
     "next_pass",
     "next_urgent",
     "wake_at",
     "next_send",
     "next_urgent_send",
-    "next_leave_send",
-    "receipt_at",
-    "list_wait",
-    "list_due",
-    "born",
-    "listed_once",
-    "list_fresh",
-    "pending",
-    "unit",
-    "average",
-    "news",
+    "next_leaving_send",
+    "last_receipt_at",
+    "list_retry_delay",
+    "list_request_at",
+    "has_started",
+    "list_received",
+    "list_confirmed",
+    "send_due_at",
+    "unit_capacity",
+    "mean_capacity",
+    "has_new_input",
 )
-# What is taken apart: rows of samples, lists of figures, and what points to servers.
-SERVER_ROWS, SERVER_APART = ("met", "reports", "uses", "shifts"), ()
-SLICE_ROWS, SLICE_APART = ("samples",), ("work", "levels", "told_levels", "shares", "told")
-CONDUCTOR_APART = ("random", "servers", "slices", "proxies", "way", "sent", "way_time")
-# What follows from the settings alone, and is worked out anew.
+# Attributes stored in another form: rows of samples, lists of numbers, and references to servers.
+SERVER_ROWS, SERVER_APART = ("outcomes", "reports", "usage_samples", "load_shifts"), ()
+SLICE_ROWS, SLICE_APART = ("samples",), ("method_demand", "levels", "sent_levels", "shares", "sent_lines")
+CONDUCTOR_APART = ("random", "servers", "slices", "proxies", "in_flight", "sent_times", "zone_delays")
+# Attributes that follow from the settings alone; not stored.
 DERIVED = (
-    "cost",
-    "late",
-    "slow",
-    "order",
+    "rpc_costs",
+    "late_mean",
+    "slow_mean",
+    "method_order",
     "admits",
-    "period",
-    "scarce",
-    "settle",
-    "slices_all",
-    "asked_list",
+    "report_period",
+    "messages_capped",
+    "settle_time",
+    "total_slices",
+    "list_on_request",
     "one_owner",
     "cold_share",
     "cold_time",
-    "head",
-    "waiting_most",
-    "rate",
-    "messages_most",
+    "message_overhead",
+    "max_waiting",
+    "assumed_line_rate",
+    "max_messages",
     "messages_span",
-    "gap",
-    "orders_retry",
-    "gone_binds",
+    "ordinary_interval",
+    "sends_retry",
+    "gone_must_leave",
     "controllers",
-    "seat",
+    "controller_index",
 )
 
 
-class Unfit(Exception):
-    """A snapshot that cannot be used; the text says what is wrong."""
+class SnapshotError(Exception):
+    """A snapshot, or the settings stored with it, cannot be used; the text says what is wrong."""
 
 
 def snapshot(module: Conductor) -> dict:
-    """All that a module holds, as dicts, lists, tuples, strings and figures; nothing in it changes with the module.
+    """The module's whole state as dicts, lists, tuples, strings and numbers, sharing nothing mutable with the module.
 
-    Servers and slices are in the module's own order, on which its ties are broken.
+    Servers and slices keep the module's own order, by which it breaks ties.
     """
-    # One that only shares or tables still know comes after the others.
+    # Evicted servers that only shares or sent lines still refer to come after the others.
     servers = dict.fromkeys(module.servers.values())
     for s in module.slices.values():
-        servers.update(dict.fromkeys([*s.shares, *s.told]))
-    place = {x: k for k, x in enumerate(servers)}
+        servers.update(dict.fromkeys([*s.shares, *s.sent_lines]))
+    position = {x: k for k, x in enumerate(servers)}
     version, words, gauss = module.random.getstate()
     return {
         "format": FORMAT,
@@ -120,132 +120,140 @@
             [
                 [getattr(s, name) for name in SLICE],
                 list(s.samples),
-                list(s.work),
+                list(s.method_demand),
                 list(s.levels),
-                list(s.told_levels),
-                [place[x] for x in s.shares],
-                [[place[x], weight] for x, weight in s.told.items()],
+                list(s.sent_levels),
+                [position[x] for x in s.shares],
+                [[position[x], weight] for x, weight in s.sent_lines.items()],
             ]
             for s in module.slices.values()
         ],
-        "module": [getattr(module, name, 0.0) for name in CONDUCTOR],
+        "module": [getattr(module, name, 0.0) for name in CONDUCTOR],  # `now` is missing before the first round
         "random": [version, list(words), gauss],
         "proxies": list(module.proxies),
         "way": [
-            [mark, lines, sorted(proxies, key=lambda p: -1 if p is None else p)] for mark, lines, proxies in module.way
+            [mark, lines, sorted(proxies, key=lambda p: -1 if p is None else p)]
+            for mark, lines, proxies in module.in_flight
         ],
-        "sent": list(module.sent),
-        "way_time": [[*pair, time] for pair, time in module.way_time.items()],
+        "sent": list(module.sent_times),
+        "way_time": [[*pair, time] for pair, time in module.zone_delays.items()],
     }
 
 
-def from_1(told: dict) -> dict:
-    """Format 1 knew one controller alone: every server is its own to fill, and none is known to be empty."""
-    servers = [[[*plain, True, False, 0.0], *rows, []] for plain, *rows in told["servers"]]
-    return {**told, "format": 2, "servers": servers}
+def from_format_1(snapshot: dict) -> dict:
+    """Format 1 was for a single controller: it owns every server, and none counts as unmeasured."""
+    servers = [[[*plain, True, False, 0.0], *rows, []] for plain, *rows in snapshot["servers"]]
+    return {**snapshot, "format": 2, "servers": servers}
 
 
-# By format: how a snapshot of it becomes one of the next.
-CONVERT: dict[int, Callable[[dict], dict]] = {1: from_1}
+# By format: converts a snapshot to the next format.
+CONVERTERS: dict[int, Callable[[dict], dict]] = {1: from_format_1}
 
 
-def converted(told: Mapping) -> dict:
-    """A snapshot in today's format; raises Unfit for one that cannot be brought there."""
+def convert(snapshot: Mapping) -> dict:
+    """A snapshot in the current format; raises SnapshotError for one that cannot be converted."""
     try:
-        told, format = dict(told), told["format"]
+        snapshot, format = dict(snapshot), snapshot["format"]
     except (TypeError, ValueError, KeyError):
-        raise Unfit("no snapshot: it names no format") from None
-    while format in CONVERT and format < FORMAT:
-        told = CONVERT[format](told)
-        format = told["format"]
+        raise SnapshotError("not a snapshot: it has no format") from None
+    while format in CONVERTERS and format < FORMAT:
+        snapshot = CONVERTERS[format](snapshot)
+        format = snapshot["format"]
     if format != FORMAT:
-        raise Unfit(
-            f"a snapshot of format {format}; this version reads {FORMAT}" + "".join(f", {k}" for k in sorted(CONVERT))
+        raise SnapshotError(
+            f"snapshot is in format {format}; this version reads {FORMAT}"
+            + "".join(f", {k}" for k in sorted(CONVERTERS))
         )
-    return told
+    return snapshot
 
 
-def restored(told: Mapping, settings: Settings, make: Callable[..., Conductor] = Conductor) -> Conductor:
-    """A module that goes on as the one the snapshot was taken of would, under these settings.
+def restore(snapshot: Mapping, settings: Settings, make: Callable[..., Conductor] = Conductor) -> Conductor:
+    """A module that goes on under these settings as the one that the snapshot was taken of.
 
-    `make` makes an empty one. Raises Unfit where the snapshot does not hold what the format says.
+    `make` makes an empty one. Raises SnapshotError where the snapshot does not hold what its format requires.
     """
-    told = converted(told)
+    snapshot = convert(snapshot)
     module = make(settings, 0)
     try:
         servers = []
-        for plain, met, reports, uses, shifts in told["servers"]:
+        for plain, outcomes, reports, usage_samples, load_shifts in snapshot["servers"]:
             x = Server(plain[0])
             for name, value in zip(SERVER, plain, strict=True):
                 setattr(x, name, value)
-            x.met.extend(map(tuple, met))
+            x.outcomes.extend(map(tuple, outcomes))
             x.reports.extend(map(tuple, reports))
-            x.uses.extend(map(tuple, uses))
-            x.shifts.extend(map(tuple, shifts))
+            x.usage_samples.extend(map(tuple, usage_samples))
+            x.load_shifts.extend(map(tuple, load_shifts))
             servers.append(x)
-        module.servers.update((x.id, x) for x in servers[: told["listed"]])
-        methods = len(module.cost)
-        for plain, samples, work, levels, told_levels, shares, lines in told["slices"]:
+        module.servers.update((x.id, x) for x in servers[: snapshot["listed"]])
+        methods = len(module.rpc_costs)
+        for plain, samples, method_demand, levels, sent_levels, shares, lines in snapshot["slices"]:
             s = Slice(plain[0], plain[1])
             for name, value in zip(SLICE, plain, strict=True):
                 setattr(s, name, value)
             s.samples.extend(map(tuple, samples))
-            s.work, s.levels, s.told_levels = list(work), list(levels), list(told_levels)
+            s.method_demand, s.levels, s.sent_levels = list(method_demand), list(levels), list(sent_levels)
             if len(s.levels) != methods or any(not 0 <= row[4] < methods for row in samples):
-                raise Unfit(f"slice {s.id} is of {len(s.levels)} methods, the settings have {methods}")
+                raise SnapshotError(f"slice {s.id} has {len(s.levels)} methods, the settings have {methods}")
             s.shares = [servers[k] for k in shares]
-            s.told = {servers[k]: weight for k, weight in lines}
+            s.sent_lines = {servers[k]: weight for k, weight in lines}
             module.slices[s.id] = s
-        for name, value in zip(CONDUCTOR, told["module"], strict=True):
+        for name, value in zip(CONDUCTOR, snapshot["module"], strict=True):
             setattr(module, name, value)
-        version, words, gauss = told["random"]
+        version, words, gauss = snapshot["random"]
         module.random.setstate((version, tuple(words), gauss))
-        module.proxies.update(dict.fromkeys(told["proxies"]))
-        module.way = deque((mark, lines, set(proxies)) for mark, lines, proxies in told["way"])
-        module.sent.extend(told["sent"])
-        module.way_time = {(a, b): time for a, b, time in told["way_time"]}
+        module.proxies.update(dict.fromkeys(snapshot["proxies"]))
+        module.in_flight = deque((mark, lines, set(proxies)) for mark, lines, proxies in snapshot["way"])
+        module.sent_times.extend(snapshot["sent"])
+        module.zone_delays = {(a, b): time for a, b, time in snapshot["way_time"]}
     except (KeyError, ValueError, TypeError, IndexError) as fault:
-        raise Unfit(f"a snapshot that does not hold what its format says: {fault!r}") from None
+        raise SnapshotError(f"snapshot does not hold what its format requires: {fault!r}") from None
     return module
 
 
-def standing(told: Mapping) -> list[tuple[str, tuple]]:
-    """What stands by a snapshot, as an inbox would tell it: list, proxies, slices and the lines that were told."""
-    told = converted(told)
-    at = {name: k for k, name in enumerate(SERVER)}
-    servers = [row[0] for row in told["servers"]]
+def inbox_of(snapshot: Mapping) -> list[tuple[str, tuple]]:
+    """The inbox that brings an empty module to a snapshot's list, proxies, slices and sent lines."""
+    snapshot = convert(snapshot)
+    column = {name: k for k, name in enumerate(SERVER)}
+    servers = [row[0] for row in snapshot["servers"]]
     inbox: list[tuple[str, tuple]] = [
         (
             "listed",
-            (True, False, [tuple(x[at[name]] for name in ("id", "zone", "state", "size", "started")) for x in servers]),
+            (
+                True,
+                False,
+                [tuple(x[column[name]] for name in ("id", "zone", "state", "size", "started")) for x in servers],
+            ),
         )
     ]
-    inbox += [("joined", (proxy,)) for proxy in told["proxies"]]
-    for plain, _, _, _, _, _, lines in told["slices"]:
+    inbox += [("joined", (proxy,)) for proxy in snapshot["proxies"]]
+    for plain, _, _, _, _, _, lines in snapshot["slices"]:
         inbox.append(("given", (plain[0],)))
         inbox += [("held", (plain[0], servers[k][0], weight)) for k, weight in lines]
     return inbox
 
 
-def carry(old: Conductor, new: Conductor) -> None:
-    """What a new module takes over from the one it follows in the same process: the streams go on, so what was
-    sent on them still counts (rule 5), and receipts of it may yet come."""
-    for name in CARRIED:
+def carry_over(old: Conductor, new: Conductor) -> None:
+    """Copy what a new module takes over from its predecessor in the same process: the proxies' streams stay open, so
+    messages sent on them still count (rule 5), and their receipts may yet come."""
+    for name in CARRIED_OVER:
         setattr(new, name, getattr(old, name))
 
 
-CARRIED = ("sent", "way", "mark", "receipt_at")
+CARRIED_OVER = ("sent_times", "in_flight", "receipt_mark", "last_receipt_at")
 
 
-def settings_told(settings: Settings) -> dict:
-    """Settings as plain values, by name."""
+def settings_to_dict(settings: Settings) -> dict:
+    """Settings as plain values by name, as recordings store them."""
     return {**settings._asdict(), "methods": [list(m) for m in settings.methods]}
 
 
-def settings_read(told: Mapping) -> Settings:
-    """Settings from plain values; raises Unfit for a name that is missing or unknown."""
-    unknown = set(told) - set(Settings._fields)
-    missing = set(Settings._fields) - set(told) - set(Settings._field_defaults)  # an older recording's
+def settings_from_dict(payload: Mapping) -> Settings:
+    """Settings from plain values; raises SnapshotError for a name that is missing or unknown."""
+    unknown = set(payload) - set(Settings._fields)
+    missing = set(Settings._fields) - set(payload) - set(Settings._field_defaults)  # older recordings lack some
     if unknown or missing:
-        raise Unfit(f"settings {'without' if missing else 'with unknown'} {', '.join(sorted(missing or unknown))}")
-    return Settings(**{**told, "methods": tuple(Method(*m) for m in told["methods"])})
+        raise SnapshotError(
+            f"settings {'without' if missing else 'with unknown'} {', '.join(sorted(missing or unknown))}"
+        )
+    return Settings(**{**payload, "methods": tuple(Method(*m) for m in payload["methods"])})
--- a/knotwalk/wirehost/host.py
+++ b/knotwalk/wirehost/host.py
@@ -8,7 +8,7 @@
 from typing import BinaryIO, TextIO
 
 from knotwalk.decide import Conductor
-from knotwalk.wire_values import LOADS, STATES, Malformed, plain, read_methods, read_settings
+from knotwalk.wire_values import LOAD_COLUMNS, SERVER_STATES, MalformedError, error_text, read_methods, read_settings
 
 EVERY_SLICE = 65535
 
@@ -23,7 +23,7 @@
     for part in parts:
         name, equals, value = part.partition("=")
         if not equals:
-            raise Malformed(f"'{part}' is not name=value")
+            raise MalformedError(f"'{part}' is not name=value")
         fields[name] = value
     return fields
 
@@ -69,7 +69,7 @@
 
     def __init__(self, seed: int, pairs: Mapping[str, str]):
         self.conductor = Conductor(read_settings(pairs), seed)
-        self.columns = [LOADS.get(name, name) for name in pairs.get("stats.columns", "").split(",")]
+        self.columns = [LOAD_COLUMNS.get(name, name) for name in pairs.get("stats.columns", "").split(",")]
         self.methods = read_methods(pairs)
         self.inbox: list[tuple[str, tuple]] = []
 
@@ -134,7 +134,7 @@
 
     def on_pressure(self, instance: Instance, f: Mapping[str, str]) -> None:
         if f["tier_class"] not in instance.methods:
-            raise Malformed(f"no such class '{f['tier_class']}'")
+            raise MalformedError(f"no such class '{f['tier_class']}'")
         instance.inbox.append(
             (
                 "wanted",
@@ -158,9 +158,9 @@
         if form == "Error":
             instance.inbox.append(("list_failed", ()))
         elif form not in ("Partial", "Complete", "Persisted"):
-            raise Malformed(f"no such list form '{form}'")
+            raise MalformedError(f"no such list form '{form}'")
         elif int(f["bank"]) not in self.banks:
-            raise Malformed(f"no PAGE has filled bank {f['bank']}")
+            raise MalformedError(f"no PAGE has filled bank {f['bank']}")
         else:
             instance.inbox.append(("listed", (form != "Partial", form == "Persisted", self.banks[int(f["bank"])])))
 
@@ -172,14 +172,14 @@
         """
         parts = line.split(" ")
         if parts[0] != "ITEM":
-            raise Malformed(f"expected ITEM, got '{parts[0]}'")
+            raise MalformedError(f"expected ITEM, got '{parts[0]}'")
         f = fields_of(parts[1:])
-        if f["readiness"] not in STATES:
-            raise Malformed(f"no such readiness '{f['readiness']}'")
+        if f["readiness"] not in SERVER_STATES:
+            raise MalformedError(f"no such readiness '{f['readiness']}'")
         return (
             f["node"],
             f.get("zone", ""),
-            STATES[f["readiness"]],
+            SERVER_STATES[f["readiness"]],
             float(f.get("w", 1)),
             int(f.get("started_at_us", 0)) / 1e6,
         )
@@ -202,11 +202,11 @@
                     for _ in range(int(f["members_list"])):
                         try:
                             entries.append(self.item(next_line()))
-                        except (Malformed, KeyError, ValueError) as fault:
-                            self.complain(f"list entry dropped: {plain(fault)}")
+                        except (MalformedError, KeyError, ValueError) as fault:
+                            self.complain(f"list entry dropped: {error_text(fault)}")
                     self.banks[int(f["bank"])] = entries
                 elif who is None:
-                    raise Malformed("an event before any CONTEXT")
+                    raise MalformedError("an event before any CONTEXT")
                 elif name == "BORN":
                     f = fields_of(parts[1:])
                     self.instances[who] = Instance(int(f["random_seed"]), f)
@@ -214,14 +214,14 @@
                 elif name == "CRASH_NOW":
                     self.instances.pop(who, None)
                 elif who not in self.instances:
-                    raise Malformed(f"{who} was never born")
+                    raise MalformedError(f"{who} was never born")
                 elif name in self.events:
                     self.events[name](self.instances[who], fields_of(parts[1:]))
                     touched[who] = None
                 elif name not in self.unused:
-                    raise Malformed("no such event")
-            except (Malformed, KeyError, ValueError) as fault:
-                self.complain(f"dropped '{line[:120]}': {plain(fault)}")
+                    raise MalformedError("no such event")
+            except (MalformedError, KeyError, ValueError) as fault:
+                self.complain(f"dropped '{line[:120]}': {error_text(fault)}")
         reply: list[str] = []
         for who in touched:
             if (instance := self.instances.get(who)) is not None:
@@ -257,13 +257,13 @@
             continue
         try:
             if not line.startswith("SYNC "):
-                raise Malformed("expected SYNC")
+                raise MalformedError("expected SYNC")
             reply = host.batch(line, next_line)
         except EOFError:
             complain("the input ended within a batch")
             return 1
-        except (Malformed, KeyError, ValueError) as fault:
-            complain(f"dropped '{line[:120]}': {plain(fault)}")
+        except (MalformedError, KeyError, ValueError) as fault:
+            complain(f"dropped '{line[:120]}': {error_text(fault)}")
             continue
         try:
             sink.write(("\n".join(reply) + "\n").encode())
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,17 +42,23 @@
     """A conductor at `now`, with servers a, b, ... of these capacities and slices 0, 1, ... of these demands,
     slice k on server at[k]; nothing of it has to be told to proxy 0."""
     c = Conductor(PLAIN._replace(**{"slices": len(demands), **settings}), seed=1)
-    c.now, c.heard_at, c.born, c.next_pass, c.list_due = now, now, True, now + 1000, float("inf")
+    c.now, c.demand_reported_at, c.has_started, c.next_pass, c.list_request_at = (
+        now,
+        now,
+        True,
+        now + 1000,
+        float("inf"),
+    )
     c.joined(0)
     c.listed(True, False, [("abcdefghij"[k], "east", "ready", 1.0, 0.0) for k in range(len(capacities))])
     for server, capacity in zip(c.servers.values(), capacities):
         server.capacity = capacity
-    c.average = sum(capacities) / len(capacities) if capacities else 0.0
+    c.mean_capacity = sum(capacities) / len(capacities) if capacities else 0.0
     for k, demand in enumerate(demands):
         c.given(k)
         s, server = c.slices[k], c.servers[at[k]]
         c.held(k, at[k], 1.0)
-        s.demand, s.work, s.unsure = demand, [demand / 2, demand / 2], not demand
+        s.demand, s.method_demand, s.demand_unknown = demand, [demand / 2, demand / 2], not demand
         server.load += demand
-    c.back = float("-inf")
+    c.first_slice_at = float("-inf")
     return c
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -14,7 +14,7 @@
 
 from knotwalk.decide import Conductor
 from knotwalk.interface import Method, Settings
-from knotwalk.order_log import Tape
+from knotwalk.order_log import OrderLog
 
 METHODS = (Method(soft_deadline=1.5, criticality=3.0), Method(soft_deadline=1.0, criticality=9.0))
 WORK, SHARE, DEADLINE = (0.26, 0.15), (0.55, 0.45), (5.0, 2.5)  # by method: core seconds, part, seconds
@@ -148,7 +148,7 @@
     def round(self, inbox: list) -> None:
         if self.module is None:
             return
-        out, now = Tape(), self.now
+        out, now = OrderLog(), self.now
         self.module.decide(now, inbox, out)
         if self.witness:
             self.witness(now, inbox, out.orders, self.module)
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -10,8 +10,8 @@
 
 from knotwalk.decide import Conductor
 from knotwalk.interface import Method, Settings
-from knotwalk.order_log import Tape
-from knotwalk.rules import Limits, Rules
+from knotwalk.order_log import OrderLog
+from knotwalk.rules import Limits, RuleChecker
 
 ZONES = ("east", "west")
 LEASE_LATE = 2.5  # seconds until a lost conductor's slices are the others'
@@ -55,7 +55,7 @@
 class Seat:
     """A conductor and what is in its charge."""
 
-    def __init__(self, place: int, module: Conductor, rules: Rules, lag: float, proxies: list[int]):
+    def __init__(self, place: int, module: Conductor, rules: RuleChecker, lag: float, proxies: list[int]):
         self.place, self.module, self.rules, self.lag, self.proxies = place, module, rules, lag, proxies
         self.up, self.slices, self.free = True, set[int](), 0.0
         self.rounds: list[tuple] = []  # (now, inbox, orders)
@@ -103,7 +103,7 @@
                 Seat(
                     k,
                     make(settings, seed * 100 + k),
-                    Rules(settings, LIMITS),
+                    RuleChecker(settings, LIMITS),
                     lag * r.uniform(0.3, 3),
                     list(range(k, proxies, parts)),
                 )
@@ -142,7 +142,7 @@
     def round(self, seat: Seat, inbox: list) -> None:
         if not seat.up:
             return
-        tape, now = Tape(), self.now
+        tape, now = OrderLog(), self.now
         seat.module.decide(now, inbox, tape)
         seat.rules.feed(now, inbox, tape.orders)
         if self.keep:
@@ -235,7 +235,7 @@
 
     def breaks(self) -> list[tuple]:
         """What the checker is sure of, over all conductors."""
-        return [(seat.place, *b) for seat in self.seats for b in seat.rules.breaks if b.sure]
+        return [(seat.place, *b) for seat in self.seats for b in seat.rules.violations if b.sure]
 
     # --- what the script may say ---
 
--- a/tests/standins/hubs.py
+++ b/tests/standins/hubs.py
@@ -7,7 +7,7 @@
 from knotwalk.pubsub.hub import Hub, Later, Refused
 from knotwalk.pubsub.subscriber import Subscriber
 from knotwalk.pubsub.versions import Table
-from knotwalk.rules import Limits, Rules
+from knotwalk.rules import Limits, RuleChecker
 from standins.day import Size, settings_of
 
 KEY = b"k" * 32
@@ -33,7 +33,7 @@
         self.pipes = {}  # by the subscriber's name
         self.inbox, self.notes, self.ended = [], [], []
         self.sent = {}  # by proxy: times
-        self.rules = Rules(settings, Limits(unserved_most=0.8), broadcast=False)  # judges each message sent
+        self.rules = RuleChecker(settings, Limits(unserved_most=0.8), broadcast=False)  # judges each message sent
         self.flight = {}  # by stream and number: what the rules call it
         self.bytes = 0
 
@@ -47,7 +47,7 @@
         if cursor.proxy is not None:
             self.sent.setdefault(cursor.proxy, []).append(self.now)
             told = json.loads(message)
-            self.flight[cursor, told["n"]] = self.rules.message_to(self.now, {cursor.proxy}, lines_of(told))
+            self.flight[cursor, told["n"]] = self.rules.record_message(self.now, {cursor.proxy}, lines_of(told))
 
     def end(self, cursor, why):
         self.ended.append((cursor.name, why))
@@ -84,7 +84,7 @@
             self.hub.left(pipe.cursor)
             if pipe.cursor.proxy is not None:
                 # Its account goes on over streams: the rules' proxy stays, only what was on its way is void.
-                for _, _, _, to_come in self.rules.flight:
+                for _, _, _, to_come in self.rules.in_flight:
                     to_come.discard(pipe.cursor.proxy)
 
     def deliver(self, name, count=1 << 30):
@@ -100,10 +100,10 @@
         if told["t"] == "ack":
             self.hub.ack(self.now, pipe.cursor, told["n"], wire.need_of(told), self)
             if (number := self.flight.pop((pipe.cursor, told["n"]), None)) is not None:
-                self.rules.taken(pipe.cursor.proxy, number)
+                self.rules.record_applied(pipe.cursor.proxy, number)
         else:
             self.hub.nack(self.now, pipe.cursor, told["n"], told["why"], self)
-            for _, _, _, to_come in self.rules.flight:
+            for _, _, _, to_come in self.rules.in_flight:
                 to_come.discard(pipe.cursor.proxy)
 
     # --- time ---
@@ -140,7 +140,7 @@
 
     def caps_kept(self):
         """The rules by their own checker, from what was sent and not by the hub's account."""
-        return not self.rules.breaks
+        return not self.rules.violations
 
 
 def lines_of(told):
--- a/tests/system/test_placement.py
+++ b/tests/system/test_placement.py
@@ -5,7 +5,7 @@
 
 from knotwalk.discovery.view_types import SLICES, Node
 from knotwalk.leases.ledger import Ledger
-from knotwalk.placement.capacity import SETTLE, Capacities, Report, utilizations
+from knotwalk.placement.capacity import SETTLE, Capacities, LoadReport, utilizations
 from knotwalk.placement.passes import place, strip
 from knotwalk.placement.placer import (
     AGAIN,
@@ -91,7 +91,7 @@
         """One look by each conductor; what they order is done before the next one's."""
         made = []
         for name in only or self.conductors:
-            report = Report(
+            report = LoadReport(
                 {"s": dict(self.demand)},
                 dict(self.told),
                 {id: self.now for id in self.told},
@@ -235,15 +235,15 @@
     def test_a_look_is_due_on_news_and_when_its_time_has_come_only(self):
         fleet = Fleet(3)
         placer = fleet.placers["a"]
-        self.assertTrue(placer.due(fleet.now, "list 1"))
+        self.assertTrue(placer.is_due(fleet.now, "list 1"))
         (command,) = fleet.step(obey=False)
-        self.assertFalse(placer.due(fleet.now + LOOK / 2, "list 1"))
-        self.assertTrue(placer.due(fleet.now + LOOK / 2, "list 2"))  # at once
-        self.assertFalse(placer.due(fleet.now + LOOK, "list 2"))
-        self.assertTrue(placer.due(fleet.now + 1.6 * LOOK, "list 2"))  # for loads
-        placer.due(fleet.now + AGAIN - 0.1, "list 2")
-        self.assertFalse(placer.due(fleet.now + AGAIN - 0.01, "list 2"))
-        self.assertTrue(placer.due(fleet.now + AGAIN, "list 2"))  # the move may be lost
+        self.assertFalse(placer.is_due(fleet.now + LOOK / 2, "list 1"))
+        self.assertTrue(placer.is_due(fleet.now + LOOK / 2, "list 2"))  # at once
+        self.assertFalse(placer.is_due(fleet.now + LOOK, "list 2"))
+        self.assertTrue(placer.is_due(fleet.now + 1.6 * LOOK, "list 2"))  # for loads
+        placer.is_due(fleet.now + AGAIN - 0.1, "list 2")
+        self.assertFalse(placer.is_due(fleet.now + AGAIN - 0.01, "list 2"))
+        self.assertTrue(placer.is_due(fleet.now + AGAIN, "list 2"))  # the move may be lost
 
     def test_no_node_no_move(self):
         fleet = Fleet(1)
@@ -331,7 +331,7 @@
 
 
 def stripped(node, own):
-    return strip([node], lambda x: own.get(x.id, ()), 1.0, may_go=own_part([node], 1.0, own))
+    return strip([node], lambda x: own.get(x.id, ()), 1.0, can_move=own_part([node], 1.0, own))
 
 
 class PassTest(unittest.TestCase):
@@ -369,7 +369,7 @@
         capacities.hear(
             self.nodes,
             work or {"a": 40.0, "b": 40.0, "c": 40.0},
-            Report(utilization=used, heard=dict.fromkeys(used, at)),
+            LoadReport(utilization=used, heard=dict.fromkeys(used, at)),
             moved or {},
             cold,
         )
@@ -398,7 +398,7 @@
 
     def test_nothing_is_learned_of_a_service_whose_demand_has_just_begun(self):
         found = Capacities()
-        report = Report(utilization={"a": 0.5}, heard={"a": 5.0}, spans={"s": SETTLE / 2})
+        report = LoadReport(utilization={"a": 0.5}, heard={"a": 5.0}, spans={"s": SETTLE / 2})
         found.hear(self.nodes, {"a": 40.0}, report, {}, ())
         self.assertEqual(found.estimates(self.nodes)["a"], 0.0)
         report.spans["s"] = SETTLE
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -103,11 +103,11 @@
         assert done.stdout.strip() == first, done.stderr
     # Each conductor's inbox, played to a module of its own with no other beside it, gives its orders.
     from knotwalk.decide import Conductor
-    from knotwalk.order_log import Tape
+    from knotwalk.order_log import OrderLog
 
     for seat in f.seats:
         alone = Conductor(f.settings._replace(place=seat.place), 900 + seat.place)
         for now, inbox, orders in seat.rounds:
-            tape = Tape()
+            tape = OrderLog()
             alone.decide(now, inbox, tape)
             assert tape.orders == orders
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -8,7 +8,7 @@
 from knotwalk.net.loop import TooLong, Unreadable
 from knotwalk.net.resp import Resp, packed
 from knotwalk.net.ring import Ring
-from knotwalk.wire_values import Malformed, flattened, read_methods, read_settings
+from knotwalk.wire_values import MalformedError, flatten_settings, read_methods, read_settings
 
 
 def fault_of(machine, data):
@@ -117,7 +117,7 @@
         "tick_us": 1000,
         "family_info": {"partitions_n": 4, "admit": "fraction", "one_owner": False},
     }
-    pairs = flattened(told)
+    pairs = flatten_settings(told)
     s = read_settings(pairs)
     assert s.methods[0].soft_deadline == 1.5 and s.slices == 4 and s.admits and not s.one_owner
     assert read_methods(pairs) == {"read": 0} and pairs["tick_us"] == "1000"
@@ -127,7 +127,7 @@
     assert read_settings({}).slices == 0
     try:
         read_settings({"family_info.period_us": "soon"})
-    except Malformed as fault:
+    except MalformedError as fault:
         assert "family_info.period_us=soon" in str(fault)
     else:
         assert False
--- a/tests/test_passes.py
+++ b/tests/test_passes.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from knotwalk.placement.passes import fit, place, strip
+from knotwalk.placement.passes import place, strip, utilization
 
 
 @dataclass(eq=False)
@@ -35,7 +35,7 @@
 
 def test_what_may_not_go_is_passed_over_and_the_pool_is_ordered_over_all_nodes():
     a, b = fleet([6, 2, 2], [5, 5])
-    assert strip([a, b], held, 0.1, rank=lambda share: -share, may_go=lambda load, share, node: share != 0) == [
+    assert strip([a, b], held, 0.1, rank=lambda share: -share, can_move=lambda load, share, node: share != 0) == [
         (5, 4, b),
         (5, 3, b),
         (2, 2, a),
@@ -72,5 +72,11 @@
         made.append(share)
 
     pool = strip([a], held, 0.1)
-    moves = place(pool, lambda share, node: [b, c], room=lambda x, load: fit(x, load) + (x is b), move=move, most=2.5)
+    moves = place(
+        pool,
+        lambda share, node: [b, c],
+        score=lambda x, load: utilization(x, load) + (x is b),
+        move=move,
+        max_moves=2.5,
+    )
     assert moves == [(0, a, c), (2, a, c)] and made == [0, 2] and (a.load, b.load, c.load) == (4, 0, 4)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 from knotwalk.net.ending import Ending
 from knotwalk.net.relay import Calls, News
 from knotwalk.net.resp import packed
-from knotwalk.wire_values import Bounds
+from knotwalk.wire_values import ReportBounds
 
 HOME = ("127.0.0.1", 1)
 HEARD = packed(
@@ -34,7 +34,7 @@
 
 
 JOIN = packed("agent", "zone", "a")
-BOUNDS = Bounds(frozenset({"a"}), 9, 1000, 10)
+BOUNDS = ReportBounds(frozenset({"a"}), 9, 1000, 10)
 
 
 class Told(list):
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -46,11 +46,11 @@
     class Anew(Day):
         def come_anew(self):
             """A reload with other settings, in the same process: the streams go on."""
-            from knotwalk.state import carry
+            from knotwalk.state import carry_over
 
             old, self.settings = self.module, self.settings._replace(messages_most=5)
             self.module = Conductor(self.settings, 77)
-            carry(old, self.module)
+            carry_over(old, self.module)
             tapes.lives(self.now, self.module, self.settings, 77, "reload")
             inbox = [("joined", (edge.id,)) for edge in self.edges if edge.joined]
             for k, lines in self.store.items():
@@ -68,7 +68,7 @@
     day = Day(4, SMALL, script=storm(4, SMALL, 30.0, 5), witness=tapes.witness, lives=tapes.lives).run(20.0)
     bad = [("held", (0, "s1", "heavy"))]  # a weight that is no figure
     with pytest.raises(TypeError) as fault:
-        day.module.decide(day.now + 0.1, bad, exact.Tape())
+        day.module.decide(day.now + 0.1, bad, exact.OrderLog())
     tapes.recorder.failed(day.now + 0.1, bad, [], f"TypeError: {fault.value}")
     day.at(day.now + 0.2, day.begin)
     day.run(10.0)
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -15,7 +15,7 @@
 from knotwalk.net.ending import Ending
 from knotwalk.net.log import Log
 from knotwalk.net.resp import packed
-from knotwalk.settings.operator import Operator, Record
+from knotwalk.settings.operator import OperatorSettings, RecordSettings
 
 ALIVE = packed("alive")
 
@@ -295,10 +295,10 @@
     h.news.proxies, h.news.slices = {4}, {0: {"a": 1.0}}
     failed = h.module
     failed.decide = lambda *_: 1 / 0
-    failed.sent.append(7.0)
-    failed.mark = 40
+    failed.sent_times.append(7.0)
+    failed.receipt_mark = 40
     h.round()
-    assert h.module is not failed and list(h.module.sent) == [7.0] and h.module.mark == 40
+    assert h.module is not failed and list(h.module.sent_times) == [7.0] and h.module.receipt_mark == 40
     assert h.inbox == [
         ("joined", (4,)),
         ("given", (0,)),
@@ -307,19 +307,19 @@
     ]
     h.last = 0.0
     h.round()
-    assert h.module.slices[0].told == {h.module.servers["a"]: 1.0} and h.inbox == []
+    assert h.module.slices[0].sent_lines == {h.module.servers["a"]: 1.0} and h.inbox == []
 
 
 def test_new_settings_make_a_new_module_that_starts_from_what_stands(tmp_path):
     h = host(tmp_path)
     h.news.slices, old = {0: {"a": 1.0}}, h.module
-    old.way.append((7, 30, {1}))
+    old.in_flight.append((7, 30, {1}))
     told = json.loads((tmp_path / "config.json").read_text())
     told["settings"]["classes"].append({"name": "write", "slo_us": 1, "worth": 9})
     told["limits"] = {"sockets": 100}
     (tmp_path / "config.json").write_text(json.dumps(told))
     h.reload({"EDGE_CONFIG": str(tmp_path / "config.json")})
-    assert h.module is not old and len(h.module.cost) == 2 and h.module.way == old.way
+    assert h.module is not old and len(h.module.rpc_costs) == 2 and h.module.in_flight == old.in_flight
     assert h.names == {0: "read", 1: "write"} and h.callers.seats == 80 and ("given", (0,)) in h.inbox
 
 
@@ -435,7 +435,9 @@
     stand.start()
     stand.program.kill()
     config = Config({"EDGE_CONFIG": stand.config.name})
-    host = Host(config, Log(open(os.devnull, "w")), Operator(Record(True, str(tmp_path / "r"), checkpoint=1.0)))
+    host = Host(
+        config, Log(open(os.devnull, "w")), OperatorSettings(RecordSettings(True, str(tmp_path / "r"), checkpoint=1.0))
+    )
     host.lives("start")
     assert host.recorder.life_told["why"] == "start"
     host.tell("given", 0)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -7,13 +7,13 @@
 
 from knotwalk import state
 from knotwalk.decide import Conductor, Server, Slice
-from knotwalk.order_log import Tape
+from knotwalk.order_log import OrderLog
 
 SMALL = Size(servers=5, proxies=4, slices=12, rate=40.0)
 
 
 def test_every_field_of_the_module_is_state_or_follows_from_the_settings():
-    """Guards against a new field of the decisions that no checkpoint carries."""
+    """Guards against a new attribute of the decisions that no checkpoint stores."""
     module = Conductor(settings_of(SMALL), 1)
     assert set(vars(module)) | {"now"} == {*state.CONDUCTOR, *state.CONDUCTOR_APART, *state.DERIVED}
     assert set(vars(Server("a"))) == {*state.SERVER, *state.SERVER_ROWS, *state.SERVER_APART}
@@ -39,7 +39,7 @@
 def play(module, rounds):
     told = []
     for now, inbox, _ in rounds:
-        out = Tape()
+        out = OrderLog()
         module.decide(now, inbox, out)
         told.append(out.orders)
     return told
@@ -53,7 +53,7 @@
     module = Conductor(day.settings, seed + 1)
     play(module, rounds[:cut])
     told = msgpack.unpackb(packed(module))
-    back = state.restored(told, day.settings)
+    back = state.restore(told, day.settings)
     assert packed(back) == packed(module)
     assert play(back, rounds[cut:]) == [orders for _, _, orders in rounds[cut:]]
     assert packed(back) == packed(day.module)
@@ -69,10 +69,10 @@
 def test_a_snapshot_of_another_format_is_refused_by_name_or_converted(monkeypatch):
     _, day = rounds_of(1)
     old = {**state.snapshot(day.module), "format": 0}
-    with pytest.raises(state.Unfit, match="format 0; this version reads 2"):
-        state.restored(old, day.settings)
-    monkeypatch.setitem(state.CONVERT, 0, lambda told: {**told, "format": 2})
-    assert packed(state.restored(old, day.settings)) == packed(day.module)
+    with pytest.raises(state.SnapshotError, match="format 0; this version reads 2"):
+        state.restore(old, day.settings)
+    monkeypatch.setitem(state.CONVERTERS, 0, lambda told: {**told, "format": 2})
+    assert packed(state.restore(old, day.settings)) == packed(day.module)
 
 
 def test_a_snapshot_of_one_controller_alone_has_all_servers_its_own():
@@ -80,10 +80,12 @@
     told = state.snapshot(day.module)
     at = len(state.SERVER) - 3
     old = {**told, "format": 1, "servers": [[plain[:at], *rows[:3]] for plain, *rows in told["servers"]]}
-    back = state.restored(old, day.settings)
-    assert all(x.ours and not x.empty for x in back.servers.values())
-    told = state.settings_told(day.settings)
-    assert state.settings_read({k: v for k, v in told.items() if k not in ("controllers", "place")}) == day.settings
+    back = state.restore(old, day.settings)
+    assert all(x.owned and not x.unmeasured for x in back.servers.values())
+    told = state.settings_to_dict(day.settings)
+    assert (
+        state.settings_from_dict({k: v for k, v in told.items() if k not in ("controllers", "place")}) == day.settings
+    )
 
 
 @pytest.mark.parametrize(
@@ -99,18 +101,18 @@
 )
 def test_a_spoilt_snapshot_is_refused_in_words(spoil):
     _, day = rounds_of(1)
-    with pytest.raises(state.Unfit):
-        state.restored(spoil(state.snapshot(day.module)), day.settings)
+    with pytest.raises(state.SnapshotError):
+        state.restore(spoil(state.snapshot(day.module)), day.settings)
 
 
 def test_a_snapshot_of_other_methods_is_refused():
     _, day = rounds_of(1)
-    with pytest.raises(state.Unfit, match="methods"):
-        state.restored(state.snapshot(day.module), day.settings._replace(methods=day.settings.methods[:1]))
+    with pytest.raises(state.SnapshotError, match="methods"):
+        state.restore(state.snapshot(day.module), day.settings._replace(methods=day.settings.methods[:1]))
 
 
 def test_settings_survive_as_plain_values():
     s = settings_of(SMALL)
-    assert state.settings_read(msgpack.unpackb(msgpack.packb(state.settings_told(s)))) == s
-    with pytest.raises(state.Unfit, match="with unknown colour"):
-        state.settings_read({**state.settings_told(s), "colour": 1})
+    assert state.settings_from_dict(msgpack.unpackb(msgpack.packb(state.settings_to_dict(s)))) == s
+    with pytest.raises(state.SnapshotError, match="with unknown colour"):
+        state.settings_from_dict({**state.settings_to_dict(s), "colour": 1})
