--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -13,7 +13,7 @@
 from knotwalk.leases.evidence import Event, Evidence, HolderCleared, NodeUnreachable
 from knotwalk.leases.keeper import Keeper
 from knotwalk.leases.orders import REFUSED, UNSENT, Grant, Pace, Propose, Release
-from knotwalk.placement.capacity import LoadReport, utilizations
+from knotwalk.placement.capacity import LoadReport, utilizations_by_node
 from knotwalk.placement.placer import Placer
 from knotwalk.runtime.call import Caller, Refused
 from knotwalk.runtime.errors import PeerError
@@ -220,14 +220,14 @@
             for service, slices in sums.get("demand", {}).items()
             if slices
         }
-        told = utilizations(sums.get("nodes", {}), spans, self.board.nodes)
+        told = utilizations_by_node(sums.get("nodes", {}), spans, self.board.nodes)
         return LoadReport(
             demand=demand,
             utilization=told,
-            heard={id: now for id in told},
-            spans=spans,
+            heard_at={id: now for id in told},
+            demand_spans=spans,
             unreachable=unreachable,
             lapsed=lapsed,
             avoided=avoided,
-            ailing=self.board.ailing,
+            outliers=self.board.ailing,
         )
--- a/knotwalk/placement/capacity.py
+++ b/knotwalk/placement/capacity.py
@@ -1,16 +1,17 @@
-"""What each node can do, learned from the demand of its slices and the utilization that is heard of it.
+"""What each node can do, estimated from the demand of its slices and the utilization reported of it.
 
 The paper takes capacities as given. Here a node's capacity is the demand of its slices over its utilization, both
-summed over its last samples (single reports swing, and a mean of ratios overrates). Demand and capacity are in the
-same unit, whichever the caller counts in (requests a second, better times their mean work).
-
-A service none of whose nodes tells its load is judged by Little's law from what edges count at each node: tries a
-second times the mean time of those answered is how many the node has in hand, running and waiting. Tries that failed
-or were turned away count as long as an answered one, or a node that fails fast would look idle and be given more; one
-that answered nothing is not judged. Counts by node, not the slices' busy seconds by owner line: these name the owner of
-now, for a line moved a second ago the wrong one, and hold no failures. How many are in hand grows without end near full
-use (two slots 0.7 used: 1.4 a slot), so it is brought to the measure of told loads, which count who waits up to half a
-round (`Seen.told`): else a mean above 1 would stop all passes (k_p is then below it, and no target has room).
+summed over its last samples (single reports vary, and a mean of ratios overestimates). Demand and capacity are in the
+same unit, the caller's (requests a second, or better these times their mean work).
+
+In a service none of whose nodes reports its load, utilization follows by Little's law from what edges count at each
+node: tries a second times the mean time of those answered is the number of requests in flight there, running and
+waiting. Tries that failed or were refused count as long as an answered one, or a node that fails fast would look idle
+and be given more; a node that answered nothing is not judged. The counts are per node, not the slices' busy seconds
+per owner line: a line names the current owner, which is wrong for one moved a second ago, and holds no failures. The
+number in flight grows without limit near full use (two slots at 0.7: 1.4 a slot), so it is converted to the scale of
+reported loads, which count waiting requests for at most half a round (`LoadReport.utilization`): else a mean above 1
+would stop all passes, since k_p would be below it and no target would have room.
 """
 
 from __future__ import annotations
@@ -22,86 +23,92 @@
 
 from knotwalk.discovery.view_types import Node
 
-SAMPLES = 10  # as many as the service's estimates keep
-EVERY = 0.9  # s between two samples: reports tell of the last second or two, so closer ones say the same twice
-# A report tells of the last second or two, and a moved slice's requests under way end within one more.
-SETTLE = 2.0
-# Below this a report tells next to nothing of what the node could do (of 2 slots, one request a tenth of the time).
-LEAST = 0.05
-# Samples' worth of the service's own figure that is mixed in: steadies the first. At 2, a node of half the usual size
-# was still filled to 1.14 after 90 s.
-PRIOR = 0.5
-HALVINGS = 20  # of the range of use, when it is sought by the number in hand: to a millionth
+MAX_SAMPLES = 10  # of a node, as decide/ keeps of a server
+# Between two samples: a report covers the last second or two, so closer ones would count the same load twice.
+SAMPLE_INTERVAL_S = 0.9
+# After a move: a report covers the last second or two, and the moved slice's requests in flight end within one more.
+SETTLE_S = 2.0
+# A report below this hardly tells what the node could do (of 2 slots: one request a tenth of the time).
+MIN_UTILIZATION = 0.05
+# Weight of the service's average capacity in each estimate, in samples; it steadies the first estimates. At 2, a node
+# of half the usual size was still filled to 1.14 after 90 s.
+PRIOR_SAMPLES = 0.5
+BISECTION_STEPS = 20  # in the search for a utilization: to a millionth
 
 
 @dataclass
 class LoadReport:
-    """What was heard of loads. Utilization: (running + waiting) / slots, a mean over the last seconds; who waits counts
-    up to half a round."""
+    """What is known of loads and of nodes in trouble, for one look at the placement."""
 
-    demand: dict[str, dict[int, float]] = field(default_factory=dict)  # by service and slice, of the last seconds
-    utilization: dict[str, float] = field(default_factory=dict)  # by node
-    heard: dict[str, float] = field(default_factory=dict)  # by node: when (the caller's clock, s)
-    unreachable: set[str] = field(default_factory=set)  # listed, but not reached (Keeper.unreachable)
-    ailing: frozenset[str] = frozenset()  # listed and there, but most that goes there goes wrong
-    spans: dict[str, float] = field(default_factory=dict)  # by service: the seconds that its demand was heard over
-    lapsed: frozenset[tuple[str, int]] = frozenset()  # slices that such a node held no longer (Keeper.lapsed)
-    avoided: frozenset[str] = frozenset()  # not reached by another core: given no more keys while there are others
+    demand: dict[str, dict[int, float]] = field(default_factory=dict)  # by service and slice, over the last seconds
+    # By node: (running + waiting) / slots, a mean over the last seconds; a waiting request counts for at most half a
+    # round of all slots.
+    utilization: dict[str, float] = field(default_factory=dict)
+    heard_at: dict[str, float] = field(default_factory=dict)  # by node: when utilization was reported (caller's clock)
+    unreachable: set[str] = field(default_factory=set)  # listed nodes that cannot be reached (Keeper.unreachable)
+    outliers: frozenset[str] = frozenset()  # listed and reachable nodes at which most requests fail
+    demand_spans: dict[str, float] = field(default_factory=dict)  # by service: the seconds that its demand covers
+    lapsed: frozenset[tuple[str, int]] = frozenset()  # slices whose unreachable owner's hold has ended (Keeper.lapsed)
+    avoided: frozenset[str] = frozenset()  # nodes that another core cannot reach: no more keys while there are others
 
 
-def utilizations(
+def utilizations_by_node(
     rows: Mapping[str, Sequence[float]], spans: Mapping[str, float], nodes: Mapping[str, Node]
 ) -> dict[str, float]:
-    """Utilization by node, from edges' sums of the last seconds, so many by service (rows as in `discovery.loads`).
+    """Utilization by node, from edges' sums over `spans` seconds by service (rows as in `discovery.loads`).
 
-    Nodes that nothing can be said of are left out."""
+    Nodes without any usable count are left out."""
     rows = {id: row for id, row in rows.items() if id in nodes}
-    telling = {nodes[id].service for id, row in rows.items() if row[1]}
-    found = {}
-    for id, (told, count, slots, *tries) in rows.items():
+    reporting = {nodes[id].service for id, row in rows.items() if row[1]}
+    utilizations = {}
+    for id, (load_sum, count, slots, *tries) in rows.items():
         slots = max(1, slots)
         if count:
-            found[id] = told / count / slots
-        elif nodes[id].service not in telling and tries and tries[0]:
+            utilizations[id] = load_sum / count / slots
+        elif nodes[id].service not in reporting and tries and tries[0]:
             ok, failed, refused, busy = tries
-            found[id] = by_count((ok + failed + refused) / spans.get(nodes[id].service, 1.0) * busy / ok, int(slots))
-    return found
+            utilizations[id] = utilization_from_in_flight(
+                (ok + failed + refused) / spans.get(nodes[id].service, 1.0) * busy / ok, int(slots)
+            )
+    return utilizations
 
 
-def by_count(in_hand: float, slots: int) -> float:
-    """The utilization of a node that has so many requests in hand on average, as its answers would tell it: who waits
-    counts up to half a round (the queue is taken for one of random arrivals, its tail for geometric).
+def utilization_from_in_flight(in_flight: float, slots: int) -> float:
+    """The utilization of a node with so many requests in flight on average, on the scale that its answers would report:
+    waiting requests count for at most half a round (assuming random arrivals and a geometric tail of the queue).
 
     The mean queue at use r of c slots is r ** sqrt(2 (c + 1)) / (1 - r); source: Sakasegawa, "An approximation formula
     Lq = a r^b / (1 - r)", 1977.
 
-    >>> [round(by_count(n, 2), 2) for n in (0.0, 0.5, 1.0, 3.0, 10.0, 1000.0)]
+    >>> [round(utilization_from_in_flight(n, 2), 2) for n in (0.0, 0.5, 1.0, 3.0, 10.0, 1000.0)]
     [0.0, 0.25, 0.46, 0.94, 1.3, 1.5]
     """
     low, high = 0.0, 1.0
-    for _ in range(HALVINGS):
+    for _ in range(BISECTION_STEPS):
         use = (low + high) / 2
-        if slots * use + use ** math.sqrt(2 * (slots + 1)) / (1 - use) <= in_hand:
+        if slots * use + use ** math.sqrt(2 * (slots + 1)) / (1 - use) <= in_flight:
             low = use
         else:
             high = use
-    return low + (in_hand - slots * low) * (1 - low ** (slots // 2)) / slots
+    return low + (in_flight - slots * low) * (1 - low ** (slots // 2)) / slots
 
 
 @dataclass(slots=True)
-class _Record:
+class _NodeSamples:
     service: str
-    heard: float = float("-inf")
-    samples: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=SAMPLES))
+    sampled_at: float = float("-inf")
+    samples: deque[tuple[float, float]] = field(
+        default_factory=lambda: deque(maxlen=MAX_SAMPLES)
+    )  # (work, utilization)
 
 
-class Capacities:
-    """Estimates by node, kept as reports come."""
+class CapacityEstimator:
+    """Estimates by node, updated by reports."""
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._by_node: dict[str, _NodeSamples] = {}
 
-    def hear(
+    def add_report(
         self,
         nodes: Mapping[str, Node],
         work: Mapping[str, float],
@@ -109,47 +116,53 @@
         moved: Mapping[str, float],
         cold: Iterable[str],
     ) -> None:
-        """Take a report: `work` is the demand of each node's slices, `moved` when one last came or went.
+        """Add a report; `work` is the demand of each node's slices, `moved` when a slice last came or went.
 
-        Counted are reports that are new, of warm nodes, settled since the node's last move, and not of idle ones; none
-        of a service whose demand has just begun. It comes by edges' reports a second apart, and is uneven until each
-        sent two."""
+        Only new reports of warm and busy nodes that have settled since their last move count, and none of a service
+        whose demand has just begun: edges report it a second apart, and it is uneven until each has reported twice."""
         cold = set(cold)
-        for id in self._records.keys() - nodes.keys():
-            del self._records[id]
+        for id in self._by_node.keys() - nodes.keys():
+            del self._by_node[id]
         for id, node in nodes.items():
-            record = self._records.setdefault(id, _Record(node.service))
-            heard, used = report.heard.get(id), report.utilization.get(id)
-            if heard is None or used is None or heard < record.heard + EVERY:
+            node_samples = self._by_node.setdefault(id, _NodeSamples(node.service))
+            heard_at, used = report.heard_at.get(id), report.utilization.get(id)
+            if heard_at is None or used is None or heard_at < node_samples.sampled_at + SAMPLE_INTERVAL_S:
                 continue
-            if report.spans.get(node.service, SETTLE) < SETTLE:
+            if report.demand_spans.get(node.service, SETTLE_S) < SETTLE_S:
                 continue
-            record.heard = heard
-            if id not in cold and heard >= moved.get(id, float("-inf")) + SETTLE and used >= LEAST and work.get(id, 0):
-                record.samples.append((work[id], used))
+            node_samples.sampled_at = heard_at
+            if (
+                id not in cold
+                and heard_at >= moved.get(id, float("-inf")) + SETTLE_S
+                and used >= MIN_UTILIZATION
+                and work.get(id, 0)
+            ):
+                node_samples.samples.append((work[id], used))
 
     def estimates(self, nodes: Mapping[str, Node]) -> dict[str, float]:
-        """Capacity of each node; one that was never heard at work gets its service's average (by slots), and 0 tells
-        that nothing of the service is known yet."""
-        found: dict[str, float] = {}
+        """Capacity of each node. A node without samples gets its service's average per slot; 0 means that nothing of
+        the service is known yet."""
+        capacities: dict[str, float] = {}
         by_service: dict[str, list[str]] = {}
         for id, node in nodes.items():
             by_service.setdefault(node.service, []).append(id)
         for ids in by_service.values():
             sums = {id: self._sums(id) for id in ids}
-            heard = [id for id in ids if sums[id][0]]
-            work = sum(sums[id][1] for id in heard)
-            used = sum(sums[id][2] * max(1, nodes[id].capacity) for id in heard)
-            slot = work / used if used else 0.0  # what one slot of the service does
-            mean = sum(sums[id][2] for id in heard) / sum(sums[id][0] for id in heard) if heard else 0.0
+            sampled = [id for id in ids if sums[id][0]]
+            work = sum(sums[id][1] for id in sampled)
+            used = sum(sums[id][2] * max(1, nodes[id].capacity) for id in sampled)
+            slot = work / used if used else 0.0  # capacity of one slot of the service
+            mean = sum(sums[id][2] for id in sampled) / sum(sums[id][0] for id in sampled) if sampled else 0.0
             for id in ids:
-                count, done, busy = sums[id]
+                count, done, busy = sums[id]  # samples, their total work and utilization
                 usual = slot * max(1, nodes[id].capacity)
-                found[id] = (done + PRIOR * usual * mean) / (busy + PRIOR * mean) if count else usual
-        return found
+                capacities[id] = (
+                    (done + PRIOR_SAMPLES * usual * mean) / (busy + PRIOR_SAMPLES * mean) if count else usual
+                )
+        return capacities
 
     def _sums(self, id: str) -> tuple[int, float, float]:
-        record = self._records.get(id)
-        if record is None:
+        node = self._by_node.get(id)
+        if node is None:
             return 0, 0.0, 0.0
-        return (len(record.samples), sum(work for work, _ in record.samples), sum(used for _, used in record.samples))
+        return (len(node.samples), sum(work for work, _ in node.samples), sum(used for _, used in node.samples))
--- a/knotwalk/placement/placer.py
+++ b/knotwalk/placement/placer.py
@@ -1,18 +1,18 @@
-"""Where slices should go: the passes of one conductor, over the slices that it leases.
+"""Where slices should go: the placement passes of one conductor, over the slices that it leases.
 
-Slices of nobody, and those of gone, ailing and draining nodes, are placed at once, even past capacity; those of a node
-that isn't reached once it holds them no more. All else
-is the paper's: a pass every 5 s strips nodes above k_p = (1 + mean utilization) / 2 and places what it stripped,
-heaviest first, where (load + slice) / capacity is least, skipping a move that would overfill its target; a node above
-k_e = 1 brings a pass on at once. Conductors do not ask each other: each strips its own part of a node's excess, and
-counts what it has proposed as moved. Ordinary moves go out a tenth of the own slices at a time. The passes' text is
-passes.py's.
+Slices without an owner, and those of gone, outlier and draining nodes, are placed at once, even past capacity; those of
+an unreachable node once its hold has ended. The rest follows the paper (see passes.py): a pass every 5 s strips nodes
+above k_p = (1 + mean utilization) / 2 and places what it stripped, heaviest first, where (load + slice) / capacity is
+least, and skips a move that would overfill its target; a node above k_e = 1 starts a pass at once. Conductors do not
+consult each other: each strips its own part of a node's excess, and counts its proposed moves as done. Ordinary moves
+go out a tenth of the own slices at a time.
 
-Where keys are laid out first, and among targets nearly as good, nodes of the conductor's own zone come first: renewals
-are calls, and calls between zones are priced.
+In the first layout of a service, and among targets nearly as good, nodes of the conductor's own zone come first:
+renewals are calls, and calls between zones cost money.
 
-Departures: an empty node at under half of the mean is filled by the passes only where others are above k_p, as the
-paper has it; moving keys costs their share, and requests on them wait, so evenness alone is not worth it.
+Departure from what one might expect: an empty node at under half of the mean is filled by passes only where others are
+above k_p, as in the paper; moving keys costs their share of caches, and requests for them wait, so evenness alone is
+not worth it.
 """
 
 from __future__ import annotations
@@ -25,41 +25,42 @@
 
 from knotwalk.discovery.view_types import Node
 from knotwalk.leases.ledger import Ledger, Slice
-from knotwalk.placement.capacity import Capacities, LoadReport
+from knotwalk.placement.capacity import CapacityEstimator, LoadReport
 from knotwalk.placement.passes import place, strip, utilization
 
-PERIOD = 5.0  # s between passes (the paper's 60: days here last minutes)
-EMERGENCY_REST = 2.0  # s from a pass to one that a node above k_e brings on: the last must show first
-K_E = 1.0
-# Seconds that a service's demand must have been heard for before its slices are passed over: the least that is told, so
-# any report will do. A conductor that finds slices laid out waits for a sample of capacity more: by slots alone fast
-# nodes look full, and what others learned would be undone.
-HEARD, HEARD_LATE = 1.0, 2.5
-# s; a node first seen so lately counts at this share of its capacity. Not those of the first laying-out: nobody has
-# worked yet.
-RAMP, RAMP_SHARE = 10.0, 0.5
-REST = 4.0  # s that a slice rests after a move: its new place is then measured twice
-BATCH, BATCH_PAUSE = 0.1, 0.5  # share of the own slices in a batch of ordinary moves; s between batches
-GAIN = 0.05  # of a node's capacity: an excess under this is left (a move costs keys and a wait)
-LIGHT = 0.002  # of a node's capacity: a lighter slice is not worth a move; a mean one of 26 nodes' is 0.013
-FLOOR = 0.05  # of the mean slice: what an idle slice counts, so that idle ones spread too
-AGAIN = 2.0  # s until a move that is not in the ledger counts as lost
-# Busy keys sit close together: laid out in so many rounds by each of three conductors, the busiest thirtieth of the
-# keys starts on eight nodes of 26 instead of one or two; each round is a run a node, so a renewal's call more.
-ROUNDS = 3
-# A first laying-out begins with the nodes of the own zone, of which each gets its share of the whole service at once.
-# What is left of the own slices goes so much later (s) to where others left room: theirs are in the ledger by then.
-REMAINDER = 0.5
-# Renewals stay within a zone where conductor and node are in one, and are the most of the own bytes between zones: so
-# much (of utilization) worse a target of the own zone may be than one of another.
-NEAR = 0.1
-# Of what the rest of a service can carry, how full it may be for ailing nodes to be emptied: the keys of a node that
-# fails half of its requests are better off elsewhere, but not where nobody has room.
-AILING_ROOM = 0.9
-LOOK = 0.3  # s between looks for loads alone: a third of EVERY; each edge reports once a second
-GATHER, GATHER_MOST = 1.0, 4.0  # s without a new node, and in all, before the first laying-out
-EQUAL = 1e-9  # of utilization: a slice moved for less would soon be moved back
-TIE = 0.02  # of utilization: conductors that see the same draw apart by so much
+PASS_PERIOD_S = 5.0  # between passes (the paper's 60 s are too long for load that changes within minutes)
+EMERGENCY_PAUSE_S = 2.0  # from a pass to one that a node above k_e starts: the last one must show its effect first
+EMERGENCY_UTILIZATION = 1.0  # the paper's k_e
+# Of reported demand before a service's slices are passed over: the shortest span reported, so any report will do. A
+# conductor that finds slices already laid out waits until capacity has been sampled as well: by slots alone fast nodes
+# look full, and what other conductors learned would be undone.
+MIN_DEMAND_S, MIN_DEMAND_LATE_S = 1.0, 2.5
+# A node first seen less than RAMP_S ago counts at this share of its capacity; not those of the first layout, where no
+# node has worked yet.
+RAMP_S, RAMP_SHARE = 10.0, 0.5
+MOVE_REST_S = 4.0  # that a slice stays after a move: its new place is then measured twice
+BATCH_SHARE, BATCH_PAUSE_S = 0.1, 0.5  # the share of the own slices in a batch of ordinary moves; between batches
+MIN_EXCESS = 0.05  # of a node's capacity: a smaller excess is left, since a move costs keys and a wait
+MIN_SLICE_LOAD = 0.002  # of a node's capacity: a lighter slice is not worth a move; a mean one of 26 nodes' is 0.013
+IDLE_SLICE_SHARE = 0.05  # of the mean slice: the load that an idle slice counts as, so that idle ones spread too
+MOVE_TIMEOUT_S = 2.0  # until a proposed move that is not in the ledger counts as lost
+# Busy keys are close together: with each of three conductors laying out so many rounds, the busiest thirtieth of the
+# keys starts on eight nodes of 26 instead of one or two. Each round adds a run of slices, and so a call at each
+# renewal, per node.
+LAYOUT_ROUNDS = 3
+# A first layout begins with the nodes of the own zone, each of which gets its share of the whole service at once. The
+# rest of the own slices goes this much later to where other conductors left capacity: theirs are in the ledger by then.
+REMAINDER_DELAY_S = 0.5
+# Renewals stay within a zone where conductor and node are in the same one, and are most of a conductor's bytes between
+# zones: a target of the own zone may be worse by so much (of utilization) than one of another.
+OWN_ZONE_MARGIN = 0.1
+# How full the rest of a service may be (of its capacity) for outliers to be emptied: the keys of a node that fails half
+# of its requests are better off elsewhere, but not where no node has capacity for them.
+MAX_FILL_FOR_OUTLIERS = 0.9
+LOAD_CHECK_PERIOD_S = 0.3  # between looks at loads alone: a third of SAMPLE_INTERVAL_S; each edge reports once a second
+GATHER_QUIET_S, MAX_GATHER_S = 1.0, 4.0  # without a new node, and in all, before the first layout
+MIN_GAIN = 1e-9  # of utilization: a slice moved for less would soon be moved back
+TIE_SPREAD = 0.02  # of utilization: random differences by which conductors with the same view choose apart
 
 
 class Move(NamedTuple):
@@ -71,119 +72,123 @@
 
 
 @dataclass(slots=True)
-class Load:
-    """A node as the passes see it."""
+class NodeLoad:
+    """A node, with the load that the passes have given it so far."""
 
     id: str
     capacity: float
     load: float = 0.0
     near: bool = False  # in the conductor's own zone
-    avoided: bool = False  # another core does not reach it: no target while there are others
+    avoided: bool = False  # another core cannot reach it: not a target while there are others
 
 
-def _room(of: Mapping[str, Load], fleet: Mapping[str, Load], whole: float) -> dict[str, float]:
-    """What each node lacks of its capacity's share of the whole load."""
+def missing_load(nodes: Mapping[str, NodeLoad], fleet: Mapping[str, NodeLoad], total: float) -> dict[str, float]:
+    """What each of `nodes` lacks of its share, by capacity in the fleet, of the total load."""
     capacity = sum(x.capacity for x in fleet.values())
-    return {id: max(0.0, whole * x.capacity / capacity - x.load) for id, x in of.items()}
+    return {id: max(0.0, total * x.capacity / capacity - x.load) for id, x in nodes.items()}
 
 
-def own_part(loads: Iterable[Load], threshold: float, own: Mapping[str, list[tuple[float, int]]]) -> Callable:
-    """`can_move` for a `strip`: of each node's excess the part that the slices in `own` make up; none that is too heavy
-    or too light for it. It keeps account, so it serves once."""
-    left = {}
+def own_excess(loads: Iterable[NodeLoad], threshold: float, own: Mapping[str, list[tuple[float, int]]]) -> Callable:
+    """`can_move` for one `strip`: it allows the part of each node's excess that the slices in `own` make up, and no
+    slice too heavy or too light for it. It counts what it has allowed, so it is for one use."""
+    remaining = {}
     for node in loads:
         excess = node.load - threshold * node.capacity
-        if excess >= GAIN * node.capacity:
-            left[node.id] = excess * min(1.0, sum(load for load, _ in own.get(node.id, ())) / node.load)
+        if excess >= MIN_EXCESS * node.capacity:
+            remaining[node.id] = excess * min(1.0, sum(load for load, _ in own.get(node.id, ())) / node.load)
 
-    def can_move(load: float, _: int, node: Load) -> bool:
-        part = left.get(node.id, 0.0)
-        if part <= 0 or not LIGHT * node.capacity <= load <= part + GAIN * node.capacity:
+    def can_move(load: float, _: int, node: NodeLoad) -> bool:
+        part = remaining.get(node.id, 0.0)
+        if part <= 0 or not MIN_SLICE_LOAD * node.capacity <= load <= part + MIN_EXCESS * node.capacity:
             return False
-        left[node.id] = part - load
+        remaining[node.id] = part - load
         return True
 
     return can_move
 
 
-def worse(node: Load, load: float) -> float:
-    """`room` for `place`: a target that is only as good as the source is none."""
-    return utilization(node, load) + EQUAL
+def target_score(node: NodeLoad, load: float) -> float:
+    """`score` for `place`: a target that is only as good as the source is rejected."""
+    return utilization(node, load) + MIN_GAIN
 
 
-def open_targets(loads: Iterable[Load]) -> list[Load]:
-    """Those that are not avoided, or all where all are."""
-    found = list(loads)
-    return [x for x in found if not x.avoided] or found
+def preferred_targets(loads: Iterable[NodeLoad]) -> list[NodeLoad]:
+    """The nodes that are not avoided, or all where all are."""
+    nodes = list(loads)
+    return [x for x in nodes if not x.avoided] or nodes
 
 
-def targets(loads: Iterable[Load]) -> list[Load]:
-    """Those of the own zone, unless the best of them is much worse than the best of all."""
-    found = open_targets(loads)
-    near = [x for x in found if x.near]
+def pass_targets(loads: Iterable[NodeLoad]) -> list[NodeLoad]:
+    """The nodes of the own zone, unless the best of them is much worse than the best of all."""
+    nodes = preferred_targets(loads)
+    near = [x for x in nodes if x.near]
     return (
         near
-        if near and utilization(min(near, key=utilization)) <= utilization(min(found, key=utilization)) + NEAR
-        else found
+        if near
+        and utilization(min(near, key=utilization)) <= utilization(min(nodes, key=utilization)) + OWN_ZONE_MARGIN
+        else nodes
     )
 
 
 class Placer:
-    """Placement by conductor `me`. Ask `due` several times a second, and call `place` if it says so."""
+    """Placement by conductor `me`. Call `is_due` several times a second, and `place` when it is true."""
 
     def __init__(self, me: str, seed: int, zone: str = "") -> None:
         self.me, self.zone = me, zone
-        self.capacities = Capacities()
+        self.capacities = CapacityEstimator()
         self._random = random.Random(seed)
-        self._last: float | None = None  # the last pass
-        self._first: float | None = None  # when there were nodes first
-        self._laid: dict[str, float] = {}  # services laid out in the own zone, and when
-        self._batch_at = float("-inf")
-        self._queue: deque[Move] = deque()
-        self._pending: dict[tuple[str, int], tuple[float, int, str]] = {}  # proposed: (when, fence seen, target)
-        self._ledger: Ledger | None = None  # the one last followed, and how far
+        self._last_pass: float | None = None
+        self._first_nodes_at: float | None = None  # when the list first had nodes
+        self._laid_out_at: dict[str, float] = {}  # by service: when it was laid out in the own zone
+        self._last_batch_at = float("-inf")
+        self._queued_moves: deque[Move] = deque()
+        self._pending: dict[
+            tuple[str, int], tuple[float, int, str]
+        ] = {}  # proposed: (when, fence at that time, target)
+        self._ledger: Ledger | None = None  # the ledger last read, and up to which index
         self._index = -1
         self._fences: dict[str, list[int]] = {}
         self._owners: dict[str, list[str]] = {}
-        self._mine: dict[str, list[int]] = {}  # the slices that `me` leases
-        self._news: object = None  # what the last look went by, besides loads
-        self._looked, self._wake = float("-inf"), float("-inf")  # the last look, and when one is due by time alone
-        self._rested: dict[tuple[str, int], float] = {}  # slices moved lately, and when
-        self._moved: dict[str, float] = {}  # nodes that a slice came to or left, and when
-        self._born: dict[str, float] = {}  # nodes by when they were first seen
-        self._begun: float | None = None  # when nodes were gathered; who was there is no newcomer
-        self._wanted = HEARD  # seconds of demand heard that a pass wants
-
-    def is_due(self, now: float, news: object) -> bool:
-        """Whether `place` has anything to do: `news` (the ledger's entry, the list, who isn't reached) is not what it
-        was, loads were last looked at a while ago, or the time of a pass, a batch or a lost move has come."""
-        if news == self._news and now < min(self._wake, self._looked + LOOK):
+        self._own_slices: dict[str, list[int]] = {}  # the slices that `me` leases
+        self._last_inputs: object = None  # of the last check, besides loads
+        # The last check, and when the next one is due by time alone.
+        self._last_check, self._next_check = float("-inf"), float("-inf")
+        self._recently_moved: dict[tuple[str, int], float] = {}  # by slice: when, within MOVE_REST_S
+        self._node_moved_at: dict[str, float] = {}  # by node: when a slice last came or left
+        self._first_seen: dict[str, float] = {}
+        self._gathered_at: float | None = None  # when the first layout began; nodes seen by then do not ramp up
+        self._min_demand_s = MIN_DEMAND_S  # seconds of reported demand that a pass requires
+
+    def is_due(self, now: float, inputs: object) -> bool:
+        """Whether `place` has anything to do: `inputs` (the ledger's index, the list, unreachable nodes ...) changed,
+        loads were last checked a while ago, or the time of a pass, a batch or a lost move has come."""
+        if inputs == self._last_inputs and now < min(self._next_check, self._last_check + LOAD_CHECK_PERIOD_S):
             return False
-        self._news, self._looked = news, now
+        self._last_inputs, self._last_check = inputs, now
         return True
 
     def place(self, now: float, ledger: Ledger, nodes: dict[str, Node], report: LoadReport) -> list[dict]:
         """Commands to propose, at most one `move`; `nodes` is the platform's list."""
-        self._follow(now, ledger, nodes)
-        if self._gathering(now, ledger, nodes):
+        self._follow_ledger(now, ledger, nodes)
+        if self._is_gathering(now, ledger, nodes):
             return []
-        if self._begun is None:
-            self._begun = now
+        if self._gathered_at is None:
+            self._gathered_at = now
             if any(x.owner for line in ledger.slices.values() for x in line):
-                self._wanted = HEARD_LATE
+                self._min_demand_s = MIN_DEMAND_LATE_S
         cold = {
             id
             for id, node in nodes.items()
-            if node.cold_until > now or self._begun < self._born[id] and now - self._born[id] < RAMP
+            if node.cold_until > now or self._gathered_at < self._first_seen[id] and now - self._first_seen[id] < RAMP_S
         }
         demand = self._demand(ledger, report)
-        owners = {service: self._counted(service, line) for service, line in ledger.slices.items()}
-        self._hear(nodes, owners, demand, report, cold)
+        owners = {service: self._planned_owners(service, line) for service, line in ledger.slices.items()}
+        self._add_report(nodes, owners, demand, report, cold)
         estimates = self.capacities.estimates(nodes)
         urgent: list[Move] = []
-        fleets: dict[str, dict[str, Load]] = {}
+        fleets: dict[str, dict[str, NodeLoad]] = {}
         for service in ledger.slices:
-            fleet = self._fleet(service, nodes, report, estimates, cold, sum(demand[service]))
+            fleet = self._node_loads(service, nodes, report, estimates, cold, sum(demand[service]))
             if not fleet:
                 continue
             fleets[service] = fleet
@@ -193,23 +198,30 @@
                     loads[owner] += load
             for id, load in loads.items():
                 fleet[id].load = load
-            left = [
+            unplaced = [
                 k
-                for k in self._mine[service]
-                if (owner := owners[service][k]) not in fleet and not self._waits((service, k), owner, nodes, report)
+                for k in self._own_slices[service]
+                if (owner := owners[service][k]) not in fleet
+                and not self._must_wait((service, k), owner, nodes, report)
             ]
-            urgent += self._settle(now, service, left, demand[service], fleet, owners[service])
-        if self._last is None:
-            self._last = now - PERIOD * self._random.random()
-        heard = {service: fleet for service, fleet in fleets.items() if report.spans.get(service, 0.0) >= self._wanted}
-        hot = any(utilization(x) > K_E for fleet in heard.values() for x in fleet.values())
-        due = self._last + (EMERGENCY_REST if hot else PERIOD)
-        if heard and now >= due:
-            self._last = now
-            due = now + (EMERGENCY_REST if hot else PERIOD)
-            self._queue.clear()
-            for service, fleet in heard.items():
-                self._queue.extend(
+            urgent += self._place_ownerless(now, service, unplaced, demand[service], fleet, owners[service])
+        if self._last_pass is None:
+            self._last_pass = now - PASS_PERIOD_S * self._random.random()
+        measured = {
+            service: fleet
+            for service, fleet in fleets.items()
+            if report.demand_spans.get(service, 0.0) >= self._min_demand_s
+        }
+        is_emergency = any(
+            utilization(x) > EMERGENCY_UTILIZATION for fleet in measured.values() for x in fleet.values()
+        )
+        due = self._last_pass + (EMERGENCY_PAUSE_S if is_emergency else PASS_PERIOD_S)
+        if measured and now >= due:
+            self._last_pass = now
+            due = now + (EMERGENCY_PAUSE_S if is_emergency else PASS_PERIOD_S)
+            self._queued_moves.clear()
+            for service, fleet in measured.items():
+                self._queued_moves.extend(
                     self._pass(
                         now,
                         service,
@@ -219,59 +231,62 @@
                         {move.slice for move in urgent if move.service == service},
                     )
                 )
-        commands = self._command(now, ledger, urgent + self._staged(now, ledger, fleets, demand))
-        self._wake = min(
-            due if heard else float("inf"),
-            self._batch_at + BATCH_PAUSE if self._queue else float("inf"),
-            min((at for at, *_ in self._pending.values()), default=float("inf")) + AGAIN,
-            min((at + REMAINDER for at in self._laid.values() if at + REMAINDER > now), default=float("inf")),
+        commands = self._move_commands(now, ledger, urgent + self._next_batch(now, ledger, fleets, demand))
+        self._next_check = min(
+            due if measured else float("inf"),
+            self._last_batch_at + BATCH_PAUSE_S if self._queued_moves else float("inf"),
+            min((at for at, *_ in self._pending.values()), default=float("inf")) + MOVE_TIMEOUT_S,
+            min(
+                (at + REMAINDER_DELAY_S for at in self._laid_out_at.values() if at + REMAINDER_DELAY_S > now),
+                default=float("inf"),
+            ),
         )
         return commands
 
-    # --- what is known ---
+    # --- inputs ---
 
     @staticmethod
-    def _waits(key: tuple[str, int], owner: str, nodes: Mapping[str, Node], report: LoadReport) -> bool:
-        """Whether a slice stays with an owner that isn't reached: until it lapses nobody else can be granted it, and
-        edges may reach the owner."""
+    def _must_wait(key: tuple[str, int], owner: str, nodes: Mapping[str, Node], report: LoadReport) -> bool:
+        """Whether a slice stays with an unreachable owner: until its hold ends no other node can be granted the slice,
+        and edges may still reach the owner."""
         node = nodes.get(owner)
         return node is not None and not node.draining and owner in report.unreachable and key not in report.lapsed
 
-    def _gathering(self, now: float, ledger: Ledger, nodes: Mapping[str, Node]) -> bool:
-        """Whether the first laying-out of all waits for nodes that start with us: each would come empty, and filling
-        it costs moves. Not when any slice has an owner already."""
+    def _is_gathering(self, now: float, ledger: Ledger, nodes: Mapping[str, Node]) -> bool:
+        """Whether the very first layout waits for nodes that start at the same time: one that comes later is empty, and
+        filling it costs moves. Not when any slice has an owner already."""
         if any(x.owner for line in ledger.slices.values() for x in line):
             return False
         if not nodes:
             return True
-        if self._first is None:
-            self._first = now
-        newest = max(self._born.values())
-        return now < self._first + GATHER_MOST and now < max(newest, self._first) + GATHER
-
-    def _follow(self, now: float, ledger: Ledger, nodes: Mapping[str, Node]) -> None:
-        for id in self._born.keys() - nodes.keys():
-            del self._born[id]
-            self._moved.pop(id, None)
+        if self._first_nodes_at is None:
+            self._first_nodes_at = now
+        newest = max(self._first_seen.values())
+        return now < self._first_nodes_at + MAX_GATHER_S and now < max(newest, self._first_nodes_at) + GATHER_QUIET_S
+
+    def _follow_ledger(self, now: float, ledger: Ledger, nodes: Mapping[str, Node]) -> None:
+        for id in self._first_seen.keys() - nodes.keys():
+            del self._first_seen[id]
+            self._node_moved_at.pop(id, None)
         for id in nodes:
-            self._born.setdefault(id, now)
+            self._first_seen.setdefault(id, now)
         for service, line in ledger.slices.items() if (ledger, ledger.index) != (self._ledger, self._index) else ():
-            self._mine[service] = [k for k, x in enumerate(line) if x.conductor == self.me]
+            self._own_slices[service] = [k for k, x in enumerate(line) if x.conductor == self.me]
             fences, owners = [x.fence for x in line], [x.owner for x in line]
-            old, had = self._fences.get(service), self._owners.get(service)
-            if old is not None and had is not None and old != fences:
+            old_fences, old_owners = self._fences.get(service), self._owners.get(service)
+            if old_fences is not None and old_owners is not None and old_fences != fences:
                 for k, fence in enumerate(fences):
-                    if fence != old[k]:
-                        self._rested[service, k] = now
-                        self._moved[had[k]] = self._moved[owners[k]] = now
+                    if fence != old_fences[k]:
+                        self._recently_moved[service, k] = now
+                        self._node_moved_at[old_owners[k]] = self._node_moved_at[owners[k]] = now
                         self._pending.pop((service, k), None)
             self._fences[service], self._owners[service] = fences, owners
         self._ledger, self._index = ledger, ledger.index
-        self._rested = {key: at for key, at in self._rested.items() if now < at + REST}
-        self._pending = {key: p for key, p in self._pending.items() if now < p[0] + AGAIN and p[2] in nodes}
+        self._recently_moved = {key: at for key, at in self._recently_moved.items() if now < at + MOVE_REST_S}
+        self._pending = {key: p for key, p in self._pending.items() if now < p[0] + MOVE_TIMEOUT_S and p[2] in nodes}
 
-    def _counted(self, service: str, line: list[Slice]) -> list[str]:
-        """Owners, with what this conductor has proposed as done."""
+    def _planned_owners(self, service: str, line: list[Slice]) -> list[str]:
+        """Owners of a service's slices, with this conductor's proposed moves counted as done."""
         owners = list(self._owners[service])
         for (name, k), (_, fence, target) in self._pending.items():
             if name == service and line[k].fence == fence and line[k].conductor == self.me:
@@ -279,18 +294,18 @@
         return owners
 
     def _demand(self, ledger: Ledger, report: LoadReport) -> dict[str, list[float]]:
-        """Load by service and slice, none of them nothing; all alike where nothing has been heard."""
-        found = {service: [0.0] * len(line) for service, line in ledger.slices.items()}
-        for service, line in found.items():
+        """Load by service and slice, each above 0; all equal where no demand has been reported."""
+        loads = {service: [0.0] * len(line) for service, line in ledger.slices.items()}
+        for service, line in loads.items():
             for k, load in report.demand.get(service, {}).items():
                 line[k] = load
-        floors = {service: FLOOR * sum(line) / len(line) or 1.0 for service, line in found.items()}
+        floors = {service: IDLE_SLICE_SHARE * sum(line) / len(line) or 1.0 for service, line in loads.items()}
         return {
             service: [load if load > floors[service] else floors[service] for load in line]
-            for service, line in found.items()
+            for service, line in loads.items()
         }
 
-    def _hear(
+    def _add_report(
         self,
         nodes: Mapping[str, Node],
         owners: Mapping[str, list[str]],
@@ -303,147 +318,162 @@
             loads = demand[service]
             for k in report.demand.get(service, ()):
                 work[line[k]] = work.get(line[k], 0.0) + loads[k]
-        self.capacities.hear(nodes, work, report, self._moved, cold)
+        self.capacities.add_report(nodes, work, report, self._node_moved_at, cold)
 
-    def _fleet(
+    def _node_loads(
         self,
         service: str,
         nodes: Mapping[str, Node],
         report: LoadReport,
         estimates: Mapping[str, float],
         cold: set[str],
-        whole: float,
-    ) -> dict[str, Load]:
-        """The nodes that may take slices, ailing ones only where the rest has no room for theirs. Where no capacity is
-        known, the service counts as half used."""
+        total: float,
+    ) -> dict[str, NodeLoad]:
+        """The nodes that may take slices; outliers only where the others have no capacity for their load. Where no
+        capacity is known, the service counts as half used."""
         live = [
             id for id, x in nodes.items() if x.service == service and not x.draining and id not in report.unreachable
         ]
         slots = sum(max(1, nodes[id].capacity) for id in live)
         fleet = {}
         for id in sorted(live):
-            capacity = estimates[id] or 2 * whole * max(1, nodes[id].capacity) / slots
-            fleet[id] = Load(
+            capacity = estimates[id] or 2 * total * max(1, nodes[id].capacity) / slots
+            fleet[id] = NodeLoad(
                 id,
                 capacity * (RAMP_SHARE if id in cold else 1.0),
                 near=nodes[id].zone == self.zone,
                 avoided=id in report.avoided,
             )
-        room = AILING_ROOM * sum(x.capacity for x in fleet.values()) - whole
-        for id in sorted(report.ailing & fleet.keys()):
-            if (room := room - AILING_ROOM * fleet[id].capacity) < 0:
+        spare = MAX_FILL_FOR_OUTLIERS * sum(x.capacity for x in fleet.values()) - total
+        for id in sorted(report.outliers & fleet.keys()):
+            if (spare := spare - MAX_FILL_FOR_OUTLIERS * fleet[id].capacity) < 0:
                 break
             del fleet[id]
         return fleet
 
-    # --- slices that must go ---
+    # --- slices without a usable owner ---
 
-    def _settle(
-        self, now: float, service: str, left: list[int], demand: list[float], fleet: dict[str, Load], owners: list[str]
+    def _place_ownerless(
+        self,
+        now: float,
+        service: str,
+        unplaced: list[int],
+        demand: list[float],
+        fleet: dict[str, NodeLoad],
+        owners: list[str],
     ) -> list[Move]:
-        """Places for slices that have none: many at once as runs of neighbours (a run is one grant), few one by one."""
-        if not left:
+        """Moves for slices that must be placed now: many at once as runs of neighbours (a run is one grant), few one by
+        one."""
+        if not unplaced:
             return []
-        fleet = {x.id: x for x in open_targets(fleet.values())}
-        first = not any(owners[k] for k in left)
-        if first and now < self._laid.get(service, float("-inf")) + REMAINDER:
+        fleet = {x.id: x for x in preferred_targets(fleet.values())}
+        first = not any(owners[k] for k in unplaced)
+        if first and now < self._laid_out_at.get(service, float("-inf")) + REMAINDER_DELAY_S:
             return []
-        if first and (len(left) >= 2 * len(fleet) or service in self._laid):
+        if first and (len(unplaced) >= 2 * len(fleet) or service in self._laid_out_at):
             near = {id: x for id, x in fleet.items() if x.near}
-            if self.zone and service not in self._laid:
-                self._laid[service] = now
+            if self.zone and service not in self._laid_out_at:
+                self._laid_out_at[service] = now
                 return (
-                    self._spread(
+                    self._lay_out(
                         service,
-                        left,
+                        unplaced,
                         demand,
                         near,
-                        _room(near, fleet, sum(demand)),
-                        round(ROUNDS * len(fleet) / len(near)),
+                        missing_load(near, fleet, sum(demand)),
+                        round(LAYOUT_ROUNDS * len(fleet) / len(near)),
                     )
                     if near
                     else []
                 )
-            whole = sum(demand[k] for k in left) + sum(x.load for x in fleet.values())
-            return self._spread(service, left, demand, fleet, _room(fleet, fleet, whole), ROUNDS)
+            total = sum(demand[k] for k in unplaced) + sum(x.load for x in fleet.values())
+            return self._lay_out(service, unplaced, demand, fleet, missing_load(fleet, fleet, total), LAYOUT_ROUNDS)
         moves = []
-        tie = {id: 1 + TIE * self._random.random() for id in fleet}
-        for k in sorted(left, key=lambda k: (-demand[k], k)):
-            target = min(fleet.values(), key=lambda x: utilization(x, demand[k]) * tie[x.id] - NEAR * x.near)
+        tie_factors = {id: 1 + TIE_SPREAD * self._random.random() for id in fleet}
+        for k in sorted(unplaced, key=lambda k: (-demand[k], k)):
+            target = min(
+                fleet.values(), key=lambda x: utilization(x, demand[k]) * tie_factors[x.id] - OWN_ZONE_MARGIN * x.near
+            )
             target.load += demand[k]
             moves.append(Move(service, k, target.id))
         return moves
 
-    def _spread(
+    def _lay_out(
         self,
         service: str,
-        left: list[int],
+        unplaced: list[int],
         demand: list[float],
-        fleet: dict[str, Load],
-        room: dict[str, float],
+        fleet: dict[str, NodeLoad],
+        missing: dict[str, float],
         rounds: int,
     ) -> list[Move]:
-        """Runs of neighbours in so many rounds, to each node of `fleet` its part of the room; where there is less room
-        than slices, the last of each round stay."""
-        whole, most = sum(demand[k] for k in left), sum(room.values()) or 1.0
-        part = min(1.0, most / whole)
-        room = {id: x * min(1.0, whole / most) for id, x in room.items()}
+        """Moves of runs of neighbours in so many rounds, to each node of `fleet` its part of `missing`; where the
+        slices are more load than that, the last ones of each round stay."""
+        total, limit = sum(demand[k] for k in unplaced), sum(missing.values()) or 1.0
+        part = min(1.0, limit / total)
+        missing = {id: x * min(1.0, total / limit) for id, x in missing.items()}
         moves: list[Move] = []
         for turn in range(rounds):
-            mine = left[turn * len(left) // rounds : (turn + 1) * len(left) // rounds]
+            part_slices = unplaced[turn * len(unplaced) // rounds : (turn + 1) * len(unplaced) // rounds]
             order = sorted(fleet)
             self._random.shuffle(order)
-            most = part * sum(demand[k] for k in mine) if part < 1 - EQUAL else float("inf")
-            filled, n = 0.0, 0
-            border = room[order[0]] / rounds
-            for k in mine:
-                if filled + demand[k] / 2 > most:
+            limit = part * sum(demand[k] for k in part_slices) if part < 1 - MIN_GAIN else float("inf")
+            filled, node_index = 0.0, 0
+            boundary = missing[order[0]] / rounds
+            for k in part_slices:
+                if filled + demand[k] / 2 > limit:
                     break
-                while filled + demand[k] / 2 > border and n < len(order) - 1:
-                    n += 1
-                    border += room[order[n]] / rounds
+                while filled + demand[k] / 2 > boundary and node_index < len(order) - 1:
+                    node_index += 1
+                    boundary += missing[order[node_index]] / rounds
                 filled += demand[k]
-                fleet[order[n]].load += demand[k]
-                moves.append(Move(service, k, order[n]))
+                fleet[order[node_index]].load += demand[k]
+                moves.append(Move(service, k, order[node_index]))
         return moves
 
     # --- passes ---
 
     def _pass(
-        self, now: float, service: str, line: list[Slice], demand: list[float], fleet: dict[str, Load], urgent: set[int]
+        self,
+        now: float,
+        service: str,
+        line: list[Slice],
+        demand: list[float],
+        fleet: dict[str, NodeLoad],
+        urgent: set[int],
     ) -> list[Move]:
         mean = sum(x.load for x in fleet.values()) / sum(x.capacity for x in fleet.values())
         own: dict[str, list[tuple[float, int]]] = {}
-        for k, x in enumerate(line):
+        for k, slice in enumerate(line):
             if (
-                x.conductor == self.me
-                and x.open
+                slice.conductor == self.me
+                and slice.open
                 and k not in urgent
-                and (service, k) not in self._rested
+                and (service, k) not in self._recently_moved
                 and (service, k) not in self._pending
             ):
-                own.setdefault(x.owner, []).append((demand[k], k))
-        loads = [replace(x) for x in fleet.values()]  # apart: moves go out by and by
+                own.setdefault(slice.owner, []).append((demand[k], k))
+        loads = [replace(x) for x in fleet.values()]  # copies: the moves go out later, in batches
         threshold = (1 + mean) / 2
-        pool = strip(loads, lambda x: own.get(x.id, ()), threshold, can_move=own_part(loads, threshold, own))
-        moves = place(pool, lambda _, source: targets(x for x in loads if x is not source), worse)
+        pool = strip(loads, lambda x: own.get(x.id, ()), threshold, can_move=own_excess(loads, threshold, own))
+        moves = place(pool, lambda _, source: pass_targets(x for x in loads if x is not source), target_score)
         return [Move(service, k, target.id) for k, _, target in moves]
 
-    def _staged(
-        self, now: float, ledger: Ledger, fleets: Mapping[str, dict[str, Load]], demand: Mapping[str, list[float]]
+    def _next_batch(
+        self, now: float, ledger: Ledger, fleets: Mapping[str, dict[str, NodeLoad]], demand: Mapping[str, list[float]]
     ) -> list[Move]:
-        """The next batch of ordinary moves, each looked at again: the world may have changed since the pass."""
-        if not self._queue or now < self._batch_at + BATCH_PAUSE:
+        """The next batch of ordinary moves, each checked again: ledger, nodes and loads may have changed since."""
+        if not self._queued_moves or now < self._last_batch_at + BATCH_PAUSE_S:
             return []
-        most = max(1, int(sum(len(mine) for mine in self._mine.values()) * BATCH))
+        max_moves = max(1, int(sum(len(slices) for slices in self._own_slices.values()) * BATCH_SHARE))
         moves: list[Move] = []
-        while self._queue and len(moves) < most:
-            move = self._queue.popleft()
-            x, fleet = ledger.slices[move.service][move.slice], fleets.get(move.service, {})
-            load, target, source = demand[move.service][move.slice], fleet.get(move.target), fleet.get(x.owner)
+        while self._queued_moves and len(moves) < max_moves:
+            move = self._queued_moves.popleft()
+            slice, fleet = ledger.slices[move.service][move.slice], fleets.get(move.service, {})
+            load, target, source = demand[move.service][move.slice], fleet.get(move.target), fleet.get(slice.owner)
             if (
-                x.conductor != self.me
-                or not x.open
+                slice.conductor != self.me
+                or not slice.open
                 or target is None
                 or source is None
                 or source is target
@@ -455,10 +485,10 @@
             source.load -= load
             moves.append(move)
         if moves:
-            self._batch_at = now
+            self._last_batch_at = now
         return moves
 
-    def _command(self, now: float, ledger: Ledger, moves: list[Move]) -> list[dict]:
+    def _move_commands(self, now: float, ledger: Ledger, moves: list[Move]) -> list[dict]:
         rows: list[list] = []
         for service, k, target in sorted(moves):
             fence = ledger.slices[service][k].fence
--- a/tests/system/test_outliers.py
+++ b/tests/system/test_outliers.py
@@ -120,7 +120,7 @@
         for load, emptied in ((0.6, True), (0.95, False)):
             fleet = Fleet(8, capacities=dict.fromkeys((f"n{n}" for n in range(8)), 64 / load))
             fleet.run(30.0)
-            fleet.ailing = frozenset({"n3"})
+            fleet.outliers = frozenset({"n3"})
             fleet.step()
             self.assertEqual(fleet.loads()["n3"] == 0.0, emptied, load)
 
--- a/tests/system/test_placement.py
+++ b/tests/system/test_placement.py
@@ -1,58 +1,58 @@
-"""Placement: what goes first, passes, staging, and capacities learned. A fleet in memory that obeys at once."""
+"""Placement: what is moved first, passes, batches and capacity estimates; on a fleet in memory that obeys at once."""
 
 import random
 import unittest
 
 from knotwalk.discovery.view_types import SLICES, Node
 from knotwalk.leases.ledger import Ledger
-from knotwalk.placement.capacity import SETTLE, Capacities, LoadReport, utilizations
+from knotwalk.placement.capacity import SETTLE_S, CapacityEstimator, LoadReport, utilizations_by_node
 from knotwalk.placement.passes import place, strip
 from knotwalk.placement.placer import (
-    AGAIN,
-    BATCH,
-    BATCH_PAUSE,
-    GATHER_MOST,
-    HEARD,
-    HEARD_LATE,
-    LOOK,
-    NEAR,
-    PERIOD,
-    RAMP,
-    REMAINDER,
-    REST,
-    ROUNDS,
-    Load,
+    BATCH_PAUSE_S,
+    BATCH_SHARE,
+    LAYOUT_ROUNDS,
+    LOAD_CHECK_PERIOD_S,
+    MAX_GATHER_S,
+    MIN_DEMAND_LATE_S,
+    MIN_DEMAND_S,
+    MOVE_REST_S,
+    MOVE_TIMEOUT_S,
+    OWN_ZONE_MARGIN,
+    PASS_PERIOD_S,
+    RAMP_S,
+    REMAINDER_DELAY_S,
+    NodeLoad,
     Placer,
-    own_part,
-    targets,
-    worse,
+    own_excess,
+    pass_targets,
+    target_score,
 )
 
 UNIT = 512 / SLICES  # a slice's load: 512 of load in all, whatever the number of slices
 
 
 class Fleet:
-    """Nodes of one service, slices shared out to conductors, and true capacities that placement does not see."""
+    """Nodes of one service, slices divided among conductors, and true capacities that placement cannot see."""
 
     def __init__(self, nodes=8, conductors=("a",), seed=1, capacities=None, zones="z", homes=None):
         self.ledger, self.index, self.now = Ledger(), 0, 100.0
         self.conductors = list(conductors)
         self.placers = {name: Placer(name, seed + n, (homes or {}).get(name, "")) for n, name in enumerate(conductors)}
-        self.nodes, self.unreachable, self.ailing = {}, set(), frozenset()
+        self.nodes, self.unreachable, self.outliers = {}, set(), frozenset()
         self.lapsed = self.avoided = frozenset()
         for n in range(nodes):
             self.add(f"n{n}", zones[n % len(zones)])
         self.capacities = capacities or {}
         self.demand = {k: UNIT for k in range(SLICES)}
-        self.told = {}
+        self.reported = {}
         self.spans = {"s": 4.0}
         self.moves = []  # (when, by, slice, target) of all commands
         self.apply({"do": "shard", "services": ["s"]})
         for n, name in enumerate(conductors):
             first, last = n * SLICES // len(conductors), (n + 1) * SLICES // len(conductors) - 1
             self.apply({"do": "lease", "to": name, "slices": {"s": [[first, last]]}})
-        self.step()  # the first laying-out waits for nodes that start at the same time
-        self.now += GATHER_MOST
+        self.step()  # the first layout waits for nodes that start at the same time
+        self.now += MAX_GATHER_S
 
     def owned(self, id):
         return {k for k, x in enumerate(self.line) if x.owner == id}
@@ -69,55 +69,55 @@
         return self.ledger.slices["s"]
 
     def loads(self):
-        found = dict.fromkeys(self.nodes, 0.0)
+        loads = dict.fromkeys(self.nodes, 0.0)
         for k, x in enumerate(self.line):
-            if x.owner in found:
-                found[x.owner] += self.demand[k]
-        return found
+            if x.owner in loads:
+                loads[x.owner] += self.demand[k]
+        return loads
 
     def use(self):
         return {id: load / self.capacities.get(id, 100.0) for id, load in self.loads().items()}
 
     def rows(self, span=4.0):
-        """What edges would count at nodes of two slots that tell nothing: queues of random arrivals, full at ten."""
-        found = {}
+        """What edges would count at nodes of two slots that report no load: queues of random arrivals, full at ten."""
+        rows = {}
         for id, used in self.use().items():
             tries, done = used * 2, min(used, 0.95) * 2  # a second, in units of what a slot does
             held = done / (1 - (done / 2) ** 2) if used < 0.95 else 10.0
-            found[id] = [0, 0, 2, done * span, 0, (tries - done) * span, held * span]
-        return found
+            rows[id] = [0, 0, 2, done * span, 0, (tries - done) * span, held * span]
+        return rows
 
     def step(self, obey=True, only=None):
-        """One look by each conductor; what they order is done before the next one's."""
-        made = []
+        """One look by each conductor; its commands are applied before the next one's look. Returns all commands."""
+        commands = []
         for name in only or self.conductors:
             report = LoadReport(
                 {"s": dict(self.demand)},
-                dict(self.told),
-                {id: self.now for id in self.told},
+                dict(self.reported),
+                {id: self.now for id in self.reported},
                 self.unreachable,
-                self.ailing,
-                spans=self.spans,
+                self.outliers,
+                demand_spans=self.spans,
                 lapsed=self.lapsed,
                 avoided=self.avoided,
             )
             for command in self.placers[name].place(self.now, self.ledger, self.nodes, report):
-                made.append(command)
+                commands.append(command)
                 if obey:
                     self.apply(command)
                     moved = self.index
                     for service, first, last, _, target in command["moves"]:
                         self.moves += [(self.now, name, k, target) for k in range(first, last + 1)]
                         self.apply({"do": "granted", "by": name, "fence": moved, "slices": {service: [[first, last]]}})
-        return made
+        return commands
 
     def run(self, seconds, silent=False):
-        """Time passes; nodes tell what they are used, or edges count."""
+        """Let time pass; nodes report their utilization or, if silent, edges count requests."""
         end = self.now + seconds
         while self.now < end:
-            self.told = {id: used for id, used in self.use().items() if used}
+            self.reported = {id: used for id, used in self.use().items() if used}
             if silent:
-                self.told = utilizations(self.rows(), {"s": 4.0}, self.nodes)
+                self.reported = utilizations_by_node(self.rows(), {"s": 4.0}, self.nodes)
             self.step()
             self.now = round(self.now + 0.25, 3)
 
@@ -129,31 +129,31 @@
         loads = fleet.loads()
         self.assertTrue(all(16 <= load <= 24 for load in loads.values()), loads)
         runs = 1 + sum(x.owner != y.owner for x, y in zip(fleet.line, fleet.line[1:]))
-        self.assertLessEqual(runs, 3 * ROUNDS * 26)
+        self.assertLessEqual(runs, 3 * LAYOUT_ROUNDS * 26)
         self.assertEqual(fleet.step(), [])
 
-    def test_nodes_listed_one_by_one_before_the_first_laying_out_get_equal_shares(self):
-        """The list has them over some seconds; those of the first page got twice as many keys as the others."""
+    def test_nodes_listed_one_by_one_before_the_first_layout_get_equal_shares(self):
+        """Guards against twice as many keys on the nodes of the list's first page: nodes appear over some seconds."""
         fleet = Fleet(4)
         for n in range(4, 8):
             fleet.add(f"n{n}")
         fleet.step()
         self.assertTrue(all(60 <= load <= 68 for load in fleet.loads().values()), fleet.loads())
 
-    def test_nothing_is_passed_over_by_loads_that_are_not_heard_yet(self):
-        """A core that came back took all slices for alike, and moved dozens off nodes that had more of them."""
+    def test_no_pass_is_made_before_demand_is_reported(self):
+        """Guards against a restarted core that counts all slices as equal and moves dozens for that."""
         fleet = Fleet(4)
         fleet.step()
         heavy = [k for k, x in enumerate(fleet.line) if x.owner == "n0"]
         fleet.demand.update(dict.fromkeys(heavy[::8], 20 * UNIT))
         late = Placer("a", 5)
-        for placer, wanted in ((late, HEARD_LATE), (fleet.placers["a"], HEARD)):
+        for placer, wanted in ((late, MIN_DEMAND_LATE_S), (fleet.placers["a"], MIN_DEMAND_S)):
             fleet.placers["a"] = placer
             for fleet.spans in ({}, {"s": wanted - 0.1}):
-                fleet.now += 2 * PERIOD
+                fleet.now += 2 * PASS_PERIOD_S
                 self.assertEqual(fleet.step(), [], (wanted, fleet.spans))
             fleet.spans = {"s": wanted}
-            fleet.now += 2 * PERIOD
+            fleet.now += 2 * PASS_PERIOD_S
             self.assertTrue(fleet.step(obey=False))
 
     def near(self, fleet, homes):
@@ -162,23 +162,28 @@
 
     def test_a_fresh_service_is_laid_out_within_zones_and_as_evenly(self):
         homes = {"a": "x", "b": "y", "c": "z"}
-        for zones, least in (("xyz", 0.95), ("xyzw", 0.7), ("xxxxy", 0.5), ("xy", 0.6)):  # also zones without the other
+        for zones, least in (
+            ("xyz", 0.95),
+            ("xyzw", 0.7),
+            ("xxxxy", 0.5),
+            ("xy", 0.6),
+        ):  # also a zone without a conductor, or a conductor without a zone
             fleet = Fleet(26, "abc", zones=zones, homes=homes)
             fleet.step()
-            self.assertEqual(fleet.step(), [], "what is left waits for what the others lay out")
-            fleet.now += REMAINDER
+            self.assertEqual(fleet.step(), [], "the remainder waits for what the others lay out")
+            fleet.now += REMAINDER_DELAY_S
             fleet.step()
             self.assertTrue(all(16 <= load <= 24 for load in fleet.loads().values()), (zones, fleet.loads()))
             self.assertGreaterEqual(self.near(fleet, homes), least, zones)
             self.assertEqual(fleet.step(), [])
 
     def test_a_target_of_the_own_zone_is_taken_unless_much_worse(self):
-        x, y, z = Load("x", 10.0, 5.5, True), Load("y", 10.0, 5.0), Load("z", 10.0, 7.0, True)
-        self.assertEqual(targets([x, y, z]), [x, z])
-        x.load += 10 * NEAR
-        self.assertEqual(targets([x, y, z]), [x, y, z])
+        x, y, z = NodeLoad("x", 10.0, 5.5, True), NodeLoad("y", 10.0, 5.0), NodeLoad("z", 10.0, 7.0, True)
+        self.assertEqual(pass_targets([x, y, z]), [x, z])
+        x.load += 10 * OWN_ZONE_MARGIN
+        self.assertEqual(pass_targets([x, y, z]), [x, y, z])
 
-    def test_slices_of_the_gone_the_lapsed_and_the_draining_go_at_once_even_past_capacity(self):
+    def test_slices_of_gone_lapsed_and_draining_nodes_move_at_once_even_past_capacity(self):
         fleet = Fleet(5, "ab", capacities=dict.fromkeys((f"n{n}" for n in range(5)), 105.0))
         fleet.run(20.0)
         quiet = len(fleet.moves)
@@ -186,14 +191,14 @@
         fleet.nodes["n1"].draining = True
         fleet.unreachable = {"n2"}
         fleet.step()
-        self.assertEqual({x.owner for x in fleet.line}, {"n2", "n3", "n4"})  # n2 may hold its keys
+        self.assertEqual({x.owner for x in fleet.line}, {"n2", "n3", "n4"})  # n2 may still hold its keys
         fleet.lapsed = frozenset(("s", k) for k, x in enumerate(fleet.line) if x.owner == "n2")
         fleet.step()
         self.assertEqual({x.owner for x in fleet.line}, {"n3", "n4"})
         self.assertTrue(all(used > 1 for used in (fleet.use()[id] for id in ("n3", "n4"))))
         self.assertTrue(all(at == fleet.now for at, *_ in fleet.moves[quiet:]))
 
-    def test_a_node_that_another_core_does_not_reach_keeps_its_keys_and_gets_no_more(self):
+    def test_a_node_that_another_core_cannot_reach_keeps_its_keys_and_gets_no_more(self):
         fleet = Fleet(4)
         fleet.run(12.0)
         had = fleet.owned("n1")
@@ -202,12 +207,12 @@
         fleet.run(12.0)
         self.assertTrue(had)
         self.assertLessEqual(fleet.owned("n1"), had)
-        fleet.avoided = frozenset(fleet.nodes)  # no other is left: better there than nowhere
+        fleet.avoided = frozenset(fleet.nodes)  # no other target is left
         del fleet.nodes["n2"]
         fleet.step()
         self.assertTrue(all(x.owner in fleet.nodes for x in fleet.line))
 
-    def test_what_must_go_goes_to_the_least_used_and_counts_at_once(self):
+    def test_slices_that_must_move_go_to_the_least_used_node_and_count_there_at_once(self):
         fleet = Fleet(4)
         fleet.run(12.0)
         fleet.demand.update({k: 0.1 for k, x in enumerate(fleet.line) if x.owner == "n3"})
@@ -225,40 +230,40 @@
         self.assertEqual(command["by"], "b")
         self.assertTrue(any(x.owner == "n0" for x in fleet.line[:256]))
 
-    def test_what_is_proposed_is_not_proposed_again_at_once_but_is_when_lost(self):
+    def test_a_move_is_proposed_again_only_once_it_counts_as_lost(self):
         fleet = Fleet(3)
         self.assertEqual(len(fleet.step(obey=False)), 1)
         self.assertEqual(fleet.step(obey=False), [])
         fleet.now += 2.5
         self.assertEqual(len(fleet.step(obey=False)), 1)
 
-    def test_a_look_is_due_on_news_and_when_its_time_has_come_only(self):
+    def test_a_look_is_due_only_on_changed_inputs_and_at_its_time(self):
         fleet = Fleet(3)
         placer = fleet.placers["a"]
         self.assertTrue(placer.is_due(fleet.now, "list 1"))
         (command,) = fleet.step(obey=False)
-        self.assertFalse(placer.is_due(fleet.now + LOOK / 2, "list 1"))
-        self.assertTrue(placer.is_due(fleet.now + LOOK / 2, "list 2"))  # at once
-        self.assertFalse(placer.is_due(fleet.now + LOOK, "list 2"))
-        self.assertTrue(placer.is_due(fleet.now + 1.6 * LOOK, "list 2"))  # for loads
-        placer.is_due(fleet.now + AGAIN - 0.1, "list 2")
-        self.assertFalse(placer.is_due(fleet.now + AGAIN - 0.01, "list 2"))
-        self.assertTrue(placer.is_due(fleet.now + AGAIN, "list 2"))  # the move may be lost
-
-    def test_no_node_no_move(self):
+        self.assertFalse(placer.is_due(fleet.now + LOAD_CHECK_PERIOD_S / 2, "list 1"))
+        self.assertTrue(placer.is_due(fleet.now + LOAD_CHECK_PERIOD_S / 2, "list 2"))  # at once
+        self.assertFalse(placer.is_due(fleet.now + LOAD_CHECK_PERIOD_S, "list 2"))
+        self.assertTrue(placer.is_due(fleet.now + 1.6 * LOAD_CHECK_PERIOD_S, "list 2"))  # for loads
+        placer.is_due(fleet.now + MOVE_TIMEOUT_S - 0.1, "list 2")
+        self.assertFalse(placer.is_due(fleet.now + MOVE_TIMEOUT_S - 0.01, "list 2"))
+        self.assertTrue(placer.is_due(fleet.now + MOVE_TIMEOUT_S, "list 2"))  # the move may be lost
+
+    def test_without_nodes_there_are_no_moves(self):
         fleet = Fleet(1)
         fleet.nodes["n0"].draining = True
         self.assertEqual(fleet.step(), [])
         fleet.nodes.clear()
         self.assertEqual(fleet.step(), [])
 
-    def test_passes_relieve_hot_nodes_and_come_to_rest(self):
+    def test_passes_relieve_overloaded_nodes_and_then_stop(self):
         for seed in range(4):
             with self.subTest(seed=seed):
                 fleet = Fleet(8, "abc", seed)
                 fleet.run(15.0)
                 draw = random.Random(seed)
-                for k in range(400, 440):  # busy keys sit close together
+                for k in range(400, 440):  # busy keys are close together
                     fleet.demand[k] = draw.uniform(16, 32) * UNIT
                 self.assertGreater(max(fleet.use().values()), 1.15)
                 fleet.run(60.0)
@@ -269,11 +274,11 @@
                 fleet.run(30.0)
                 self.assertLess(len(fleet.moves) - count, 10)
                 last = {}
-                for at, _, k, _ in fleet.moves:  # a slice rests at its new place
-                    self.assertGreaterEqual(at - last.get(k, -99.0), REST)
+                for at, _, k, _ in fleet.moves:  # a slice stays at its new place for a while
+                    self.assertGreaterEqual(at - last.get(k, -99.0), MOVE_REST_S)
                     last[k] = at
 
-    def test_ordinary_moves_go_a_tenth_at_a_time(self):
+    def test_ordinary_moves_go_out_a_tenth_at_a_time(self):
         fleet = Fleet(8)
         fleet.run(15.0)
         count = len(fleet.moves)
@@ -285,14 +290,14 @@
             batches[at] = batches.get(at, 0) + 1
         times = sorted(batches)
         self.assertGreater(len(times), 1)
-        self.assertLessEqual(max(batches.values()), int(SLICES * BATCH))
-        self.assertTrue(all(b - a >= BATCH_PAUSE for a, b in zip(times, times[1:])))
+        self.assertLessEqual(max(batches.values()), int(SLICES * BATCH_SHARE))
+        self.assertTrue(all(b - a >= BATCH_PAUSE_S for a, b in zip(times, times[1:])))
 
     def test_an_even_fleet_is_left_alone_and_a_heavy_slice_stays(self):
         fleet = Fleet(8)
         fleet.run(15.0)
         count = len(fleet.moves)
-        fleet.run(3 * PERIOD)
+        fleet.run(3 * PASS_PERIOD_S)
         self.assertEqual(len(fleet.moves), count)
         fleet.demand[40] = 500.0
         owner = fleet.line[40].owner
@@ -300,7 +305,7 @@
         self.assertEqual(fleet.line[40].owner, owner)
         self.assertTrue(all(k != 40 for _, _, k, _ in fleet.moves[count:]))
 
-    def test_a_node_just_up_counts_as_half(self):
+    def test_a_new_node_counts_as_half(self):
         fleet = Fleet(2)
         fleet.run(12.0)
         fleet.add("new")
@@ -308,18 +313,18 @@
         fleet.step()
         self.assertLess(fleet.loads()["new"], 0.55 * fleet.loads()["n1"])
         fleet.add("cold", cold_until=fleet.now + 60.0)
-        fleet.now += RAMP + 1
+        fleet.now += RAMP_S + 1
         fleet.nodes["n1"].draining = True
         fleet.step()
         self.assertLess(fleet.loads()["cold"], 0.55 * fleet.loads()["new"])
 
-    def test_small_nodes_are_found_out_and_get_less(self):
+    def test_small_nodes_are_detected_and_get_less(self):
         fleet = Fleet(6, capacities={"n0": 50.0, "n1": 180.0})
         fleet.run(90.0)
         use = fleet.use()
         self.assertLess(use["n0"], 1.05)
 
-    def test_small_nodes_are_found_out_though_none_tells_its_load(self):
+    def test_small_nodes_are_detected_though_none_reports_its_load(self):
         fleet = Fleet(6, capacities={"n0": 50.0, "n1": 180.0, "n2": 180.0})
         fleet.step()
         self.assertGreater(fleet.use()["n0"], 1.4)
@@ -331,88 +336,88 @@
 
 
 def stripped(node, own):
-    return strip([node], lambda x: own.get(x.id, ()), 1.0, can_move=own_part([node], 1.0, own))
+    return strip([node], lambda x: own.get(x.id, ()), 1.0, can_move=own_excess([node], 1.0, own))
 
 
 class PassTest(unittest.TestCase):
-    def test_the_heaviest_of_the_own_part_is_stripped(self):
-        node = Load("n", 10.0, 14.0)
+    def test_the_heaviest_slice_within_the_own_part_is_stripped(self):
+        node = NodeLoad("n", 10.0, 14.0)
         pool = stripped(node, {"n": [(1.0, 1), (2.0, 2), (0.5, 3), (3.5, 4)]})  # half of the load is ours
         self.assertEqual([k for _, k, _ in pool], [2])
         self.assertEqual(node.load, 12.0)
 
-    def test_a_small_excess_a_light_slice_and_others_slices_are_left(self):
-        self.assertEqual(stripped(Load("n", 10.0, 10.4), {"n": [(1.0, 1)]}), [])
-        self.assertEqual(stripped(Load("n", 10.0, 14.0), {"m": [(1.0, 1)]}), [])
-        self.assertEqual(stripped(Load("n", 10.0, 14.0), {"n": [(0.01, 1)]}), [])
+    def test_a_small_excess_a_light_slice_and_other_conductors_slices_are_left(self):
+        self.assertEqual(stripped(NodeLoad("n", 10.0, 10.4), {"n": [(1.0, 1)]}), [])
+        self.assertEqual(stripped(NodeLoad("n", 10.0, 14.0), {"m": [(1.0, 1)]}), [])
+        self.assertEqual(stripped(NodeLoad("n", 10.0, 14.0), {"n": [(0.01, 1)]}), [])
 
-    def test_the_pool_goes_heaviest_first_where_it_fares_best_and_never_overfills(self):
-        source, a, b = Load("s", 10.0, 7.0), Load("a", 10.0, 6.0), Load("b", 5.0, 2.0)
+    def test_the_pool_is_placed_heaviest_first_where_it_fits_best_and_never_overfills(self):
+        source, a, b = NodeLoad("s", 10.0, 7.0), NodeLoad("a", 10.0, 6.0), NodeLoad("b", 5.0, 2.0)
         moves = place(
             [(9.0, 3, source), (2.0, 2, source), (1.0, 1, source)],
             lambda _, node: (x for x in (source, a, b) if x is not node),
-            worse,
+            target_score,
         )
         self.assertEqual([(k, target.id) for k, _, target in moves], [(2, "a"), (1, "b")])
         self.assertEqual((source.load, a.load, b.load), (16.0, 8.0, 3.0))
 
-    def test_a_target_only_as_good_is_none(self):
-        source, other = Load("s", 10.0, 8.0), Load("o", 10.0, 8.0)
-        self.assertEqual(place([(1.0, 1, source)], lambda *_: [other], worse), [])
+    def test_a_target_that_is_only_as_good_is_rejected(self):
+        source, other = NodeLoad("s", 10.0, 8.0), NodeLoad("o", 10.0, 8.0)
+        self.assertEqual(place([(1.0, 1, source)], lambda *_: [other], target_score), [])
         self.assertEqual((source.load, other.load), (9.0, 8.0))
 
 
 class CapacityTest(unittest.TestCase):
     nodes = {id: Node(id, "s", ("h", n), "z", 2) for n, id in enumerate("abc")}
 
-    def hear(self, capacities, at, used, work=None, moved=None, cold=()):
-        capacities.hear(
+    def add_report(self, capacities, at, used, work=None, moved=None, cold=()):
+        capacities.add_report(
             self.nodes,
             work or {"a": 40.0, "b": 40.0, "c": 40.0},
-            LoadReport(utilization=used, heard=dict.fromkeys(used, at)),
+            LoadReport(utilization=used, heard_at=dict.fromkeys(used, at)),
             moved or {},
             cold,
         )
 
-    def test_demand_over_utilization_smoothed_and_the_average_for_the_unheard(self):
-        found = Capacities()
-        self.assertEqual(found.estimates(self.nodes), {"a": 0.0, "b": 0.0, "c": 0.0})
+    def test_demand_over_utilization_smoothed_and_the_average_for_nodes_without_samples(self):
+        capacities = CapacityEstimator()
+        self.assertEqual(capacities.estimates(self.nodes), {"a": 0.0, "b": 0.0, "c": 0.0})
         for at in range(20):
-            self.hear(found, float(at), {"a": 0.4 + 0.1 * (at % 2), "b": 0.8})
-        got = found.estimates(self.nodes)
-        self.assertAlmostEqual(got["a"], 40 / 0.45, delta=6)
-        self.assertAlmostEqual(got["b"], 50, delta=6)
-        self.assertAlmostEqual(got["c"], 64, delta=4)
-        self.hear(found, 30.0, {"a": 0.0, "c": 0.01})  # idle: the last estimate stays
-        self.assertEqual(found.estimates(self.nodes), got)
-
-    def test_nodes_that_tell_nothing_are_judged_by_who_is_in_hand(self):
-        """Fails: a node that fails half of its tries at once has half the busy seconds, and is as full."""
+            self.add_report(capacities, float(at), {"a": 0.4 + 0.1 * (at % 2), "b": 0.8})
+        estimates = capacities.estimates(self.nodes)
+        self.assertAlmostEqual(estimates["a"], 40 / 0.45, delta=6)
+        self.assertAlmostEqual(estimates["b"], 50, delta=6)
+        self.assertAlmostEqual(estimates["c"], 64, delta=4)
+        self.add_report(capacities, 30.0, {"a": 0.0, "c": 0.01})  # idle: the last estimate stays
+        self.assertEqual(capacities.estimates(self.nodes), estimates)
+
+    def test_nodes_that_report_no_load_are_judged_by_requests_in_flight(self):
+        """Guards against a node that fails half of its tries fast and looks half idle by its busy seconds."""
         rows = {"a": [0, 0, 2, 40, 0, 0, 4.0], "b": [0, 0, 2, 20, 15, 5, 2.0], "c": [0, 0, 2, 0, 40, 0, 0.0]}
-        found = utilizations(rows, {"s": 4.0}, self.nodes)
-        self.assertEqual(found.keys(), {"a", "b"})
-        self.assertAlmostEqual(found["a"], 0.46, delta=0.01)
-        self.assertAlmostEqual(found["a"], found["b"])
-        rows["c"] = [30, 20, 2, 20, 0, 0, 2.0]  # one of the service tells, so only what is told counts
-        self.assertEqual(utilizations(rows, {"s": 4.0}, self.nodes), {"c": 0.75})
+        utilizations = utilizations_by_node(rows, {"s": 4.0}, self.nodes)
+        self.assertEqual(utilizations.keys(), {"a", "b"})
+        self.assertAlmostEqual(utilizations["a"], 0.46, delta=0.01)
+        self.assertAlmostEqual(utilizations["a"], utilizations["b"])
+        rows["c"] = [30, 20, 2, 20, 0, 0, 2.0]  # one of the service reports, so only reports count
+        self.assertEqual(utilizations_by_node(rows, {"s": 4.0}, self.nodes), {"c": 0.75})
 
     def test_nothing_is_learned_of_a_service_whose_demand_has_just_begun(self):
-        found = Capacities()
-        report = LoadReport(utilization={"a": 0.5}, heard={"a": 5.0}, spans={"s": SETTLE / 2})
-        found.hear(self.nodes, {"a": 40.0}, report, {}, ())
-        self.assertEqual(found.estimates(self.nodes)["a"], 0.0)
-        report.spans["s"] = SETTLE
-        found.hear(self.nodes, {"a": 40.0}, report, {}, ())
-        self.assertAlmostEqual(found.estimates(self.nodes)["a"], 80.0)
+        capacities = CapacityEstimator()
+        report = LoadReport(utilization={"a": 0.5}, heard_at={"a": 5.0}, demand_spans={"s": SETTLE_S / 2})
+        capacities.add_report(self.nodes, {"a": 40.0}, report, {}, ())
+        self.assertEqual(capacities.estimates(self.nodes)["a"], 0.0)
+        report.demand_spans["s"] = SETTLE_S
+        capacities.add_report(self.nodes, {"a": 40.0}, report, {}, ())
+        self.assertAlmostEqual(capacities.estimates(self.nodes)["a"], 80.0)
 
     def test_reports_that_are_old_cold_or_from_before_a_move_do_not_count(self):
-        found = Capacities()
-        self.hear(found, 5.0, {"a": 0.5}, moved={"a": 4.0})
-        self.hear(found, 6.5, {"a": 0.5}, cold={"a"})
-        self.assertEqual(found.estimates(self.nodes)["a"], 0.0)
-        self.hear(found, 8.0, {"a": 0.5}, moved={"a": 4.0})
-        self.hear(found, 8.0, {"a": 0.1}, moved={"a": 4.0})
-        self.assertAlmostEqual(found.estimates(self.nodes)["a"], 80.0)
+        capacities = CapacityEstimator()
+        self.add_report(capacities, 5.0, {"a": 0.5}, moved={"a": 4.0})
+        self.add_report(capacities, 6.5, {"a": 0.5}, cold={"a"})
+        self.assertEqual(capacities.estimates(self.nodes)["a"], 0.0)
+        self.add_report(capacities, 8.0, {"a": 0.5}, moved={"a": 4.0})
+        self.add_report(capacities, 8.0, {"a": 0.1}, moved={"a": 4.0})
+        self.assertAlmostEqual(capacities.estimates(self.nodes)["a"], 80.0)
 
 
 if __name__ == "__main__":
