--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""For the tests: states of the module."""
+"""States of the decisions' module, for tests."""
 
 from knotwalk.decide import Conductor
 from knotwalk.interface import Method, Settings
@@ -25,8 +25,8 @@
 )
 
 
-class Recorder:
-    """Orders as a list of tuples."""
+class RecordedOrders:
+    """Records orders as a list of tuples (name, *arguments)."""
 
     def __init__(self):
         self.orders = []
@@ -38,27 +38,33 @@
         return [order[1:] for order in self.orders if order[0] == name]
 
 
-def conductor(now=100.0, capacities=(), demands=(), at=(), **settings):
-    """A conductor at `now`, with servers a, b, ... of these capacities and slices 0, 1, ... of these demands,
-    slice k on server at[k]; nothing of it has to be told to proxy 0."""
-    c = Conductor(PLAIN._replace(**{"slices": len(demands), **settings}), seed=1)
-    c.now, c.demand_reported_at, c.has_started, c.next_pass, c.list_request_at = (
+def make_conductor(now=100.0, capacities=(), demands=(), at=(), **settings):
+    """A conductor at `now` with servers a, b, ... of these capacities and slices 0, 1, ... of these demands, slice k on
+    server at[k]; proxy 0 has joined and nothing has to be sent to it."""
+    conductor = Conductor(PLAIN._replace(**{"slices": len(demands), **settings}), seed=1)
+    (
+        conductor.now,
+        conductor.demand_reported_at,
+        conductor.has_started,
+        conductor.next_pass,
+        conductor.list_request_at,
+    ) = (
         now,
         now,
         True,
         now + 1000,
         float("inf"),
     )
-    c.joined(0)
-    c.listed(True, False, [("abcdefghij"[k], "east", "ready", 1.0, 0.0) for k in range(len(capacities))])
-    for server, capacity in zip(c.servers.values(), capacities):
+    conductor.joined(0)
+    conductor.listed(True, False, [("abcdefghij"[k], "east", "ready", 1.0, 0.0) for k in range(len(capacities))])
+    for server, capacity in zip(conductor.servers.values(), capacities):
         server.capacity = capacity
-    c.mean_capacity = sum(capacities) / len(capacities) if capacities else 0.0
+    conductor.mean_capacity = sum(capacities) / len(capacities) if capacities else 0.0
     for k, demand in enumerate(demands):
-        c.given(k)
-        s, server = c.slices[k], c.servers[at[k]]
-        c.held(k, at[k], 1.0)
+        conductor.given(k)
+        s, server = conductor.slices[k], conductor.servers[at[k]]
+        conductor.held(k, at[k], 1.0)
         s.demand, s.method_demand, s.demand_unknown = demand, [demand / 2, demand / 2], not demand
         server.load += demand
-    c.first_slice_at = float("-inf")
-    return c
+    conductor.first_slice_at = float("-inf")
+    return conductor
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Checkpoints of the module's state."""
+"""Checkpoints of the decisions' state."""
 
 import msgpack
 import pytest
@@ -12,7 +12,7 @@
 SMALL = Size(servers=5, proxies=4, slices=12, rate=40.0)
 
 
-def test_every_field_of_the_module_is_state_or_follows_from_the_settings():
+def test_every_attribute_of_the_module_is_state_or_follows_from_the_settings():
     """Guards against a new attribute of the decisions that no checkpoint stores."""
     module = Conductor(settings_of(SMALL), 1)
     assert set(vars(module)) | {"now"} == {*state.CONDUCTOR, *state.CONDUCTOR_APART, *state.DERIVED}
@@ -37,59 +37,60 @@
 
 
 def play(module, rounds):
-    told = []
+    orders = []
     for now, inbox, _ in rounds:
         out = OrderLog()
         module.decide(now, inbox, out)
-        told.append(out.orders)
-    return told
+        orders.append(out.orders)
+    return orders
 
 
 @settings(max_examples=15, deadline=None, derandomize=True)
 @given(st.integers(0, 10_000), st.floats(0, 1))
-def test_any_prefix_of_a_day_checkpointed_and_restored_goes_on_the_same(seed, part):
+def test_a_module_restored_from_a_checkpoint_at_any_time_goes_on_the_same(seed, part):
     rounds, day = rounds_of(seed)
     cut = int(part * len(rounds))
     module = Conductor(day.settings, seed + 1)
     play(module, rounds[:cut])
-    told = msgpack.unpackb(packed(module))
-    back = state.restore(told, day.settings)
-    assert packed(back) == packed(module)
-    assert play(back, rounds[cut:]) == [orders for _, _, orders in rounds[cut:]]
-    assert packed(back) == packed(day.module)
+    snapshot = msgpack.unpackb(packed(module))
+    restored = state.restore(snapshot, day.settings)
+    assert packed(restored) == packed(module)
+    assert play(restored, rounds[cut:]) == [orders for _, _, orders in rounds[cut:]]
+    assert packed(restored) == packed(day.module)
 
 
 def test_a_snapshot_shares_nothing_with_the_module():
     rounds, day = rounds_of(3)
-    before, held = packed(day.module), state.snapshot(day.module)
+    before, snapshot = packed(day.module), state.snapshot(day.module)
     play(day.module, [(day.now + k, [("left", (0,)), ("joined", (0,))], ()) for k in range(20)])
-    assert msgpack.packb(held) == before != packed(day.module)
+    assert msgpack.packb(snapshot) == before != packed(day.module)
 
 
-def test_a_snapshot_of_another_format_is_refused_by_name_or_converted(monkeypatch):
+def test_a_snapshot_of_another_format_is_converted_or_refused_with_the_formats(monkeypatch):
     _, day = rounds_of(1)
     old = {**state.snapshot(day.module), "format": 0}
     with pytest.raises(state.SnapshotError, match="format 0; this version reads 2"):
         state.restore(old, day.settings)
-    monkeypatch.setitem(state.CONVERTERS, 0, lambda told: {**told, "format": 2})
+    monkeypatch.setitem(state.CONVERTERS, 0, lambda snapshot: {**snapshot, "format": 2})
     assert packed(state.restore(old, day.settings)) == packed(day.module)
 
 
-def test_a_snapshot_of_one_controller_alone_has_all_servers_its_own():
+def test_in_a_snapshot_of_format_1_the_controller_owns_all_servers():
     _, day = rounds_of(1)
-    told = state.snapshot(day.module)
-    at = len(state.SERVER) - 3
-    old = {**told, "format": 1, "servers": [[plain[:at], *rows[:3]] for plain, *rows in told["servers"]]}
-    back = state.restore(old, day.settings)
-    assert all(x.owned and not x.unmeasured for x in back.servers.values())
-    told = state.settings_to_dict(day.settings)
+    snapshot = state.snapshot(day.module)
+    columns = len(state.SERVER) - 3
+    old = {**snapshot, "format": 1, "servers": [[plain[:columns], *rows[:3]] for plain, *rows in snapshot["servers"]]}
+    restored = state.restore(old, day.settings)
+    assert all(x.owned and not x.unmeasured for x in restored.servers.values())
+    payload = state.settings_to_dict(day.settings)
     assert (
-        state.settings_from_dict({k: v for k, v in told.items() if k not in ("controllers", "place")}) == day.settings
+        state.settings_from_dict({k: v for k, v in payload.items() if k not in ("controllers", "place")})
+        == day.settings
     )
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         lambda t: {},
         lambda t: None,
@@ -99,13 +100,13 @@
         lambda t: {k: v for k, v in t.items() if k != "sent"},
     ],
 )
-def test_a_spoilt_snapshot_is_refused_in_words(spoil):
+def test_a_corrupt_snapshot_is_refused_with_a_snapshot_error(corrupt):
     _, day = rounds_of(1)
     with pytest.raises(state.SnapshotError):
-        state.restore(spoil(state.snapshot(day.module)), day.settings)
+        state.restore(corrupt(state.snapshot(day.module)), day.settings)
 
 
-def test_a_snapshot_of_other_methods_is_refused():
+def test_a_snapshot_with_other_methods_is_refused():
     _, day = rounds_of(1)
     with pytest.raises(state.SnapshotError, match="methods"):
         state.restore(state.snapshot(day.module), day.settings._replace(methods=day.settings.methods[:1]))
