--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -13,7 +13,7 @@
 from knotwalk.leases.evidence import Event, Evidence, HolderCleared, NodeUnreachable
 from knotwalk.leases.keeper import Keeper
 from knotwalk.leases.orders import REFUSED, UNSENT, Grant, Pace, Propose, Release
-from knotwalk.placement.capacity import Report, utilizations
+from knotwalk.placement.capacity import LoadReport, utilizations_by_node
 from knotwalk.placement.placer import Placer
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.http_client import ConnectionRefusedPeerError, HttpClient
@@ -200,7 +200,7 @@
         lapsed = self.keeper.lapsed(now)
         avoided = frozenset(self.peers_reach.unreached_since(now))
         news = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.outliers
-        if not self.placer.due(now, news):
+        if not self.placer.is_due(now, news):
             return []
         return self.placer.place(now, ledger, self.board.nodes, self.report(now, unreachable, lapsed, avoided))
 
@@ -211,7 +211,7 @@
 
     def report(
         self, now: float, unreachable: set[str], lapsed: frozenset[tuple[str, int]], avoided: frozenset[str]
-    ) -> Report:
+    ) -> LoadReport:
         """What the placement goes by, besides the ledger and the list."""
         sums, spans = self.loads.window_sums(now)
         # Requests, not their seconds: those grow with a node's queue, and would make the slices of a full node heavier.
@@ -220,14 +220,14 @@
             for service, slices in sums.get("demand", {}).items()
             if slices
         }
-        told = utilizations(sums.get("nodes", {}), spans, self.board.nodes)
-        return Report(
+        told = utilizations_by_node(sums.get("nodes", {}), spans, self.board.nodes)
+        return LoadReport(
             demand=demand,
             utilization=told,
-            heard={id: now for id in told},
-            spans=spans,
+            heard_at={id: now for id in told},
+            demand_spans=spans,
             unreachable=unreachable,
             lapsed=lapsed,
             avoided=avoided,
-            ailing=self.board.outliers,
+            outliers=self.board.outliers,
         )
