--- a/benchmarks/allowance.py
+++ b/benchmarks/allowance.py
@@ -14,7 +14,7 @@
 import sys
 from dataclasses import dataclass, field
 
-from knotwalk.shared_state.escrow import Taken
+from knotwalk.shared_state.escrow import TakeResult
 from tests.system.quota_world import Core, World
 
 STEP = 0.005  # seconds
@@ -115,19 +115,19 @@
         if core.call is not None and now >= core.call[0] + CALL:
             if now < max(self.cut.get(core.id, 0.0), self.leaderless):
                 core.call = None
-                core.escrow.again(now, False)
+                core.escrow.schedule_retry(now, False)
             else:
                 grants = core.deliver()
-                core.escrow.again(now, any(grant.granted for grant in grants))
-        if core.call is None and core.escrow.due <= now:
+                core.escrow.schedule_retry(now, any(grant.granted for grant in grants))
+        if core.call is None and core.escrow.due_at <= now:
             core.send()
         left = []
         for one in self.waiting[core.id]:
-            taken = core.escrow.take_again(now, one.tenant)
-            if taken is Taken.WAIT and now < one.until:
+            taken = core.escrow.retry_take(now, one.tenant)
+            if taken is TakeResult.WAIT and now < one.until:
                 left.append(one)
                 continue
-            core.escrow.waited(one.tenant)
+            core.escrow.stop_waiting(one.tenant)
             self.ended(one.tenant, taken, one.owed)
         self.waiting[core.id] = left
 
@@ -137,24 +137,24 @@
         owed = self.owed[tenant].sent()
         self.found["requests"] += 1
         taken = core.escrow.take(now, tenant)
-        if taken is Taken.WAIT:
-            core.escrow.wait(now, tenant)
+        if taken is TakeResult.WAIT:
+            core.escrow.start_waiting(now, tenant)
             self.waiting[core.id].append(Waiting(tenant, now + PATIENCE, owed))
         else:
             self.ended(tenant, taken, owed)
 
-    def ended(self, tenant: str, taken: Taken, owed: bool) -> None:
+    def ended(self, tenant: str, taken: TakeResult, owed: bool) -> None:
         """A request's word is known."""
-        if taken is Taken.GRANTED:
+        if taken is TakeResult.GRANTED:
             self.world.counter.passed[tenant].append(self.world.now)
         elif owed and tenant != "storm":
-            self.found["waited_for_a_leader" if taken is Taken.WAIT else "refused_wrongly"] += 1
+            self.found["waited_for_a_leader" if taken is TakeResult.WAIT else "refused_wrongly"] += 1
 
     def look(self, tenant: str) -> None:
         """The window that ends now against the rule."""
         counter, now = self.world.counter, self.world.now
         over, most = counter.over(now, tenant), counter.most(tenant, now, now)
-        allowed = RATES[tenant] * counter.sharing.window + max(1.0, RATES[tenant])
+        allowed = RATES[tenant] * counter.quota_bounds.window + max(1.0, RATES[tenant])
         self.found["over"] += over > 0
         ratio = (over + most - allowed) / (most - allowed)
         self.found["overshoot_over_bound"] = max(self.found["overshoot_over_bound"], ratio)
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -25,8 +25,8 @@
 from knotwalk.consensus.orders import Save
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane import claim_group, claim_groups
-from knotwalk.control_plane.claim_group import Home
-from knotwalk.control_plane.claim_groups import CLAIMS, MESSAGES, ClaimGroups
+from knotwalk.control_plane.claim_group import GroupContext
+from knotwalk.control_plane.claim_groups import CLAIMS_PATH, MESSAGES_PATH, ClaimGroups
 from knotwalk.runtime import call
 from knotwalk.runtime.logs import clock
 from knotwalk.runtime.serve import Listener, answer, app, body
@@ -62,7 +62,7 @@
         return found
 
 
-def home(number: int, folder: str, caller: call.Caller) -> Home:
+def context(number: int, folder: str, caller: call.Caller) -> GroupContext:
     """What the groups of one process share."""
     addresses = [f"127.0.0.1:{PORT + n}" for n in range(MACHINES)]
     settings = Settings(
@@ -73,7 +73,7 @@
         tolerance=Tolerance(machines=MACHINES // 2),
     )
     founders = {f"{at}#founder": at for at in addresses}
-    return Home(settings, addresses[number], founders, caller, 100 * number, clock() - 10.0, FarStore)
+    return GroupContext(settings, addresses[number], founders, caller, 100 * number, clock() - 10.0, FarStore)
 
 
 async def asks(groups: ClaimGroups, number: int, seconds: float) -> list[tuple[str, float]]:
@@ -100,21 +100,21 @@
     """One machine: its groups, served and asked."""
     caller = FarCaller()
     with (
-        mock.patch.object(messages, "PARTS", parts),
-        mock.patch.object(claim_group, "PARTS", parts),
-        mock.patch.object(claim_groups, "PARTS", parts),
+        mock.patch.object(messages, "PARTITION_COUNT", parts),
+        mock.patch.object(claim_group, "PARTITION_COUNT", parts),
+        mock.patch.object(claim_groups, "PARTITION_COUNT", parts),
     ):
-        groups = ClaimGroups(home(number, folder, caller))
+        groups = ClaimGroups(context(number, folder, caller))
 
         async def told(request: Request) -> HTTPResponse:
             return answer(await groups.exchange(body(request)))
 
         async def taken(request: Request) -> HTTPResponse:
-            return answer(await groups.taken(body(request)))
+            return answer(await groups.handle_claims(body(request)))
 
         made = app(f"bench{number}")
-        made.add_route(told, MESSAGES, methods=["POST"])
-        made.add_route(taken, CLAIMS, methods=["POST"])
+        made.add_route(told, MESSAGES_PATH, methods=["POST"])
+        made.add_route(taken, CLAIMS_PATH, methods=["POST"])
         listener = Listener(made)
         await listener.start("127.0.0.1", PORT + number)
         groups.start()
@@ -124,7 +124,7 @@
         busy = cost(caller)
         found = await asks(groups, number, seconds)
         end = cost(caller)
-        leads = sum(group.leads for group in groups.groups)
+        leads = sum(group.is_leader for group in groups.groups)
         print(json.dumps({"calm": minus(busy, calm), "busy": minus(end, busy), "found": found, "leads": leads}))
         sys.stdout.flush()
         await asyncio.sleep(1.0)  # the others may still be asking
--- a/knotwalk/cli/past.py
+++ b/knotwalk/cli/past.py
@@ -31,11 +31,11 @@
         return whole if keys else without_keys(whole)
 
     def note() -> None:
-        if state.configuration and (not history or history[-1]["config_order"] != state.order):
+        if state.configuration and (not history or history[-1]["config_order"] != state.configuration_index):
             history.append(
                 {
                     "config_version": f"r{state.version}",
-                    "config_order": state.order,
+                    "config_order": state.configuration_index,
                     "configuration": text(state.configuration),
                 }
             )
@@ -49,7 +49,7 @@
     return {
         "me": saved.me,
         "config_version": f"r{state.version}" if state.configuration else None,
-        "config_order": state.order,
+        "config_order": state.configuration_index,
         "sure": f"r{sure}" if sure else None,
         "snapshot": saved.snapshot_index,
         "last": last.index if last else saved.snapshot_index,
--- a/knotwalk/control_plane/__init__.py
+++ b/knotwalk/control_plane/__init__.py
@@ -1,5 +1,5 @@
-"""The control plane's program, which core machines run.
+"""The control plane's program, which runs on core machines.
 
-Control calls, agreement, leases, owner lines, and their spreading to edges. Wires the packages together and decides
-nothing itself; must never carry a client's request.
+Calls of operators, consensus, leases, owners of slices, and sending all of it to edges. Wires the packages together
+and decides nothing itself; must never carry a client's request.
 """
--- a/knotwalk/control_plane/admissions.py
+++ b/knotwalk/control_plane/admissions.py
@@ -1,7 +1,7 @@
-"""Admission at a core machine: what edges ask for in one call, and the answers of operations that are kept here.
+"""Admission at a core machine: answers the admission requests of edges, and keeps the answers of operations.
 
-An ask takes a token of its tenant's allowance and claims its operation. A claim that another try holds gives the token
-back; one that is not known yet keeps it for the next ask of the attempt.
+An admission request takes a token of its tenant's allowance and claims its operation. If another attempt holds the
+claim, the token is given back; if the claim has no outcome yet, the token is held for the attempt's next request.
 """
 
 from __future__ import annotations
@@ -23,64 +23,65 @@
 from knotwalk.shared_state.held_tokens import Attempt, HeldTokens
 from knotwalk.shared_state.messages import (
     Admission,
-    AdmissionAsk,
-    AdmissionTold,
+    AdmissionRequest,
+    AdmissionResponse,
     Claim,
     EdgeBatch,
     Ending,
     Holder,
     OperationEnd,
-    part_of,
+    partition_of,
 )
 
-# Seconds that an ask waits for its tenant's allowance, and for its claim; asked again, it waits for the same claim.
-ALLOWANCE_PATIENCE = 0.03
-CLAIM_WAIT = 0.03
-# Seconds for which a claim is sought; past STUCK without an answer its group is taken to have no leader.
-CLAIM_PATIENCE, STUCK = 0.5, 0.15
-# Seconds for which the answer to a claim is kept for who asks again.
-ANSWER_KEPT = 0.2
-# Seconds after which a client may come back where a group has no leader.
-STUCK_PAUSE = 0.2
-# Seconds past the longest time of a keyed route within which an edge has told how a run ended, or is gone.
-TELLING = 5.0
-# Seconds for another core's word of an operation that it keeps.
-ANSWER_PATIENCE = 0.03
-
-UNAVAILABLE = AdmissionTold(Admission.UNAVAILABLE, STUCK_PAUSE)
-NOT_YET = AdmissionTold(Admission.UNAVAILABLE)
-RUN = AdmissionTold(Admission.RUN)
-# Seconds since a call of an edge's life in which what it runs is told as in work; an edge calls each second at least.
-HEARD_WITHIN = 1.6
-# Lives that are remembered.
-LIVES_MOST = 5000
+# How long an admission request waits for the tenant's allowance, and for its claim. If it is repeated, it waits for the
+# same claim.
+ALLOWANCE_TIMEOUT_S = 0.03
+CLAIM_WAIT_S = 0.03
+# How long an outcome of a claim is sought; after STUCK_AFTER_S without one, its group counts as having no leader.
+CLAIM_TIMEOUT_S, STUCK_AFTER_S = 0.5, 0.15
+# How long the outcome of a claim is kept for repeated requests.
+CLAIM_RESULT_TTL_S = 0.2
+# When a client may come back if a group has no leader.
+STUCK_RETRY_AFTER_S = 0.2
+# After the longest timeout of a keyed route plus this, an edge has reported how a run ended, or is gone.
+REPORT_MARGIN_S = 5.0
+# For another core's answer about an operation whose answer it keeps.
+ANSWER_CALL_TIMEOUT_S = 0.03
+
+UNAVAILABLE = AdmissionResponse(Admission.UNAVAILABLE, STUCK_RETRY_AFTER_S)
+PENDING = AdmissionResponse(Admission.UNAVAILABLE)
+RUN = AdmissionResponse(Admission.RUN)
+# A run counts as in progress if its edge called within this time; an edge calls at least once a second.
+EDGE_ALIVE_S = 1.6
+# Incarnations of edges that are remembered.
+MAX_INCARNATIONS = 5000
 
 
 class Allowances(Protocol):
-    """What tenants may still send."""
+    """The allowances of tenants."""
 
-    async def take(self, tenant: str, patience: float) -> AdmissionTold:
-        """Take one request's allowance: RUN, OVER_LIMIT or UNAVAILABLE."""
+    async def take(self, tenant: str, timeout_s: float) -> AdmissionResponse:
+        """Take the allowance of one request: RUN, OVER_LIMIT or UNAVAILABLE."""
 
     def spend(self, tenant: str) -> bool:
-        """A request that had taken its allowance is to run; whether it may, since allowance ends."""
+        """Use up the allowance of a request that is to run. Returns whether it may run, since allowance expires."""
 
     def give_back(self, tenant: str) -> None:
-        """A request that had taken its allowance does not run."""
+        """Return the allowance of a request that doesn't run."""
 
 
 class ClaimGroups(Protocol):
-    """Who runs which operation, agreed on by the core machines."""
+    """The claims of operations, agreed on by the core machines."""
 
-    async def claim(self, claim: Claim, patience: float) -> ClaimResult:
-        """Have a claim agreed on; UNAVAILABLE if that is not known in time: it may be granted yet."""
+    async def claim(self, claim: Claim, timeout_s: float) -> ClaimResult:
+        """Have a claim decided. UNAVAILABLE if there is no outcome in time: it may still be granted."""
 
     def release(self, claim: Claim) -> None:
-        """Have a claim given back whose holder surely never ran it, and never will."""
+        """Release a claim whose holder never ran the operation and never will."""
 
 
 class Admissions:
-    """Answers `POST /admissions` of edges and `POST /answers` of other cores. `me` is this core's peer address."""
+    """Answers edges' `POST /admissions` and other cores' `POST /answers`. `me` is this core's peer address."""
 
     def __init__(
         self,
@@ -93,192 +94,201 @@
     ):
         self.me, self.allowances, self.claims, self.answers = me, allowances, claims, answers
         self.caller, self.clock = caller, clock
-        self.seeking: dict[Claim, asyncio.Task[ClaimResult]] = {}  # claims that are sought, or were answered just now
-        self.stuck: set[int] = set()  # parts of which a claim has had no answer for long, and none has had one since
-        self.taken_at = -math.inf  # when an allowance was told of last
+        self.pending_claims: dict[Claim, asyncio.Task[ClaimResult]] = {}  # those decided a moment ago included
+        # Partitions with a claim that has waited for long, and none decided since.
+        self.stuck_partitions: set[int] = set()
+        self.last_allowance_at = -math.inf  # when an allowance was granted or refused last
         self.tokens = HeldTokens()
-        self.lives: OrderedDict[str, float] = OrderedDict()  # edges' lives, and when each one called last
-        self.told: Counter[Admission] = Counter()
-        self.ended: Counter[Ending] = Counter()
+        self.incarnations: OrderedDict[str, float] = OrderedDict()  # of edges, and when each called last
+        self.response_counts: Counter[Admission] = Counter()
+        self.ending_counts: Counter[Ending] = Counter()
 
-    async def admissions(self, request: Request) -> HTTPResponse:
-        """An edge's asks, told one by one; its ends are taken before."""
+    async def handle_admissions(self, request: Request) -> HTTPResponse:
+        """Answer an edge's batch: its reports of ended runs are applied first, then its requests are answered."""
         return answer({"told": [one.to_json() for one in await self.admit(EdgeBatch.from_json(body(request)))]})
 
-    async def kept(self, request: Request) -> HTTPResponse:
-        """Another core asks how operations stand that are kept here."""
-        return answer(self.kept_of(body(request)))
+    async def handle_answers(self, request: Request) -> HTTPResponse:
+        """Answer another core's request for the status of operations whose answers are kept here."""
+        return answer(self.answers_of(body(request)))
 
-    def kept_of(self, asked: list) -> list:
-        """What a try of each operation is told that its holder runs or has run, as plain values."""
-        return [self._held_told(operation, Holder(*holder)).to_json() for operation, holder in asked]
+    def answers_of(self, requested: list) -> list:
+        """For each operation and holder, the response to another attempt of that operation, as plain values."""
+        return [self._response_for_holder(operation, Holder(*holder)).to_json() for operation, holder in requested]
 
-    def heard(self, life: str) -> None:
-        """An edge's program called this core."""
-        self.lives[life] = self.clock()
-        self.lives.move_to_end(life)
-        if len(self.lives) > LIVES_MOST:
-            self.lives.popitem(last=False)
+    def note_incarnation(self, incarnation: str) -> None:
+        """Record that an incarnation of an edge called this core."""
+        self.incarnations[incarnation] = self.clock()
+        self.incarnations.move_to_end(incarnation)
+        if len(self.incarnations) > MAX_INCARNATIONS:
+            self.incarnations.popitem(last=False)
 
-    def configured(self, configuration: Configuration) -> None:
-        """Another configuration is in force: it says how long a run may take."""
+    def on_configuration(self, configuration: Configuration) -> None:
+        """Apply a configuration that came into force: its routes' timeouts limit how long a run may take."""
         longest = max((route.timeout for route in configuration.routes.values() if route.keyed), default=0.0)
-        self.answers.longest = longest + TELLING
+        self.answers.max_run_s = longest + REPORT_MARGIN_S
 
-    async def admit(self, batch: EdgeBatch) -> list[AdmissionTold]:
-        """The ends of a call are taken, then its asks told, side by side."""
-        self.heard(batch.life)
-        for tenant in self.tokens.ended(self.clock()):
+    async def admit(self, batch: EdgeBatch) -> list[AdmissionResponse]:
+        """Apply a batch's reports of ended runs, then answer its requests concurrently."""
+        self.note_incarnation(batch.incarnation)
+        for tenant in self.tokens.pop_expired(self.clock()):
             self.allowances.give_back(tenant)
         for end in batch.ends:
-            self._end(batch.life, end)
-        told = list(await asyncio.gather(*(self._ask(batch.life, ask) for ask in batch.asks)))
-        self.told.update(one.admission for one in told)
-        return told
+            self._record_end(batch.incarnation, end)
+        responses = list(await asyncio.gather(*(self._admit_one(batch.incarnation, ask) for ask in batch.asks)))
+        self.response_counts.update(response.admission for response in responses)
+        return responses
 
-    # -- asks
+    # -- admission requests
 
-    async def _ask(self, life: str, ask: AdmissionAsk) -> AdmissionTold:
-        holder = Holder(self.me, life, ask.attempt)
-        if ask.operation and (told := self._known(ask.operation, holder)) is not None:
-            return told
+    async def _admit_one(self, incarnation: str, ask: AdmissionRequest) -> AdmissionResponse:
+        holder = Holder(self.me, incarnation, ask.attempt)
+        if ask.operation and (response := self._known_response(ask.operation, holder)) is not None:
+            return response
         if not ask.operation:
             taken = await self._take(ask.tenant)
-            return self._spent(ask, taken) if taken.admission is Admission.RUN else taken
+            return self._spend_token(ask, taken) if taken.admission is Admission.RUN else taken
         if not ask.tenant:
             return await self._claim(ask.operation, holder)
         return await self._take_and_claim(ask, holder)
 
-    async def _take_and_claim(self, ask: AdmissionAsk, holder: Holder) -> AdmissionTold:
-        """Take of the allowance and claim the operation; the claim is begun while the allowance is waited for."""
-        attempt = Attempt(holder.life, holder.attempt)
-        if self.tokens.use(attempt) is not None:
-            told = NOT_YET  # of a call that is broken off before its claim is known
+    async def _take_and_claim(self, ask: AdmissionRequest, holder: Holder) -> AdmissionResponse:
+        """Take the tenant's allowance and claim the operation; the claim is begun while the allowance is awaited."""
+        attempt = Attempt(holder.incarnation, holder.attempt)
+        if self.tokens.pop(attempt) is not None:
+            response = PENDING  # if the call is cancelled before the claim has an outcome
             try:
-                told = await self._claim(ask.operation, holder)
+                response = await self._claim(ask.operation, holder)
             finally:
-                told = self._settled(ask, attempt, told)
-            return told
+                response = self._settle_token(ask, attempt, response)
+            return response
         taking = asyncio.get_running_loop().create_task(self._take(ask.tenant))
-        await asyncio.sleep(0)  # what is at hand is given in this turn
+        await asyncio.sleep(0)  # a token that this core holds is taken within this turn of the event loop
         if taking.done() and taking.result().admission is not Admission.RUN:
             return taking.result()
         try:
-            told, taken = await asyncio.gather(self._claim(ask.operation, holder), taking)
-        except BaseException:  # the call is broken off: its token must not stay reserved
+            response, taken = await asyncio.gather(self._claim(ask.operation, holder), taking)
+        except BaseException:  # the call was cancelled: its token must not stay reserved
             if taking.done() and not taking.cancelled() and taking.result().admission is Admission.RUN:
                 self.allowances.give_back(ask.tenant)
             raise
         if taken.admission is Admission.RUN:
-            return self._settled(ask, attempt, told)
-        if told.admission in (Admission.IN_WORK, Admission.ANSWERED, Admission.UNKNOWN):
-            return told  # it needs no allowance
-        if taken.admission is Admission.OVER_LIMIT:  # the edge refuses it for good
-            self._end(holder.life, OperationEnd(ask.operation, ask.attempt, Ending.NEVER_RAN))
+            return self._settle_token(ask, attempt, response)
+        if response.admission in (Admission.IN_PROGRESS, Admission.ANSWERED, Admission.UNKNOWN):
+            return response  # needs no allowance
+        if taken.admission is Admission.OVER_LIMIT:  # the edge rejects the request, so the claim is released
+            self._record_end(holder.incarnation, OperationEnd(ask.operation, ask.attempt, Ending.NEVER_RAN))
         return taken
 
-    def _settled(self, ask: AdmissionAsk, attempt: Attempt, told: AdmissionTold) -> AdmissionTold:
-        """What becomes of an attempt's token by what it is told of its claim."""
-        if told.admission is Admission.RUN:
-            return self._spent(ask, told)
-        if told.admission is Admission.UNAVAILABLE:
+    def _settle_token(self, ask: AdmissionRequest, attempt: Attempt, response: AdmissionResponse) -> AdmissionResponse:
+        """Spend, hold or give back an attempt's token, depending on the response to its claim."""
+        if response.admission is Admission.RUN:
+            return self._spend_token(ask, response)
+        if response.admission is Admission.UNAVAILABLE:
             self.tokens.hold(self.clock(), attempt, ask.tenant)
         else:
             self.allowances.give_back(ask.tenant)
-        return told
+        return response
 
-    def _spent(self, ask: AdmissionAsk, told: AdmissionTold) -> AdmissionTold:
-        """The request runs, if its token has not ended meanwhile: then the next ask takes another."""
-        return told if self.allowances.spend(ask.tenant) else NOT_YET
+    def _spend_token(self, ask: AdmissionRequest, response: AdmissionResponse) -> AdmissionResponse:
+        """Spend the token of a request that is to run. If the token has expired, the next request takes another."""
+        return response if self.allowances.spend(ask.tenant) else PENDING
 
-    async def _take(self, tenant: str) -> AdmissionTold:
-        """Take one request's allowance; where others had theirs just now, it is only late."""
-        taken = await self.allowances.take(tenant, ALLOWANCE_PATIENCE)
+    async def _take(self, tenant: str) -> AdmissionResponse:
+        """Take one request's allowance. If others got theirs a moment ago, a missing answer is only late."""
+        taken = await self.allowances.take(tenant, ALLOWANCE_TIMEOUT_S)
         now = self.clock()
         if taken.admission is not Admission.UNAVAILABLE:
-            self.taken_at = now
-        return NOT_YET if taken.admission is Admission.UNAVAILABLE and now - self.taken_at < STUCK else taken
-
-    def _known(self, operation: str, holder: Holder) -> AdmissionTold | None:
-        """What can be told of an operation that this core has let run; None if the claim must be asked for."""
+            self.last_allowance_at = now
+        return (
+            PENDING
+            if taken.admission is Admission.UNAVAILABLE and now - self.last_allowance_at < STUCK_AFTER_S
+            else taken
+        )
+
+    def _known_response(self, operation: str, holder: Holder) -> AdmissionResponse | None:
+        """The response for an operation that this core let run; None if the claim must be requested."""
         other = self.answers.holder_of(operation)
         if other is None:
             return None
-        found = self.answers.find(self.clock(), operation, other)
-        if (other.life, other.attempt) == (holder.life, holder.attempt):
-            return None if found.phase is Phase.RUNNING else UNAVAILABLE  # its end came: late, or a second time
-        return self._held_told(operation, other) if found.phase in (Phase.RUNNING, Phase.ANSWERED) else None
-
-    def _held_told(self, operation: str, holder: Holder) -> AdmissionTold:
-        """What another try is told of an operation that is kept here, and whose claim `holder` has."""
+        status = self.answers.find(self.clock(), operation, other)
+        if (other.incarnation, other.attempt) == (holder.incarnation, holder.attempt):
+            # Its run has ended already: this request came late, or a second time.
+            return None if status.phase is Phase.RUNNING else UNAVAILABLE
+        return self._response_for_holder(operation, other) if status.phase in (Phase.RUNNING, Phase.ANSWERED) else None
+
+    def _response_for_holder(self, operation: str, holder: Holder) -> AdmissionResponse:
+        """The response to another attempt of an operation whose claim `holder` has and whose answer is kept here."""
         now = self.clock()
-        found = self.answers.find(now, operation, holder)
-        if found.phase is Phase.ANSWERED:
-            return AdmissionTold(Admission.ANSWERED, answer=found.answer)
-        if found.phase is Phase.RUNNING:
-            heard = now - self.lives.get(holder.life, -math.inf) <= HEARD_WITHIN
-            return AdmissionTold(Admission.IN_WORK) if heard else NOT_YET
-        if found.phase is Phase.FREED or Claim(operation, holder) in self.seeking:
-            return NOT_YET  # about to be free, or about to run
-        return AdmissionTold(Admission.UNKNOWN)
-
-    async def _claim(self, operation: str, holder: Holder) -> AdmissionTold:
-        result = await self._sought(Claim(operation, holder))
+        status = self.answers.find(now, operation, holder)
+        if status.phase is Phase.ANSWERED:
+            return AdmissionResponse(Admission.ANSWERED, answer=status.answer)
+        if status.phase is Phase.RUNNING:
+            alive = now - self.incarnations.get(holder.incarnation, -math.inf) <= EDGE_ALIVE_S
+            return AdmissionResponse(Admission.IN_PROGRESS) if alive else PENDING
+        if status.phase is Phase.FREED or Claim(operation, holder) in self.pending_claims:
+            return PENDING  # about to be released, or about to run
+        return AdmissionResponse(Admission.UNKNOWN)
+
+    async def _claim(self, operation: str, holder: Holder) -> AdmissionResponse:
+        result = await self._await_claim(Claim(operation, holder))
         if result is None or result.outcome is Outcome.UNAVAILABLE:
-            return UNAVAILABLE if result is not None or part_of(operation) in self.stuck else NOT_YET
+            return UNAVAILABLE if result is not None or partition_of(operation) in self.stuck_partitions else PENDING
         holds = holder if result.outcome is Outcome.GRANTED else result.holder
         assert holds is not None
-        if (holds.life, holds.attempt) == (holder.life, holder.attempt):  # perhaps by another core, its answer lost
-            return RUN if self.answers.begun(self.clock(), operation, holds) else UNAVAILABLE
+        # Its own claim, perhaps granted through another core whose answer was lost.
+        if (holds.incarnation, holds.attempt) == (holder.incarnation, holder.attempt):
+            return RUN if self.answers.begin(self.clock(), operation, holds) else UNAVAILABLE
         if holds.core == self.me:
-            return self._held_told(operation, holds)
-        return await self._ask_keeper(operation, holds)
+            return self._response_for_holder(operation, holds)
+        return await self._ask_answer_keeper(operation, holds)
 
-    async def _sought(self, claim: Claim) -> ClaimResult | None:
-        """The answer to a claim; None if there is none yet: the claim is sought on, for who asks again."""
+    async def _await_claim(self, claim: Claim) -> ClaimResult | None:
+        """The outcome of a claim; None if there is none yet, while it is still sought for a repeated request."""
         if self.claims is None:
             return CLAIMS_UNAVAILABLE
-        seeking = self.seeking.get(claim)
-        if seeking is None:
-            seeking = self.seeking[claim] = asyncio.get_running_loop().create_task(self._seek(claim))
-        await asyncio.wait([seeking], timeout=CLAIM_WAIT)
-        return seeking.result() if seeking.done() else None
+        task = self.pending_claims.get(claim)
+        if task is None:
+            task = self.pending_claims[claim] = asyncio.get_running_loop().create_task(self._request_claim(claim))
+        await asyncio.wait([task], timeout=CLAIM_WAIT_S)
+        return task.result() if task.done() else None
 
-    async def _seek(self, claim: Claim) -> ClaimResult:
+    async def _request_claim(self, claim: Claim) -> ClaimResult:
         assert self.claims is not None
-        part = part_of(claim.operation)
-        late = asyncio.get_running_loop().call_later(STUCK, self.stuck.add, part)
-        kept = 0.0  # seconds for which who asks again gets the same result
+        partition = partition_of(claim.operation)
+        stuck_timer = asyncio.get_running_loop().call_later(STUCK_AFTER_S, self.stuck_partitions.add, partition)
+        ttl_s = 0.0  # for how long repeated requests get the same result
         try:
-            result = await self.claims.claim(claim, CLAIM_PATIENCE)
+            result = await self.claims.claim(claim, CLAIM_TIMEOUT_S)
             if result.outcome is not Outcome.UNAVAILABLE:
-                self.stuck.discard(part)
-                kept = ANSWER_KEPT
+                self.stuck_partitions.discard(partition)
+                ttl_s = CLAIM_RESULT_TTL_S
             return result
         finally:
-            late.cancel()
-            if kept:
-                asyncio.get_running_loop().call_later(kept, self.seeking.pop, claim, None)
+            stuck_timer.cancel()
+            if ttl_s:
+                asyncio.get_running_loop().call_later(ttl_s, self.pending_claims.pop, claim, None)
             else:
-                self.seeking.pop(claim, None)
+                self.pending_claims.pop(claim, None)
 
-    async def _ask_keeper(self, operation: str, holder: Holder) -> AdmissionTold:
-        """What the core that keeps an operation's answer tells of it; UNAVAILABLE if it does not answer."""
-        asked = [[operation, holder.to_json()]]
+    async def _ask_answer_keeper(self, operation: str, holder: Holder) -> AdmissionResponse:
+        """The response of the core that keeps an operation's answer; UNAVAILABLE if it does not answer."""
+        requested = [[operation, holder.to_json()]]
         try:
-            told = await self.caller.json("POST", f"http://{holder.core}/answers", asked, ANSWER_PATIENCE, "answers")
-            return AdmissionTold.from_json(told[0])
+            responses = await self.caller.json(
+                "POST", f"http://{holder.core}/answers", requested, ANSWER_CALL_TIMEOUT_S, "answers"
+            )
+            return AdmissionResponse.from_json(responses[0])
         except (PeerError, IndexError, TypeError, ValueError):
             return UNAVAILABLE
 
-    # -- ends
+    # -- ends of runs
 
-    def _end(self, life: str, end: OperationEnd) -> None:
-        """Note how a run ended; one that surely never ran gives its claim back."""
-        self.ended[end.ending] += 1
-        if (tenant := self.tokens.use(Attempt(life, end.attempt))) is not None:
+    def _record_end(self, incarnation: str, end: OperationEnd) -> None:
+        """Record how a run ended; if it certainly did not run, its claim is released."""
+        self.ending_counts[end.ending] += 1
+        if (tenant := self.tokens.pop(Attempt(incarnation, end.attempt))) is not None:
             self.allowances.give_back(tenant)
-        told = Holder(self.me, life, end.attempt)
-        holder = self.answers.ended(self.clock(), end.operation, told, end.ending, end.answer)
+        reported = Holder(self.me, incarnation, end.attempt)
+        holder = self.answers.end(self.clock(), end.operation, reported, end.ending, end.answer)
         if end.ending is Ending.NEVER_RAN and self.claims is not None:
             self.claims.release(Claim(end.operation, holder, True))
--- a/knotwalk/control_plane/agreed_state.py
+++ b/knotwalk/control_plane/agreed_state.py
@@ -1,4 +1,4 @@
-"""What a group of core machines agrees on, as its driver sees it. Pure."""
+"""The replicated state of a group of core machines, as its driver uses it. Pure."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class AgreedState(Protocol):
-    """What members build alike from the entries of their log. Pure and deterministic."""
+    """State that every member builds identically from the entries of the log. Pure and deterministic."""
 
     def apply(self, index: int, command: dict, /) -> tuple[Any, Any]:
-        """Take an entry ({}: one of the agreement itself): what is said of it, and what it changed, for `on_change`."""
+        """Apply an entry ({} for one of the consensus itself). Returns its result, and its changes for `on_change`."""
 
-    def calls_for_news(self, command: dict, said: Any, /) -> bool:
-        """Whether what was applied is something that `on_config` has to hear of."""
+    def requires_notification(self, command: dict, result: Any, /) -> bool:
+        """Whether `on_configuration` must be called for the entry."""
 
-    def work_of(self, command: dict, /) -> int:
-        """Items that applying it went through, beyond its own bytes: what a replay costs."""
+    def replay_cost(self, command: dict, /) -> int:
+        """The number of items that applying the entry goes through, beyond its bytes: the cost of replaying it."""
 
     def to_dict(self) -> dict:
-        """A snapshot, JSON-able."""
+        """A snapshot that JSON can encode."""
 
     @classmethod
     def from_dict(cls, raw: dict, /) -> Self:
-        """The state of a snapshot."""
+        """Build the state from a snapshot."""
--- a/knotwalk/control_plane/allowances.py
+++ b/knotwalk/control_plane/allowances.py
@@ -1,7 +1,7 @@
-"""Allowance for tenants' requests: tokens from this core's escrow, calls to the leader, and the leader's buckets.
+"""Allowances of tenants at a core machine: tokens from its escrow, calls to the leader, and the leader's buckets.
 
-One call is under way at a time; what comes within GATHER goes together in the next. A leader answers only while it is
-proven, so that no two give out at once.
+One call to the leader is in progress at a time; requests that come within BATCH_DELAY_S share the next one. A leader
+grants only while a majority confirms it, so that no two leaders grant at the same time.
 """
 
 from __future__ import annotations
@@ -19,202 +19,204 @@
 from knotwalk.runtime.serve import answer, body
 from knotwalk.runtime.settings import Settings
 from knotwalk.shared_state.buckets import Buckets
-from knotwalk.shared_state.escrow import Escrow, Taken
-from knotwalk.shared_state.limit import Limit, Sharing, limit_of
-from knotwalk.shared_state.messages import Admission, AdmissionTold, AllowanceGrant, AllowanceWant
-
-GATHER = 0.004  # seconds: asks that come together go together
-PATIENCE = 0.3  # seconds for the leader's answer; one that comes later counts for nothing
-LOOK = 1.0  # seconds between looks at what is due, at most
-# Seconds after which a client may come back: over the limit, and where no leader could be asked.
-OVER_LIMIT_PAUSE, UNAVAILABLE_PAUSE = 1.0, 0.2
-TALLY = 10.0  # seconds between lines of the log that tell who was refused
-TENANTS_NAMED = 50  # in the figures; further ones count together
-OTHERS = "(others)"
-
-TOLD = {
-    Taken.GRANTED: AdmissionTold(Admission.RUN),
-    Taken.UNLIMITED: AdmissionTold(Admission.RUN),
-    Taken.OVER_LIMIT: AdmissionTold(Admission.OVER_LIMIT, OVER_LIMIT_PAUSE),
-    Taken.WAIT: AdmissionTold(Admission.UNAVAILABLE, UNAVAILABLE_PAUSE),
+from knotwalk.shared_state.escrow import Escrow, TakeResult
+from knotwalk.shared_state.limit import Limit, QuotaBounds, limit_of
+from knotwalk.shared_state.messages import Admission, AdmissionResponse, AllowanceGrant, AllowanceRequest
+
+BATCH_DELAY_S = 0.004  # for requests that come together, so that they share a call
+LEADER_CALL_TIMEOUT_S = 0.3  # an answer that comes later is not used
+MAX_IDLE_WAIT_S = 1.0  # between checks whether a call is due, at most
+# When a client may come back: over the limit, and if no leader could be asked.
+OVER_LIMIT_RETRY_AFTER_S, UNAVAILABLE_RETRY_AFTER_S = 1.0, 0.2
+REFUSAL_LOG_INTERVAL_S = 10.0  # between log lines that list the tenants refused
+MAX_NAMED_TENANTS = 50  # in the metrics; further ones are counted together
+OTHER_TENANTS = "(others)"
+
+RESPONSES = {
+    TakeResult.GRANTED: AdmissionResponse(Admission.RUN),
+    TakeResult.UNLIMITED: AdmissionResponse(Admission.RUN),
+    TakeResult.OVER_LIMIT: AdmissionResponse(Admission.OVER_LIMIT, OVER_LIMIT_RETRY_AFTER_S),
+    TakeResult.WAIT: AdmissionResponse(Admission.UNAVAILABLE, UNAVAILABLE_RETRY_AFTER_S),
 }
 
 
-class Limits:
-    """The limits of the configuration in force here, each worked out when it is first asked for."""
+class TenantLimits:
+    """The limits of the configuration in force here, each computed on first use."""
 
     def __init__(self, settings: Settings, consensus: ConsensusDriver):
         bounds = settings.bounds
         cores = settings.tolerance.members
-        self.sharing = Sharing(bounds.quota_window, bounds.quota_overage, bounds.quota_slack, cores)
+        self.quota_bounds = QuotaBounds(bounds.quota_window, bounds.quota_overage, bounds.quota_slack, cores)
         self.consensus = consensus
-        self._order = -1
-        self._found: dict[str, Limit | None] = {}
+        self._configuration_index = -1
+        self._limits: dict[str, Limit | None] = {}
 
     def of(self, tenant: str) -> Limit | None:
-        """A tenant's limit; None if it has none, or is not known."""
+        """The limit of a tenant; None if it has none, or is not known."""
         state = self.consensus.state
-        if state.order != self._order:
-            self._order, self._found = state.order, {}
-        if tenant not in self._found:
+        if state.configuration_index != self._configuration_index:
+            self._configuration_index, self._limits = state.configuration_index, {}
+        if tenant not in self._limits:
             known = state.configuration.tenants.get(tenant) if state.configuration is not None else None
-            self._found[tenant] = limit_of(known.rate_per_s, known.burst_size, self.sharing) if known else None
-        return self._found[tenant]
+            self._limits[tenant] = limit_of(known.rate_per_s, known.burst_size, self.quota_bounds) if known else None
+        return self._limits[tenant]
 
 
 class Allowances:
-    """A core machine's part in the limits of tenants, and the leader's while this machine leads."""
+    """A core machine's tokens of tenants' limits, and, while this machine leads, the buckets that they come from."""
 
     def __init__(
         self, me: str, settings: Settings, consensus: ConsensusDriver, list_poller: ListPoller, caller: Caller
     ):
         self.me, self.consensus, self.list_poller, self.caller = me, consensus, list_poller, caller
-        self.limits = Limits(settings, consensus)
+        self.limits = TenantLimits(settings, consensus)
         self.escrow = Escrow(self.limits.of)
         self.buckets: Buckets | None = None  # while this machine leads
-        self.queues: dict[str, deque[asyncio.Future[Taken]]] = {}  # requests that wait, by tenant
-        self.told: Counter[tuple[str, str]] = Counter()  # by how it ended, and whether the request waited for a call
-        self.refused: Counter[str] = Counter()  # over the limit, by tenant
-        self.calls: Counter[str] = Counter()  # to the leader, by how they ended
-        self._stirred = asyncio.Event()
-        self._tallied, self._before = clock(), Counter[str]()
-
-    def role(self, leads: bool) -> None:
-        """This machine leads from now on, or does no more."""
+        self.queues: dict[str, deque[asyncio.Future[TakeResult]]] = {}  # requests that wait, by tenant
+        # By outcome, and by whether the request waited for a call.
+        self.outcome_counts: Counter[tuple[str, str]] = Counter()
+        self.refusal_counts: Counter[str] = Counter()  # requests over the limit, by tenant
+        self.call_counts: Counter[str] = Counter()  # calls to the leader, by outcome
+        self._wake_event = asyncio.Event()
+        self._refusals_logged_at, self._refusals_logged = clock(), Counter[str]()
+
+    def on_leadership(self, leads: bool) -> None:
+        """This machine became the leader, or ceased to be it."""
         self.buckets = Buckets(clock(), self.limits.of) if leads else None
 
     # --- requests
 
-    async def take(self, tenant: str, patience: float) -> AdmissionTold:
-        """Take a token for one request: RUN, OVER_LIMIT, or UNAVAILABLE after `patience` seconds without a leader.
+    async def take(self, tenant: str, timeout_s: float) -> AdmissionResponse:
+        """Take a token for one request: RUN, OVER_LIMIT, or UNAVAILABLE after `timeout_s` without a leader.
 
-        After RUN `spend` or `give_back` must be called, once: until then the token counts as held here."""
-        now, due = clock(), self.escrow.due
+        After RUN exactly one call of `spend` or `give_back` must follow: until then the token counts as held here."""
+        now, due = clock(), self.escrow.due_at
         taken = self.escrow.take(now, tenant)
-        how = "at once"
-        if taken is Taken.WAIT:
-            how = "waited"
-            taken = await self._waited(tenant, patience)
-        elif self.escrow.due < due:
-            self._stirred.set()
-        self.told[taken.value, how] += 1
-        if taken is Taken.OVER_LIMIT:
-            self._note_refused(tenant)
-        elif taken is Taken.GRANTED:
+        timing = "at once"
+        if taken is TakeResult.WAIT:
+            timing = "waited"
+            taken = await self._wait_for_token(tenant, timeout_s)
+        elif self.escrow.due_at < due:
+            self._wake_event.set()
+        self.outcome_counts[taken.value, timing] += 1
+        if taken is TakeResult.OVER_LIMIT:
+            self._count_refusal(tenant)
+        elif taken is TakeResult.GRANTED:
             self.escrow.reserve(tenant)
-        return TOLD[taken]
+        return RESPONSES[taken]
 
     def spend(self, tenant: str) -> bool:
-        """A request that had taken a token is to run; whether it may, since tokens end."""
+        """Use up the token of a request that is to run. Returns whether it may run, since tokens expire."""
         return self.escrow.spend(clock(), tenant)
 
     def give_back(self, tenant: str) -> None:
-        """A request that had taken a token does not run."""
-        taken_back = self.escrow.give_back(clock(), tenant)
-        self.told["given back", "kept" if taken_back else "dropped"] += 1
+        """Return the token of a request that doesn't run."""
+        kept = self.escrow.give_back(clock(), tenant)
+        self.outcome_counts["given back", "kept" if kept else "dropped"] += 1
 
-    async def _waited(self, tenant: str, patience: float) -> Taken:
-        future: asyncio.Future[Taken] = asyncio.get_running_loop().create_future()
+    async def _wait_for_token(self, tenant: str, timeout_s: float) -> TakeResult:
+        future: asyncio.Future[TakeResult] = asyncio.get_running_loop().create_future()
         self.queues.setdefault(tenant, deque()).append(future)
-        self.escrow.wait(clock(), tenant)
-        self._stirred.set()
+        self.escrow.start_waiting(clock(), tenant)
+        self._wake_event.set()
         try:
-            return await asyncio.wait_for(future, patience)
+            return await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
-            return Taken.WAIT
+            return TakeResult.WAIT
         finally:
-            self.escrow.waited(tenant)
+            self.escrow.stop_waiting(tenant)
 
-    def _serve(self, now: float) -> None:
-        """Let the requests that wait have what came, first come first served."""
+    def _serve_waiting(self, now: float) -> None:
+        """Answer the requests that wait, in order, with the tokens that have come."""
         for tenant, queue in list(self.queues.items()):
             while queue:
-                if queue[0].done():  # given up
+                if queue[0].done():  # timed out
                     queue.popleft()
                     continue
-                taken = self.escrow.take_again(now, tenant)
-                if taken is Taken.WAIT:
+                taken = self.escrow.retry_take(now, tenant)
+                if taken is TakeResult.WAIT:
                     break
                 queue.popleft().set_result(taken)
             if not queue:
                 del self.queues[tenant]
 
-    def _note_refused(self, tenant: str) -> None:
-        named = tenant in self.refused or len(self.refused) < TENANTS_NAMED
-        self.refused[tenant if named else OTHERS] += 1
+    def _count_refusal(self, tenant: str) -> None:
+        named = tenant in self.refusal_counts or len(self.refusal_counts) < MAX_NAMED_TENANTS
+        self.refusal_counts[tenant if named else OTHER_TENANTS] += 1
 
     # --- calls to the leader
 
-    async def keep_asking(self) -> None:
-        """Ask the leader whenever something is due, until cancelled."""
+    async def run_refills(self) -> None:
+        """Call the leader whenever a call is due, until cancelled."""
         while True:
-            wait = self.escrow.due - clock()
+            wait = self.escrow.due_at - clock()
             if wait > 0:
-                self._stirred.clear()
+                self._wake_event.clear()
                 try:
-                    async with asyncio.timeout(min(wait, LOOK)):  # `wait_for` may swallow a cancellation
-                        await self._stirred.wait()
+                    # Not `wait_for`, which may swallow a cancellation.
+                    async with asyncio.timeout(min(wait, MAX_IDLE_WAIT_S)):
+                        await self._wake_event.wait()
                 except TimeoutError:
                     pass
-                self._tell_refused()
+                self._log_refusals()
                 continue
-            await asyncio.sleep(GATHER)
-            await self._ask()
+            await asyncio.sleep(BATCH_DELAY_S)
+            await self._refill()
 
-    async def _ask(self) -> None:
+    async def _refill(self) -> None:
         sent = clock()
-        wants = self.escrow.wants(sent)
-        if not wants:
+        requests = self.escrow.pending_requests(sent)
+        if not requests:
             return
-        grants = await self._answer_to(wants)
+        grants = await self._request_grants(requests)
         now = clock()
-        self.calls["answered" if grants is not None else "failed"] += 1
+        self.call_counts["answered" if grants is not None else "failed"] += 1
         if grants is not None:
-            self.escrow.granted(now, sent, grants)
-        self._serve(now)
+            self.escrow.apply_grants(now, sent, grants)
+        self._serve_waiting(now)
         if self.queues:
-            self.escrow.again(now, any(grant.granted > 0 for grant in grants or ()))
+            self.escrow.schedule_retry(now, any(grant.granted > 0 for grant in grants or ()))
 
-    async def _answer_to(self, wants: list[AllowanceWant]) -> list[AllowanceGrant] | None:
-        """The leader's answer; None without one."""
+    async def _request_grants(self, requests: list[AllowanceRequest]) -> list[AllowanceGrant] | None:
+        """Send requests to the leader; None if there is no answer."""
         machine = self.consensus.machine
         if machine.role == "leader":
-            return self.grant(self.me, wants)
+            return self.grant(self.me, requests)
         if not machine.leader:
             return None
-        asked = {"core": self.me, "wants": [want.to_json() for want in wants]}
+        payload = {"core": self.me, "wants": [request.to_json() for request in requests]}
         url = f"http://{machine.leader}/allowances"
         try:
-            told = await self.caller.json("POST", url, asked, PATIENCE, "allowances")
-            return [AllowanceGrant.from_json(raw) for raw in told["grants"]]
+            response = await self.caller.json("POST", url, payload, LEADER_CALL_TIMEOUT_S, "allowances")
+            return [AllowanceGrant.from_json(raw) for raw in response["grants"]]
         except (PeerError, ValueError, TypeError, KeyError):
             return None
 
-    # --- the leader's side
+    # --- as the leader
 
-    def grant(self, core: str, wants: list[AllowanceWant]) -> list[AllowanceGrant] | None:
-        """What a core machine may use; None if this machine may not say."""
-        proven = self.buckets is not None and self.list_poller.proven
+    def grant(self, core: str, requests: list[AllowanceRequest]) -> list[AllowanceGrant] | None:
+        """Grant tokens to a core machine; None if this machine may not, since it isn't the confirmed leader."""
+        proven = self.buckets is not None and self.list_poller.is_proven
         if not proven or core not in self.consensus.machine.members or self.consensus.state.configuration is None:
             return None
-        return self.buckets.grant(clock(), core, wants)
+        return self.buckets.grant(clock(), core, requests)
 
-    async def asked(self, request: Request) -> HTTPResponse:
-        """A core machine asks for allowance."""
-        raw = body(request)
-        grants = self.grant(raw["core"], [AllowanceWant(*want) for want in raw["wants"]])
+    async def handle_request(self, request: Request) -> HTTPResponse:
+        """Answer a core machine's request for tokens."""
+        payload = body(request)
+        grants = self.grant(payload["core"], [AllowanceRequest(*wanted) for wanted in payload["wants"]])
         if grants is None:
             return answer({"error": "not the proven leader"}, 503)
         return answer({"grants": [grant.to_json() for grant in grants]})
 
-    # --- the log
+    # --- logging
 
-    def _tell_refused(self) -> None:
-        """A line each TALLY seconds of who was refused since the last, if anyone was."""
+    def _log_refusals(self) -> None:
+        """Every REFUSAL_LOG_INTERVAL_S, log the tenants that were refused since the last time, if any."""
         now = clock()
-        if now - self._tallied < TALLY:
+        if now - self._refusals_logged_at < REFUSAL_LOG_INTERVAL_S:
             return
-        counts = self.refused - self._before
-        self._tallied, self._before = now, Counter(self.refused)
+        counts = self.refusal_counts - self._refusals_logged
+        self._refusals_logged_at, self._refusals_logged = now, Counter(self.refusal_counts)
         if counts:
             log_info("over their limits", counts=dict(counts.most_common(5)), all=sum(counts.values()))
--- a/knotwalk/control_plane/claim_group.py
+++ b/knotwalk/control_plane/claim_group.py
@@ -1,4 +1,4 @@
-"""One group of core machines that agrees on the claims of one part of the operations."""
+"""One group of core machines, which agrees on the claims of one partition of the operations."""
 
 from __future__ import annotations
 
@@ -10,86 +10,100 @@
 from knotwalk.consensus.orders import Pace, Role
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.claim_queue import ClaimQueue
-from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeader, opened
+from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeaderError, open_store
 from knotwalk.runtime.call import Caller
 from knotwalk.runtime.logs import clock
 from knotwalk.runtime.settings import Settings
-from knotwalk.shared_state.claims import MARGIN, ClaimResult, ClaimTable, GroupClock, command
-from knotwalk.shared_state.messages import PARTS, Claim
+from knotwalk.shared_state.claims import HOLD_MARGIN_S, ClaimResult, ClaimTable, GroupClock, claims_command
+from knotwalk.shared_state.messages import PARTITION_COUNT, Claim
 
-CONTRACT = "keys"  # the part of the rules under which operations run once
-DISK_PART = 0.25  # of a machine's disk for all groups together; the configuration's has the rest
-DISK_DEFAULT = 64.0  # megabytes, where the settings name none
+KEYS_CONTRACT = "keys"  # the contract under which operations with an `Operation-Key` run once
+CLAIMS_DISK_FRACTION = (
+    0.25  # of a machine's disk, for all claim groups together; the configuration's group has the rest
+)
+DEFAULT_DISK_MB = 64.0  # if the settings don't say
 
 
 def group_disk_mb(settings: Settings) -> float:
-    """Megabytes of disk for one group."""
-    return (settings.machine.disk_mb or DISK_DEFAULT) * DISK_PART / PARTS
+    """Megabytes of disk for one claim group."""
+    return (settings.machine.disk_mb or DEFAULT_DISK_MB) * CLAIMS_DISK_FRACTION / PARTITION_COUNT
 
 
 def configuration_disk_mb(settings: Settings) -> float:
-    """Megabytes of disk for the configuration's group: all where no operation is keyed."""
-    whole = settings.machine.disk_mb or DISK_DEFAULT
-    return whole * (1 - DISK_PART) if CONTRACT in settings.contracts else whole
+    """Megabytes of disk for the configuration's group: the whole disk if operations aren't claimed."""
+    disk_mb = settings.machine.disk_mb or DEFAULT_DISK_MB
+    return disk_mb * (1 - CLAIMS_DISK_FRACTION) if KEYS_CONTRACT in settings.contracts else disk_mb
 
 
 @dataclass(frozen=True)
-class Home:
-    """What all groups of a machine share: its settings, peer address, founders (id -> address), calls and chance.
+class GroupContext:
+    """What all groups of a machine share: settings, peer address, founders (id -> address), caller and random seed.
 
-    `born` is when this process began, by the steady clock; `store` makes a store of so many megabytes."""
+    `process_started_at` is a time of the monotonic clock; `store` creates a store of that many megabytes."""
 
     settings: Settings
     address: str
     founders: dict[str, str]
     caller: Caller
     seed: int
-    born: float
+    process_started_at: float
     store: Callable[[float], Store] = Store
 
 
-class Group:
-    """One part's group, as this machine sees it. `post` sends a message to a peer; `on_role` hears of a new leader."""
+class ClaimGroup:
+    """This machine's member of one partition's group. `send` sends a message to a peer; `on_role` is called when the
+    role or the leader changes."""
 
-    def __init__(self, home: Home, part: int, post: Callable[[str, dict], None], on_role: Callable[[], None]):
-        settings, made = home.settings, home.store(group_disk_mb(home.settings))
-        name = f"claims-{part}"
-        saved = opened(
-            made, str(Path(settings.data_dir or ".") / name), settings.initial_boot, home.address, home.founders
+    def __init__(
+        self, context: GroupContext, partition: int, send: Callable[[str, dict], None], on_role: Callable[[], None]
+    ):
+        settings, store = context.settings, context.store(group_disk_mb(context.settings))
+        name = f"claims-{partition}"
+        saved = open_store(
+            store, str(Path(settings.data_dir or ".") / name), settings.initial_boot, context.address, context.founders
         )
         pace = Pace(target=settings.tolerance.members, tells_commits=False)
         self.driver = ConsensusDriver(
-            made, saved, home.caller, pace, home.seed + part, home.born, ClaimTable, post, name
+            store,
+            saved,
+            context.caller,
+            pace,
+            context.seed + partition,
+            context.process_started_at,
+            ClaimTable,
+            send,
+            name,
         )
-        self.part, self.on_role = part, on_role
-        self.hold = settings.bounds.key_period + MARGIN  # seconds
+        self.partition, self.on_role = partition, on_role
+        self.hold_s = settings.bounds.key_period + HOLD_MARGIN_S
         self.machine = self.driver.machine
-        self.machine.address = home.address
-        self.machine.contacts = [at for at in home.founders.values() if at != home.address]
+        self.machine.address = context.address
+        self.machine.contacts = [address for address in context.founders.values() if address != context.address]
         self.clock = GroupClock(clock())
-        self.waiting = ClaimQueue()
+        self.pending_claims = ClaimQueue()
         self.proposing = False
         self.driver.on_change = lambda index, changes: self.clock.applied(clock())
         self.driver.on_restore = lambda: self.clock.restart(clock())
-        self.driver.on_role = self._role
+        self.driver.on_role = self._on_role
 
     @property
-    def leads(self) -> bool:
-        """Whether this machine leads, as far as it knows."""
+    def is_leader(self) -> bool:
+        """Whether this machine leads the group, as far as it knows."""
         return self.machine.role == "leader"
 
-    def _role(self, role: Role) -> None:
+    def _on_role(self, role: Role) -> None:
         self.clock.restart(clock())
         asyncio.get_running_loop().call_soon(self.on_role)
 
     async def propose(self, batch: list[Claim]) -> list[ClaimResult]:
-        """Have claims agreed on; one entry at a time, so that each one's time counts from the entry before it.
+        """Have a batch of claims decided, as one log entry; only one at a time, so that the time of each entry counts
+        from the one before.
 
-        NotLeader or Lost where that can't be, or its outcome is not known."""
+        NotLeaderError if it can't be proposed here, OutcomeUnknownError if it may or may not have been committed."""
         machine = self.machine
         if not machine.settled or machine.applied < machine.log.last:
-            raise NotLeader(None)  # members are being changed, or entries of an earlier leader are not applied yet
+            raise NotLeaderError(None)  # members are changing, or an earlier leader's entries aren't applied yet
         now = clock()
-        entry = command(self.clock.time(self.driver.state, now), self.hold, batch)
+        entry = claims_command(self.clock.time(self.driver.state, now), self.hold_s, batch)
         self.clock.proposed(now)
         return await self.driver.propose(entry, None)
--- a/knotwalk/control_plane/claim_queue.py
+++ b/knotwalk/control_plane/claim_queue.py
@@ -1,4 +1,4 @@
-"""Claims that wait to be asked, oldest first."""
+"""Queue of the claims that wait to be proposed or sent, oldest first."""
 
 from __future__ import annotations
 
@@ -8,40 +8,40 @@
 
 from knotwalk.shared_state.messages import Claim
 
-WAITING_MOST = 5000  # claims of one group that wait; the oldest give way
+MAX_PENDING_CLAIMS = 5000  # of one group; the oldest are dropped
 
 
 @dataclass(eq=False, slots=True)
-class Waiting:
-    """A claim and who waits for its result, until a time of the steady clock."""
+class PendingClaim:
+    """A claim, the future of its result, and the time of the monotonic clock until which the result is awaited."""
 
     claim: Claim
     future: asyncio.Future
-    until: float
+    deadline: float
 
 
 class ClaimQueue:
-    """The claims of one group that wait."""
+    """The pending claims of one group."""
 
     def __init__(self) -> None:
-        self.waiting: deque[Waiting] = deque(maxlen=WAITING_MOST)
+        self.claims: deque[PendingClaim] = deque(maxlen=MAX_PENDING_CLAIMS)
 
     def __len__(self) -> int:
-        return len(self.waiting)
-
-    def add(self, one: Waiting) -> None:
-        """Let a claim wait."""
-        self.waiting.append(one)
-
-    def back(self, batch: list[Waiting]) -> None:
-        """Let claims that were taken wait again, before the others."""
-        self.waiting.extendleft(reversed(batch))
-
-    def take(self, now: float, most: int) -> list[Waiting]:
-        """The oldest that somebody still waits for."""
-        found: list[Waiting] = []
-        while self.waiting and len(found) < most:
-            one = self.waiting.popleft()
-            if not one.future.done() and one.until > now:
-                found.append(one)
-        return found
+        return len(self.claims)
+
+    def add(self, pending: PendingClaim) -> None:
+        """Append a claim."""
+        self.claims.append(pending)
+
+    def requeue(self, batch: list[PendingClaim]) -> None:
+        """Put claims that were taken back, before the others."""
+        self.claims.extendleft(reversed(batch))
+
+    def take(self, now: float, limit: int) -> list[PendingClaim]:
+        """Take up to `limit` of the oldest claims whose results are still awaited; drop the others."""
+        batch: list[PendingClaim] = []
+        while self.claims and len(batch) < limit:
+            pending = self.claims.popleft()
+            if not pending.future.done() and pending.deadline > now:
+                batch.append(pending)
+        return batch
--- a/knotwalk/control_plane/compaction.py
+++ b/knotwalk/control_plane/compaction.py
@@ -1,35 +1,35 @@
-"""When the replicated state is put down whole, so that neither the log nor a start that replays it grows long. Pure."""
+"""When to write the replicated state as a snapshot, which bounds the log and the replay at a start. Pure."""
 
 from zlib import crc32
 
-ENTRIES = 4000  # entries after which it is due whatever they cost; some MB of log at most
-DISK_PART = 0.25  # of the disk: past it, too, since few large entries fill a disk, and a full one takes no more
-# Items of configurations gone through by the changes since: each change goes through all that there are. 50 changes to
-# 12,000 routes, of 44 ms each when replayed, and then 3 MB are written.
-WORK = 600_000
+MAX_ENTRIES = 4000  # a snapshot is due after this many entries, whatever their cost; some MB of log at most
+MAX_DISK_FRACTION = 0.25  # also when entries fill this part of the disk: few large ones do, and a full disk takes none
+# Also when the changes since have gone through this many items: each change of the configuration goes through all. A
+# replay of 50 changes to 12,000 routes takes 44 ms each; the snapshot then has 3 MB.
+MAX_REPLAY_ITEMS = 600_000
 
-PHASES = 1000  # of which a machine takes one by its identity
+PHASE_COUNT = 1000  # a machine's identity selects one of these phases
 
 
 class Compaction:
-    """Counts what was applied since the state was last put down whole.
+    """Counts what was applied since the last snapshot.
 
-    The first time comes earlier, by a part that differs from machine to machine: members apply the same entries at the
-    same time, and three disks that write some MB at once would hold up commits that two of three can bear alone."""
+    The first snapshot comes earlier, by a phase that differs between machines: members apply the same entries at the
+    same time, and three disks that write some MB at once would delay commits, which two of three can carry alone."""
 
     def __init__(self, disk_mb: float, me: str) -> None:
-        self.most_bytes = disk_mb * 1e6 * DISK_PART
-        begun = crc32(me.encode()) % PHASES / PHASES
-        self.entries = int(begun * ENTRIES)
-        self.bytes, self.work = int(begun * self.most_bytes), int(begun * WORK)
-
-    def due(self, size: int, work: int) -> bool:
-        """One more entry was applied, of `size` bytes, which went through `work` items. Whether the state is to be put
-        down now; counting then begins anew."""
+        self.max_bytes = disk_mb * 1e6 * MAX_DISK_FRACTION
+        phase = crc32(me.encode()) % PHASE_COUNT / PHASE_COUNT
+        self.entries = int(phase * MAX_ENTRIES)
+        self.bytes, self.replay_items = int(phase * self.max_bytes), int(phase * MAX_REPLAY_ITEMS)
+
+    def should_compact(self, size: int, replay_items: int) -> bool:
+        """Record one more applied entry, of `size` bytes, which went through `replay_items` items. Returns whether a
+        snapshot is due; the counts then begin anew."""
         self.entries += 1
         self.bytes += size
-        self.work += work
-        if self.entries < ENTRIES and self.bytes < self.most_bytes and self.work < WORK:
+        self.replay_items += replay_items
+        if self.entries < MAX_ENTRIES and self.bytes < self.max_bytes and self.replay_items < MAX_REPLAY_ITEMS:
             return False
-        self.entries = self.bytes = self.work = 0
+        self.entries = self.bytes = self.replay_items = 0
         return True
--- a/knotwalk/control_plane/consensus_driver.py
+++ b/knotwalk/control_plane/consensus_driver.py
@@ -1,4 +1,4 @@
-"""Drives the agreement: the pure machine, its store on a thread of its own, and messages to and from peers."""
+"""Drives a consensus machine, which is pure: its store on a thread of its own, and its messages to and from peers."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from knotwalk.consensus.store import Damaged, Refused, Store
 from knotwalk.control_plane.agreed_state import AgreedState
 from knotwalk.control_plane.compaction import Compaction
-from knotwalk.control_plane.peer_lanes import PATIENCE as PATIENCE, PeerLanes
+from knotwalk.control_plane.peer_lanes import PEER_CALL_TIMEOUT_S as PEER_CALL_TIMEOUT_S, PeerLanes
 from knotwalk.control_plane.replicated_state import ReplicatedState
 from knotwalk.runtime.call import Caller
 from knotwalk.runtime.logs import clock, log_exception, log_info, log_warning
 
-HANG = 0.6  # a write that takes longer costs leadership: others serve meanwhile
+WRITE_TIMEOUT_S = 0.6  # leadership is given up when a write takes longer, so that another machine can serve
 
 
-def opened(
+def open_store(
     store: Store,
     data_dir: str,
     first_start: bool,
@@ -30,32 +30,34 @@
     founders: dict[str, str],
     wait: Callable[[float], None] = time.sleep,
 ) -> Any:
-    """What a machine's disk holds, once it can be told. A damaged file counts as a lost disk: it is put aside, and this
-    machine is another from now on. A disk that refuses is tried until it takes: an end would only be a start again."""
-    pause, said = 0.1, ""
+    """Open a machine's store and return what it holds.
+
+    A damaged file counts as a lost disk: it is set aside, and this machine is a new one from now on. A disk that
+    refuses is retried until it works, since ending the program would only start it again."""
+    pause, reported = 0.1, ""
     while True:
         try:
             try:
                 return store.open(data_dir, first_start, address, founders)
             except Damaged as error:
-                if str(error) != said:
+                if str(error) != reported:
                     log_warning("log file damaged", why=str(error), done="put aside; this machine counts as a new one")
-                said = str(error)
+                reported = str(error)
                 store.set_aside()
         except Refused as error:
-            if str(error) != said:
+            if str(error) != reported:
                 log_warning("disk", why=str(error))
-            said = str(error)
+            reported = str(error)
             wait(pause)
             pause = min(1.0, 2 * pause)
 
 
-class Lost(Exception):
-    """What became of the entry is not known here: it may be in force or not."""
+class OutcomeUnknownError(Exception):
+    """It is not known here whether the entry was committed: it may be in force or not."""
 
 
-class NotLeader(Exception):
-    """Another leads: `leader` is its peer address, or None if none is known."""
+class NotLeaderError(Exception):
+    """Another machine leads: `leader` is its peer address, or None if none is known."""
 
     def __init__(self, leader: str | None):
         super().__init__(leader)
@@ -63,10 +65,13 @@
 
 
 class ConsensusDriver:
-    """One core machine's part in one group, whose agreed state is of `kind`. `on_change` hears what each entry changed,
-    `on_config` once of all entries that came together and call for news, `on_role` and `on_kept` what their names say.
+    """One core machine's member of one group, whose replicated state is a `state_type`.
+
+    Callbacks: `on_change` gets what each entry changed; `on_configuration` is called once after a run of entries of
+    which any requires notification; `on_role` when the role or the leader changes; `on_restore` when the state was
+    replaced; `on_persisted` after each write; `on_damage` when the log file is damaged.
 
-    Messages go to the path /consensus of peers, or by `post` where a group has a way of its own."""
+    Messages go to the path /consensus of peers, or through `send` if the group has its own way of sending."""
 
     def __init__(
         self,
@@ -75,38 +80,38 @@
         caller: Caller,
         pace: Pace,
         seed: int,
-        born: float,
-        kind: type[AgreedState] = ReplicatedState,
-        post: Callable[[str, dict], None] | None = None,
+        process_started_at: float,
+        state_type: type[AgreedState] = ReplicatedState,
+        send: Callable[[str, dict], None] | None = None,
         group: str = "configuration",
     ):
-        self.store, self.kind, self.group = store, kind, group
-        self.machine = Machine(saved, pace, seed, clock(), born)
-        self.state: Any = kind.from_dict(saved.snapshot) if saved.snapshot else kind()
-        self.tickets: dict[int, asyncio.Future] = {}
-        self.results: dict[int, Any] = {}  # index -> what applying it said, for those who wait
+        self.store, self.state_type, self.group = store, state_type, group
+        self.machine = Machine(saved, pace, seed, clock(), process_started_at)
+        self.state: Any = state_type.from_dict(saved.snapshot) if saved.snapshot else state_type()
+        self.pending: dict[int, asyncio.Future] = {}  # proposals and reads by ticket
+        self.results: dict[int, Any] = {}  # by log index: the result of applying the entry, for those who wait
         self.next_ticket = 0
         self.writer = ThreadPoolExecutor(1, "consensus")
         self.saves: asyncio.Queue[Save] = asyncio.Queue()
         self.lanes = PeerLanes(caller, "/consensus", "agreement", self.receive)
         self.outbox = self.lanes.outbox
-        self.post = post or self.lanes.post
+        self.send = send or self.lanes.send
         self.tasks: set[asyncio.Task] = set()
         self.on_change: Callable[[int, Any], None] = lambda index, changes: None
-        self.on_config: Callable[[], None] = lambda: None
+        self.on_configuration: Callable[[], None] = lambda: None
         self.on_role: Callable[[Role], None] = lambda role: None
         self.on_restore: Callable[[], None] = lambda: None
         self.on_damage: Callable[[], None] = lambda: None
-        self.on_kept: Callable[[], None] = lambda: None
+        self.on_persisted: Callable[[], None] = lambda: None
         self.timer: asyncio.TimerHandle | None = None
-        self.hung = False
+        self.disk_failing = False
         self.compaction = Compaction(store.disk_mb, saved.me)
-        self.news = False  # an entry that calls for news was applied, and not told yet
+        self.notify_pending = False  # an entry that requires notification was applied, and not yet notified
         self.closing = False
 
     @property
     def caller(self) -> Caller:
-        """Who carries calls to peers."""
+        """The caller that carries messages to peers."""
         return self.lanes.caller
 
     @caller.setter
@@ -114,24 +119,24 @@
         self.lanes.caller = caller
 
     def start(self) -> None:
-        """Begin to write, and let the machine see the time."""
+        """Start the writer, and the machine's timer."""
         self._spawn(self._write())
-        self.turn()
+        self.tick()
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    # --- turns of the machine ---------------------------------------------------------------------
+    # --- actions of the machine -------------------------------------------------------------------
 
-    def turn(self) -> None:
-        """Let the machine see the time, then carry out what it ordered."""
+    def tick(self) -> None:
+        """Advance the machine to the current time, then perform its actions."""
         self.machine.tick(clock())
-        self.carry_out()
+        self.perform_actions()
 
-    def carry_out(self) -> None:
-        """Carry out what the machine ordered, and see when to call it next."""
+    def perform_actions(self) -> None:
+        """Perform the actions that the machine has queued, and set the timer for its next tick."""
         machine = self.machine
         while machine.orders:
             orders, machine.orders = machine.orders, []
@@ -140,43 +145,43 @@
                     case Save():
                         self.saves.put_nowait(order)
                     case Send(address, message):
-                        self.post(address, message)
+                        self.send(address, message)
                     case Apply(entry):
                         self._apply(entry)
                     case Answer(ticket, outcome, value):
-                        if (future := self.tickets.pop(ticket, None)) and not future.done():
+                        if (future := self.pending.pop(ticket, None)) and not future.done():
                             future.set_result((outcome, value))
                     case Restore(state, _):
-                        self.state, self.news = self.kind.from_dict(state), False
+                        self.state, self.notify_pending = self.state_type.from_dict(state), False
                         self.on_restore()
                     case Role():
                         log_info(
                             "role", group=self.group, role=order.role, term=order.term, leader=order.leader_address
                         )
                         self.on_role(order)
-        if self.news:  # once for all that came together: a start replays hundreds
-            self.news = False
-            self.on_config()
+        if self.notify_pending:  # once for all entries that came together: a start replays hundreds
+            self.notify_pending = False
+            self.on_configuration()
         if self.timer is not None:
             self.timer.cancel()
         wait = max(0.0, min(1.0, machine.wake - clock()))
-        self.timer = asyncio.get_running_loop().call_later(wait, self.turn) if not self.closing else None
+        self.timer = asyncio.get_running_loop().call_later(wait, self.tick) if not self.closing else None
 
     def _apply(self, entry: Any) -> None:
-        said, changes = self.state.apply(entry.index, entry.body if entry.kind == "command" else {})
-        self.results[entry.index] = said
+        result, changes = self.state.apply(entry.index, entry.body if entry.kind == "command" else {})
+        self.results[entry.index] = result
         while len(self.results) > 2000:
             del self.results[next(iter(self.results))]
-        self.news |= self.state.calls_for_news(entry.body, said)
+        self.notify_pending |= self.state.requires_notification(entry.body, result)
         self.on_change(entry.index, changes)
-        work = self.state.work_of(entry.body)
-        if self.compaction.due(len(json.dumps(entry.body)), work):
+        replay_cost = self.state.replay_cost(entry.body)
+        if self.compaction.should_compact(len(json.dumps(entry.body)), replay_cost):
             self.machine.compact(entry.index, self.state.to_dict())
 
     # --- the store -----------------------------------------------------------------------------------
 
     async def _write(self) -> None:
-        """One write at a time, in order; a refused one is tried again, since what follows rests on it."""
+        """Write one save after the other. One that is refused is retried, since all later ones depend on it."""
         loop = asyncio.get_running_loop()
         while True:
             save = await self.saves.get()
@@ -185,101 +190,102 @@
                 work = loop.run_in_executor(self.writer, self.store.write, save)
                 try:
                     try:
-                        await asyncio.wait_for(asyncio.shield(work), HANG)
+                        await asyncio.wait_for(asyncio.shield(work), WRITE_TIMEOUT_S)
                     except TimeoutError:
-                        self._fail("a write hangs")
+                        self._on_write_failure("a write hangs")
                         await work
                     break
-                except Damaged as error:  # what the disk has must be read anew: by the next life
+                except Damaged as error:  # the file must be read again, which the next start of the process does
                     log_warning(
-                        "log file damaged", why=str(error), done="this life ends; the next one looks at it whole"
+                        "log file damaged", why=str(error), done="this process ends; the next one reads the whole file"
                     )
-                    self._fail("the log file is damaged")
+                    self._on_write_failure("the log file is damaged")
                     self.on_damage()
                     return
-                except Exception:  # a disk may refuse in many ways; each is tried again
+                except Exception:  # a disk may refuse in many ways; each is retried
                     log_exception("write refused", number=save.number)
-                    self._fail("a write was refused")
+                    self._on_write_failure("a write was refused")
                     await asyncio.sleep(pause)
                     pause = min(1.0, 2 * pause)
-            if self.hung:
-                self.hung = False
-                log_info("disk answers again")
+            if self.disk_failing:
+                self.disk_failing = False
+                log_info("disk writes succeed again")
             self.machine.kept(clock(), save.number)
-            self.carry_out()
-            self.on_kept()
+            self.perform_actions()
+            self.on_persisted()
 
-    def _fail(self, why: str) -> None:
-        if not self.hung:
-            self.hung = True
+    def _on_write_failure(self, why: str) -> None:
+        if not self.disk_failing:
+            self.disk_failing = True
             log_warning("disk", group=self.group, why=why)
         self.machine.failed(clock())
-        self.carry_out()
+        self.perform_actions()
 
     # --- peers ---------------------------------------------------------------------------------------
 
     def receive(self, messages: list[dict]) -> None:
-        """Messages of a peer, as answers to ours."""
+        """Handle messages that a peer returned with its answer to a call."""
         now = clock()
         for message in messages:
             self.machine.receive(now, message)
-        self.carry_out()
+        self.perform_actions()
 
     def exchange(self, messages: list[dict]) -> list[dict]:
-        """A peer's messages; what can be answered at once goes back with the answer instead of a call of its own."""
+        """Handle a peer's messages. Returns the replies that are ready at once, which saves a call for them."""
         now = clock()
         for message in messages:
             self.machine.receive(now, message)
-        back, rest = [], []
+        replies, rest = [], []
         origin = messages[0].get("at", "") if messages else ""
         for order in self.machine.orders:
             if isinstance(order, Send) and order.to_address == origin:
-                back.append(order.message)
+                replies.append(order.message)
             else:
                 rest.append(order)
         self.machine.orders = rest
-        self.carry_out()
-        return back
+        self.perform_actions()
+        return replies
 
-    # --- what others ask -----------------------------------------------------------------------------
+    # --- proposals and reads -------------------------------------------------------------------------
 
-    async def _wait(self, ask: Callable[[float, int], None], patience: float | None) -> tuple[str, Any]:
+    async def _submit(self, submit: Callable[[float, int], None], timeout_s: float | None) -> tuple[str, Any]:
         self.next_ticket += 1
         ticket = self.next_ticket
-        future = self.tickets[ticket] = asyncio.get_running_loop().create_future()
-        ask(clock(), ticket)
-        self.carry_out()
+        future = self.pending[ticket] = asyncio.get_running_loop().create_future()
+        submit(clock(), ticket)
+        self.perform_actions()
         try:
-            return await asyncio.wait_for(future, patience)
+            return await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
             return "lost", None
         finally:
-            self.tickets.pop(ticket, None)
+            self.pending.pop(ticket, None)
 
-    async def propose(self, command: dict, patience: float | None = 4.0) -> Any:
-        """Have a command agreed on, durably: what applying it said. NotLeader, or Lost if the outcome is unknown."""
-        outcome, value = await self._wait(lambda now, ticket: self.machine.propose(now, command, ticket), patience)
+    async def propose(self, command: dict, timeout_s: float | None = 4.0) -> Any:
+        """Have a command committed and return the result of applying it. NotLeaderError if another machine leads,
+        OutcomeUnknownError if it may or may not have been committed."""
+        outcome, value = await self._submit(lambda now, ticket: self.machine.propose(now, command, ticket), timeout_s)
         if outcome == "not_leader":
-            raise NotLeader(value)
+            raise NotLeaderError(value)
         if outcome != "committed":
-            raise Lost
-        if value not in self.results:  # committed, but what applying it said is not known here
-            raise Lost
+            raise OutcomeUnknownError
+        if value not in self.results:  # committed, but the result of applying it is not known here
+            raise OutcomeUnknownError
         return self.results[value]
 
-    async def current(self, patience: float = 1.0) -> None:
-        """Return once the replicated state here holds all that was agreed on before the call.
+    async def current(self, timeout_s: float = 1.0) -> None:
+        """Return once the replicated state here includes everything that was committed before the call.
 
-        NotLeader or Lost otherwise.
+        NotLeaderError or OutcomeUnknownError otherwise.
         """
-        outcome, value = await self._wait(self.machine.read, patience)
+        outcome, value = await self._submit(self.machine.read, timeout_s)
         if outcome == "not_leader":
-            raise NotLeader(value)
+            raise NotLeaderError(value)
         if outcome != "readable":
-            raise Lost
+            raise OutcomeUnknownError
 
     async def close(self) -> None:
-        """End all work; a write under way is not waited for."""
+        """Stop all tasks; a write in progress is not awaited."""
         self.closing = True
         if self.timer is not None:
             self.timer.cancel()
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -1,4 +1,4 @@
-"""What the agreed leader does for all: the platform's list, conductors' leases, slices without a conductor."""
+"""The leader's work for all cores: polling the platform's list of nodes, and leasing slices to conductors."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import json
 from collections.abc import Callable
 
-from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost, NotLeader
+from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeaderError, OutcomeUnknownError
 from knotwalk.discovery.board import Board
 from knotwalk.discovery.listing import Listing, Unusable
 from knotwalk.discovery.view_types import Node, entry, node_of
@@ -17,41 +17,42 @@
 from knotwalk.runtime.logs import clock, log_info, log_warning
 from knotwalk.runtime.settings import Settings
 
-POLL = 0.5  # seconds between readings of the list: a fifth of the time a drain is allowed, a few calls a second
-STEP = 0.2  # seconds between looks at the leases
+# A fifth of the time that a drain is allowed; a few calls a second in all.
+POLL_INTERVAL_S = 0.5
+LEASE_CHECK_INTERVAL_S = 0.2
 
 
-def by_conductor(leased: list[str], runs: list[list[int]]) -> dict[str, list[list[int]]]:
-    """The runs of slices by who leases them now: `leased` names each slice's conductor.
+def group_by_conductor(leased: list[str], runs: list[list[int]]) -> dict[str, list[list[int]]]:
+    """Split runs of slices by their current conductor; `leased` names each slice's conductor.
 
-    >>> by_conductor(["a", "a", "b", "a"], [[0, 3]])
+    >>> group_by_conductor(["a", "a", "b", "a"], [[0, 3]])
     {'a': [[0, 1], [3, 3]], 'b': [[2, 2]]}
     """
-    found: dict[str, list[int]] = {}
+    slices_of: dict[str, list[int]] = {}
     for first, last in runs:
         for slice in range(first, last + 1):
-            found.setdefault(leased[slice], []).append(slice)
-    return {before: ranges(slices) for before, slices in found.items()}
+            slices_of.setdefault(leased[slice], []).append(slice)
+    return {before: ranges(slices) for before, slices in slices_of.items()}
 
 
 class ListPoller:
-    """Works only while this machine leads; what it finds goes on the board and to the other cores."""
+    """Works only while this machine leads; the list goes to this core's board and to the other cores."""
 
     def __init__(self, settings: Settings, consensus: ConsensusDriver, board: Board, caller: Caller, me: str):
         self.settings, self.consensus, self.board, self.caller, self.me = settings, consensus, board, caller, me
         self.tenure: Tenure | None = None
-        self.turn_of_list = 0
-        self.own_list: asyncio.Task | None = None
-        self.own_list_at = float("-inf")
+        self.list_revision = 0
+        self.own_read: asyncio.Task | None = None
+        self.own_read_at = float("-inf")
         self.on_nodes: Callable[[], None] = lambda: None
 
-    def role(self, leads: bool) -> None:
-        """This machine leads from now on, or does no more."""
+    def on_leadership(self, leads: bool) -> None:
+        """This machine became the leader, or ceased to be it."""
         self.tenure = Tenure(clock()) if leads else None
 
     @property
-    def proven(self) -> bool:
-        """Whether no other can lead now: a majority answered this leader a moment ago."""
+    def is_proven(self) -> bool:
+        """Whether no other machine can lead now: a majority answered this leader a moment ago."""
         machine = self.consensus.machine
         return (
             self.tenure is not None
@@ -60,9 +61,9 @@
             and clock() - machine.majority_at < PROOF
         )
 
-    def lease(self, conductor: str) -> dict | None:
-        """A conductor asks to act on; None if this machine may not say."""
-        if not self.proven or conductor not in self.consensus.machine.members:
+    def grant_lease(self, conductor: str) -> dict | None:
+        """Grant a conductor its lease; None if this machine may not, since it isn't the confirmed leader."""
+        if not self.is_proven or conductor not in self.consensus.machine.members:
             return None
         machine = self.consensus.machine
         return {
@@ -73,58 +74,61 @@
             "nodes": list(self.board.nodes_order),
         }
 
-    def leave(self, conductor: str) -> None:
-        """A conductor said that it acts no more."""
+    def on_conductor_left(self, conductor: str) -> None:
+        """A conductor reported that it acts on no lease any more."""
         if self.tenure is not None:
             self.tenure.left(clock(), conductor)
 
-    # --- slices without a conductor ---------------------------------------------------------------
+    # --- leases of slices -------------------------------------------------------------------------
 
-    async def keep_leases(self) -> None:
-        """Mind conductors' leases again and again, while this machine leads."""
+    async def maintain_leases(self) -> None:
+        """Check the leases of all services periodically, while this machine leads."""
         while True:
-            await asyncio.sleep(STEP)
-            if not self.proven or self.consensus.machine.applied < self.consensus.machine.commit:
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
+            if not self.is_proven or self.consensus.machine.applied < self.consensus.machine.commit:
                 continue
-            self.lease(self.me)
+            self.grant_lease(self.me)
             tenure = self.tenure
             for service in list(self.consensus.state.ledger.slices):
-                await self.mind(tenure, service)
+                await self.maintain_service(tenure, service)
 
-    def holds(self, tenure: Tenure) -> bool:
-        """Whether what `tenure` says still counts: this machine has led ever since, and is proven."""
-        return self.tenure is tenure and self.proven
+    def is_current(self, tenure: Tenure) -> bool:
+        """Whether `tenure` still counts: this machine has led without a break since it began, and is confirmed."""
+        return self.tenure is tenure and self.is_proven
 
-    async def mind(self, tenure: Tenure, service: str) -> None:
-        """One look at a service's leases. Each proposal waits for its commit; meanwhile leadership may be lost, also
-        won anew, and a conductor that seemed gone may be given a lease: all is asked again before the next."""
+    async def maintain_service(self, tenure: Tenure, service: str) -> None:
+        """Check the leases of one service.
+
+        Each proposal waits for its commit. Meanwhile leadership may be lost, or lost and regained, and a conductor that
+        seemed gone may be granted a lease again: all conditions are checked again before the next proposal."""
         slices = self.consensus.state.ledger.slices.get(service)
-        if not self.holds(tenure) or slices is None:
+        if not self.is_current(tenure) or slices is None:
             return
         now = clock()
         leased = [s.conductor for s in slices]
         tenure.replaced(now, leased, self.consensus.machine.members)
-        for conductor, found in reassign(tenure, now, leased).items():
-            log_info("slices leased", service=service, to=conductor, runs=found)
-            for before, runs in by_conductor(leased, found).items():
-                if not await self.take_from(tenure, service, before, conductor, runs):
+        for conductor, leased_runs in reassign(tenure, now, leased).items():
+            log_info("slices leased", service=service, to=conductor, runs=leased_runs)
+            for before, runs in group_by_conductor(leased, leased_runs).items():
+                if not await self.move_lease(tenure, service, before, conductor, runs):
                     return
         slices = self.consensus.state.ledger.slices.get(service, ())
-        if self.holds(tenure) and (hand := hand_over(tenure, clock(), slices)):
-            log_info("slices handed over", service=service, by=hand[0], to=hand[1], runs=hand[2])
+        if self.is_current(tenure) and (handover := hand_over(tenure, clock(), slices)):
+            log_info("slices handed over", service=service, by=handover[0], to=handover[1], runs=handover[2])
             tenure.hands(clock())
-            await self.give(service, *hand)
+            await self.propose_lease(service, *handover)
 
-    async def take_from(self, tenure: Tenure, service: str, before: str, to: str, runs: list[list[int]]) -> bool:
-        """Lease what `before` leased to `to`, if by now the one surely may not act and the other may; says whether."""
+    async def move_lease(self, tenure: Tenure, service: str, before: str, to: str, runs: list[list[int]]) -> bool:
+        """Lease slices of `before` to `to`, if by now `before` certainly may not act and `to` may; returns whether it
+        was done."""
         now = clock()
-        gone = not before or not tenure.alive(now, before) and tenure.ended(now, before)
-        if not self.holds(tenure) or not gone or not tenure.alive(now, to):
+        may_not_act = not before or not tenure.alive(now, before) and tenure.ended(now, before)
+        if not self.is_current(tenure) or not may_not_act or not tenure.alive(now, to):
             return False
-        return await self.give(service, before, to, runs)
+        return await self.propose_lease(service, before, to, runs)
 
-    async def give(self, service: str, before: str, to: str, runs: list[list[int]]) -> bool:
-        """Have it agreed on that slices which `before` leased are leased by `to`; whether it was."""
+    async def propose_lease(self, service: str, before: str, to: str, runs: list[list[int]]) -> bool:
+        """Propose that slices leased by `before` are leased by `to`; returns whether it was committed."""
         tenure = self.tenure
         if tenure is None:
             return False
@@ -133,33 +137,33 @@
                 {"do": "lease", "from": before, "to": to, "early": tenure.early(clock()), "slices": {service: runs}}
             )
             return True
-        except (NotLeader, Lost):
+        except (NotLeaderError, OutcomeUnknownError):
             return False
 
     # --- the platform's list ----------------------------------------------------------------------
 
     async def poll(self) -> None:
-        """Read the list again and again while leading; a reading that fails leaves the last one in place."""
+        """Read the list periodically while leading; if that fails, the last list stays."""
         failing, term = 0, -1
         while True:
-            if not self.proven or self.settings.platform.address is None:
-                await asyncio.sleep(0.03)  # a new leader reads at once: edges that start wait for the list
+            if not self.is_proven or self.settings.platform.address is None:
+                await asyncio.sleep(0.03)  # a new leader reads the list at once: starting edges wait for it
                 continue
             if term == self.consensus.machine.term:
-                await asyncio.sleep(POLL if not failing else min(2.0, 0.3 * failing))
+                await asyncio.sleep(POLL_INTERVAL_S if not failing else min(2.0, 0.3 * failing))
             term = self.consensus.machine.term
             try:
                 listing = await self.read()
             except (PeerError, Unusable) as error:
                 failing += 1
                 if failing in (1, 10, 100):
-                    log_warning("the list can't be read", why=str(error), times=failing)
+                    log_warning("platform list can't be read", why=str(error), times=failing)
                 continue
             failing = 0
-            if not self.proven or term != self.consensus.machine.term:
+            if not self.is_proven or term != self.consensus.machine.term:
                 continue
-            self.turn_of_list += 1
-            if self.board.set_nodes((term, self.turn_of_list), listing.nodes, True):
+            self.list_revision += 1
+            if self.board.set_nodes((term, self.list_revision), listing.nodes, True):
                 log_info(
                     "list",
                     order=self.board.nodes_order,
@@ -167,27 +171,29 @@
                     draining=sum(n.draining for n in listing.nodes.values()),
                 )
                 self.on_nodes()
-                asyncio.get_running_loop().create_task(self.tell_cores())
+                asyncio.get_running_loop().create_task(self.send_list_to_cores())
 
     async def own_nodes(self) -> dict[str, Node]:
-        """The list as this machine read it itself, for edges that start while nobody leads; empty if it can't be read.
-        All who ask within POLL share a reading: of three cores that start at once none asks more often than a
-        leader."""
+        """The list as this machine reads it itself, for edges that start while nobody leads; empty if it can't be read.
+
+        All who ask within POLL_INTERVAL_S share one reading: of three cores that start together, none reads more often
+        than a leader does."""
         if self.settings.platform.address is None:
             return {}
-        if self.own_list is None or clock() - self.own_list_at >= POLL:
-            self.own_list, self.own_list_at = asyncio.get_running_loop().create_task(self._nodes_read()), clock()
-        return await asyncio.shield(self.own_list)
+        if self.own_read is None or clock() - self.own_read_at >= POLL_INTERVAL_S:
+            self.own_read, self.own_read_at = asyncio.get_running_loop().create_task(self._read_own_nodes()), clock()
+        return await asyncio.shield(self.own_read)
 
-    async def _nodes_read(self) -> dict[str, Node]:
-        """The list's nodes; empty if it can't be read, which nobody may be left to hear: edges don't wait for ever."""
+    async def _read_own_nodes(self) -> dict[str, Node]:
+        """The list's nodes; empty if it can't be read. Doesn't raise: all who asked may have given up by then, and
+        nobody would handle the error."""
         try:
             return (await self.read()).nodes
         except (PeerError, Unusable):
             return {}
 
     async def read(self) -> Listing:
-        """Read the platform's list, all pages; PeerError or Unusable."""
+        """Read all pages of the platform's list; PeerError or Unusable."""
         host, port = self.settings.platform.address
         listing, token = Listing(), ""
         while token is not None:
@@ -203,12 +209,12 @@
         return listing
 
     def list_message(self) -> dict:
-        """The list as cores tell it each other."""
+        """The list as cores send it to each other."""
         now = clock()
         return {"order": list(self.board.nodes_order), "nodes": {i: entry(n, now) for i, n in self.board.nodes.items()}}
 
-    async def tell_cores(self) -> None:
-        """The list to every other core; one that misses it asks for it when a lease's answer names a newer one."""
+    async def send_list_to_cores(self) -> None:
+        """Send the list to every other core; one that misses it asks for it when a lease's answer names a newer one."""
         message = self.list_message()
         own = self.consensus.machine.members.get(self.me)
         await asyncio.gather(
@@ -220,8 +226,8 @@
             return_exceptions=True,
         )
 
-    def listed(self, message: dict) -> None:
-        """The leader told its list."""
+    def on_list_message(self, message: dict) -> None:
+        """Apply the list that the leader sent."""
         now = clock()
         nodes = {id: node_of(id, raw, now) for id, raw in message["nodes"].items()}
         if self.board.set_nodes(tuple(message["order"]), nodes):
--- a/knotwalk/control_plane/message_packing.py
+++ b/knotwalk/control_plane/message_packing.py
@@ -1,4 +1,5 @@
-"""The groups' commonest messages as short lists on the wire: they go many times a second, between zones too. Pure."""
+"""The claim groups' most frequent messages as short lists on the wire: they go many times a second, also between zones.
+Pure."""
 
 from __future__ import annotations
 
@@ -7,14 +8,14 @@
     "appended": ("term", "ok", "match", "have", "stamp", "round"),
 }
 CODES = {"append": 0, "appended": 1}
-KINDS = {code: kind for kind, code in CODES.items()}
+TYPES = {code: type for type, code in CODES.items()}
 
 
 def pack(message: dict) -> list | dict:
-    """A message of a group as a list: its kind, group, address, sender, receiver, then its fields in their order.
+    """Encode a message of a group as a list: type, group, address, sender, receiver, then its fields in their order.
 
-    The sender's id is told without its address where it begins with it. A message of another kind, or with other
-    fields, stays as it is.
+    A sender's id that begins with its address is sent without it. A message of another type, or with other fields, is
+    returned as it is.
 
     >>> pack({"type": "gone", "group": 0})
     {'type': 'gone', 'group': 0}
@@ -28,16 +29,16 @@
 
 
 def unpack(raw: list | dict) -> dict:
-    """The message that `pack` was given; ValueError or KeyError for a list that is none."""
+    """The inverse of `pack`; ValueError or KeyError for a list that it can't have returned."""
     if isinstance(raw, dict):
         return raw
     code, group, at, sender, to, *values = raw
-    kind = KINDS[code]
-    whole = {
-        "type": kind,
+    message_type = TYPES[code]
+    message = {
+        "type": message_type,
         "group": group,
         "at": at,
         "from": at + sender if sender.startswith("#") else sender,
         "to": to,
     }
-    return whole | dict(zip(FIELDS[kind], values, strict=True))
+    return message | dict(zip(FIELDS[message_type], values, strict=True))
--- a/knotwalk/control_plane/figures.py
+++ b/knotwalk/control_plane/metrics.py
@@ -1,4 +1,4 @@
-"""A core machine's own figures, read off its state when somebody asks. Names stand in docs/guides/system.md."""
+"""A core machine's metrics, read from its state on each scrape. They are listed in docs/guides/system.md."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def counter(name: str, meaning: str, counts: Mapping[tuple[str, ...], float], *labels: str) -> Figure:
-    """A count by labels."""
+    """A counter by labels."""
     return Figure(name, Kind.COUNTER, meaning, counts, labels)
 
 
 def slices(plane: ControlPlane) -> Figure:
-    """The slices that this core leases, by where each stands on its way to an owner."""
+    """The slices that this core leases, by state."""
     found = Counter((x.service, x.state.value) for x in plane.conductor.keeper.tenures.values())
     samples: dict[tuple[str, ...], float] = {
         (service, state.value): found[service, state.value]
@@ -35,118 +35,120 @@
 
 
 def nodes(now: float, plane: ControlPlane) -> Figure:
-    """Nodes of the platform's list, and those in trouble; a node may count under several."""
+    """The nodes of the platform's list, by what this core knows of them; a node may count in several states."""
     board, keeper = plane.board, plane.conductor.keeper
     found = {
         "listed": len(board.nodes),
         "draining": sum(node.draining for node in board.nodes.values()),
         "ailing": len(board.ailing & board.nodes.keys()),
         "unreachable": len(keeper.unreached(now)),
-        "unreached by others": len(plane.conductor.peers_reach.since(now)),
+        "unreached by others": len(plane.conductor.peer_reachability.since(now)),
     }
     samples: dict[tuple[str, ...], float] = {(state,): count for state, count in found.items()}
     return Figure("knotwalk_core_nodes", Kind.GAUGE, "nodes, by what this core knows of them", samples, ("state",))
 
 
 def operations(admissions: Admissions) -> Iterator[Figure]:
-    """What edges asked for, and what is kept of operations."""
+    """The admission requests of edges, and the operations that this core keeps."""
     answers = admissions.answers
-    told: dict[tuple[str, ...], float] = {(one.value,): admissions.told[one] for one in Admission}
-    ended: dict[tuple[str, ...], float] = {(one.value,): admissions.ended[one] for one in Ending}
-    kept: dict[tuple[str, ...], float] = {(phase.value,): count for phase, count in answers.counts().items()}
-    yield counter("knotwalk_core_asks", "edges' asks by what was told", told, "told")
-    yield counter("knotwalk_core_ends", "ends of operations that edges told", ended, "ending")
+    responses: dict[tuple[str, ...], float] = {(one.value,): admissions.response_counts[one] for one in Admission}
+    ended: dict[tuple[str, ...], float] = {(one.value,): admissions.ending_counts[one] for one in Ending}
+    kept: dict[tuple[str, ...], float] = {(phase.value,): count for phase, count in answers.count_by_phase().items()}
+    yield counter("knotwalk_core_asks", "admission requests of edges, by response", responses, "told")
+    yield counter("knotwalk_core_ends", "ends of runs that edges reported", ended, "ending")
     yield Figure("knotwalk_core_operations", Kind.GAUGE, "operations kept here, by phase", kept, ("phase",))
-    yield gauge("knotwalk_core_operation_bytes", "bytes that they take", answers.size)
+    yield gauge("knotwalk_core_operation_bytes", "bytes of these operations", answers.size)
 
 
 def allowances(plane: ControlPlane) -> Iterator[Figure]:
-    """How asks of tenants' allowance ended here."""
-    kept = plane.allowances
+    """Requests for tokens of tenants' limits, by outcome."""
+    service = plane.allowances
     yield counter(
         "knotwalk_core_allowances",
-        "tokens asked for by edges and given back, by how that ended",
-        dict(kept.told),
+        "tokens requested by edges and given back, by outcome",
+        dict(service.outcome_counts),
         "outcome",
         "how",
     )
     yield counter(
         "knotwalk_core_over_limit",
-        "requests refused over their limits; the tenants met first are named",
-        {(tenant,): count for tenant, count in kept.refused.items()},
+        "requests over the limit; the first tenants are named",
+        {(tenant,): count for tenant, count in service.refusal_counts.items()},
         "tenant",
     )
     yield counter(
         "knotwalk_core_allowance_calls",
-        "calls for allowance to the leader, by how they ended",
-        {(outcome,): count for outcome, count in kept.calls.items()},
+        "calls to the leader for tokens, by outcome",
+        {(outcome,): count for outcome, count in service.call_counts.items()},
         "outcome",
     )
-    yield gauge("knotwalk_core_tenants_held", "tenants of which this core holds allowance", len(kept.escrow.holdings))
-    buckets = len(kept.buckets.buckets) if kept.buckets is not None else 0
-    yield gauge("knotwalk_core_buckets", "tenants whose limits this core keeps as the leader", buckets)
+    yield gauge("knotwalk_core_tenants_held", "tenants of which this core holds tokens", len(service.escrow.holdings))
+    buckets = len(service.buckets.buckets) if service.buckets is not None else 0
+    yield gauge("knotwalk_core_buckets", "tenants with a bucket at this core, as the leader", buckets)
 
 
 def claims(groups: ClaimGroups | None) -> Iterator[Figure]:
-    """What the groups that agree on claims of operations know and did; nothing is told of where there are none."""
+    """What the claim groups know and did; without any groups the metrics are empty."""
     leads: dict[tuple[str, ...], float] = {}
     held: dict[tuple[str, ...], float] = {}
     waiting: dict[tuple[str, ...], float] = {}
     for group in groups.groups if groups else ():
-        part = (str(group.part),)
-        leads[part], waiting[part] = group.leads, len(group.waiting)
-        held[part] = len(group.driver.state.claims)
+        partition = (str(group.partition),)
+        leads[partition], waiting[partition] = group.is_leader, len(group.pending_claims)
+        held[partition] = len(group.driver.state.claims)
     labels = ("part",)
-    yield Figure("knotwalk_core_claims_leader", Kind.GAUGE, "1 while this core leads a part's group", leads, labels)
-    yield Figure("knotwalk_core_claims_held", Kind.GAUGE, "operations of a part that have a holder", held, labels)
-    yield Figure("knotwalk_core_claims_waiting", Kind.GAUGE, "claims of a part that wait here", waiting, labels)
-    told: dict[tuple[str, ...], float] = {(one.value,): count for one, count in (groups.told.items() if groups else ())}
-    yield counter("knotwalk_core_claims", "claims asked by this core, by their outcome", told, "outcome")
+    yield Figure("knotwalk_core_claims_leader", Kind.GAUGE, "1 while this core leads a partition", leads, labels)
+    yield Figure("knotwalk_core_claims_held", Kind.GAUGE, "operations of a partition with a holder", held, labels)
+    yield Figure("knotwalk_core_claims_waiting", Kind.GAUGE, "pending claims of a partition here", waiting, labels)
+    outcomes: dict[tuple[str, ...], float] = {
+        (one.value,): count for one, count in (groups.outcome_counts.items() if groups else ())
+    }
+    yield counter("knotwalk_core_claims", "claims sent by this core, by outcome", outcomes, "outcome")
 
 
-def figures(now: float, plane: ControlPlane) -> Iterator[Figure]:
-    """All figures of a core machine."""
+def collect_metrics(now: float, plane: ControlPlane) -> Iterator[Figure]:
+    """All metrics of a core machine."""
     machine, state, manager = plane.consensus.machine, plane.consensus.state, plane.conductor
-    yield gauge("knotwalk_core_fresh", "1 while this core heard the leader's word lately", plane.peer_api.fresh(now))
+    yield gauge("knotwalk_core_fresh", "1 while a confirmed leader was heard lately", plane.peer_api.is_fresh(now))
     yield gauge("knotwalk_core_leader", "1 while this core leads", machine.role == "leader")
-    yield gauge("knotwalk_core_term", "the term of the agreement", machine.term)
-    yield gauge("knotwalk_core_members", "members of the agreement, as far as is known here", len(machine.members))
-    yield gauge("knotwalk_core_commit_index", "the last entry known as committed", machine.commit)
+    yield gauge("knotwalk_core_term", "the current term", machine.term)
+    yield gauge("knotwalk_core_members", "members of the group, as far as known here", len(machine.members))
+    yield gauge("knotwalk_core_commit_index", "the last entry known to be committed", machine.commit)
     yield gauge("knotwalk_core_last_index", "the last entry of the log here", machine.log.last)
     yield gauge("knotwalk_core_configuration_version", "the configuration in force, 0 for none", state.version)
-    yield gauge("knotwalk_core_disk_refuses", "1 while a write hangs or was refused", plane.consensus.hung)
+    yield gauge("knotwalk_core_disk_refuses", "1 while a write hangs or was refused", plane.consensus.disk_failing)
     yield gauge("knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.keeper.until - now)
     yield gauge("knotwalk_core_edges", "edges heard of in the last ten seconds", plane.loads.count(now))
     yield slices(plane)
     yield nodes(now, plane)
     yield counter(
         "knotwalk_core_holders_cleared",
-        "slices whose former holder was found to hold them no more",
-        {(evidence.value,): count for evidence, count in manager.cleared.items()},
+        "slices whose former holder was found to hold them no longer",
+        {(evidence.value,): count for evidence, count in manager.cleared_counts.items()},
         "by",
     )
     yield counter(
-        "knotwalk_core_node_calls", "calls to nodes by how they ended", dict(manager.calls), "call", "outcome"
+        "knotwalk_core_node_calls", "calls to nodes, by outcome", dict(manager.call_counts), "call", "outcome"
     )
     yield counter(
         "knotwalk_core_operator_answers",
         "answers to operators",
-        dict(plane.control.answers),
+        dict(plane.control.answer_counts),
         "method",
         "status",
     )
     yield counter(
         "knotwalk_core_orders_refused",
-        "orders that were wrong, by the place of their mistake",
-        dict(plane.control.refused),
+        "configuration changes with a mistake, by its place",
+        dict(plane.control.rejection_counts),
         "place",
     )
     yield from operations(plane.admissions)
     sent = {(step, "sent"): count for step, count in plane.caller.sent.items()}
-    got = {(step, "received"): count for step, count in plane.caller.received.items()}
-    yield counter("knotwalk_core_call_bytes", "bytes of bodies of calls to peers", sent | got, "step", "direction")
-    told: dict[tuple[str, ...], float] = {(path,): count for path, count in plane.peer_api.told.items()}
-    yield counter("knotwalk_core_answer_bytes", "bytes of bodies told to edges and cores", told, "path")
+    received = {(step, "received"): count for step, count in plane.caller.received.items()}
+    yield counter("knotwalk_core_call_bytes", "bytes of bodies of calls to peers", sent | received, "step", "direction")
+    answer_bytes: dict[tuple[str, ...], float] = {(path,): count for path, count in plane.peer_api.answer_bytes.items()}
+    yield counter("knotwalk_core_answer_bytes", "bytes of bodies sent to edges and cores", answer_bytes, "path")
     yield from allowances(plane)
     yield from claims(plane.claims)
-    yield loop_delay(plane.delay)
+    yield loop_delay(plane.loop_delay)
--- a/knotwalk/control_plane/peer_api.py
+++ b/knotwalk/control_plane/peer_api.py
@@ -1,4 +1,4 @@
-"""Calls between peers (openapi/peers.yaml): agreement, cluster views for edges, leases, lists, loads."""
+"""Calls between peers (openapi/peers.yaml): consensus, cluster views for edges, leases, lists of nodes, loads."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from sanic import HTTPResponse, Request, Sanic
 
 from knotwalk.consensus.orders import OUTSIDER
-from knotwalk.control_plane import account
-from knotwalk.control_plane.claim_groups import CLAIMS, MESSAGES, ClaimGroups
-from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost, NotLeader
+from knotwalk.control_plane import status_report
+from knotwalk.control_plane.claim_groups import CLAIMS_PATH, MESSAGES_PATH, ClaimGroups
+from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeaderError, OutcomeUnknownError
 from knotwalk.control_plane.list_poller import ListPoller
 from knotwalk.control_plane.slice_manager import SliceManager
 from knotwalk.discovery.board import Board
@@ -27,17 +27,18 @@
 
 Handler = Callable[[Request], Awaitable[HTTPResponse]]
 
-GATHER = 0.004  # news that come together go together
-STALE_WAIT = 0.25  # an edge's call waits so long for a core that is about to be fresh, as after a start of all
-WAIT_MOST = 5.0
-# Seconds of a life in which edges that have nothing are told what the disk alone holds. A core whose fellows start
-# with it is fresh in one to three; who still knows no leader after this is cut off, and the others may have moved on.
-PROVISIONAL = 10.0
-SHARE = 1.0  # seconds between tellings of loads to the other cores
+UPDATE_BATCH_DELAY_S = 0.004  # for updates that come together, so that they are sent together
+FRESH_WAIT_S = 0.25  # how long an edge's call waits for a core about to become fresh, as after a start of all cores
+MAX_WAIT_S = 5.0
+# For this long after its start, a core serves edges that have no view what its disk alone holds. A core that starts
+# together with the others is fresh after one to three seconds; one that knows no leader by the end of this period is
+# cut off, and the others may have moved on.
+PROVISIONAL_PERIOD_S = 10.0
+LOAD_SHARE_INTERVAL_S = 1.0  # between reports of loads to the other cores
 
 
 class PeerApi:
-    """The port on which this core is called by edges and other cores, and its own calls to the leader."""
+    """The port for calls of edges and other cores, and this core's own calls to the leader."""
 
     def __init__(
         self,
@@ -53,69 +54,75 @@
         self.claims = claims
         self.me, self.consensus, self.list_poller, self.conductor = me, consensus, list_poller, conductor
         self.board, self.loads, self.caller = board, loads, caller
-        self.news = asyncio.Event()
+        self.update_event = asyncio.Event()
         self.fresh_until = 0.0
-        self.started = clock()
+        self.started_at = clock()
         self.leaving = False
-        self.on_life: Callable[[str], None] = lambda life: None  # hears of each edge's program that calls
-        self.told: Counter[str] = Counter()  # bytes of bodies answered, by path
-        self.parts: dict[str, Handler] = {}  # calls answered by other parts of this core, by path; set before `app`
-        self.asked: dict[str, tuple[float, str, int]] = {}  # by edge: when it called here, and what it had then
+        self.on_incarnation: Callable[[str], None] = lambda incarnation: None  # called for each edge that calls
+        self.answer_bytes: Counter[str] = Counter()  # of bodies, by path
+        # Handlers of other components, by path; to be set before `app` is called.
+        self.extra_handlers: dict[str, Handler] = {}
+        # By edge: when it called, and the epoch and revision of the board that it had then.
+        self.edge_calls: dict[str, tuple[float, str, int]] = {}
 
     def app(self) -> Sanic:
-        """The port's routes."""
-        made = app("peers")
+        """The port's application with its routes."""
+        application = app("peers")
         for path, handler in (
-            ("/consensus", self.messages),
-            ("/cluster-view", self.view),
-            ("/lease", self.lease),
-            ("/proposal", self.proposal),
-            ("/nodes", self.nodes),
-            ("/loads", self.share),
-            ("/status", self.status),
-            ("/explain", self.explain),
-            *self.parts.items(),
-            *(((MESSAGES, self.group_messages), (CLAIMS, self.claimed)) if self.claims else ()),
+            ("/consensus", self.handle_consensus),
+            ("/cluster-view", self.handle_cluster_view),
+            ("/lease", self.handle_lease),
+            ("/proposal", self.handle_proposal),
+            ("/nodes", self.handle_nodes),
+            ("/loads", self.handle_loads),
+            ("/status", self.handle_status),
+            ("/explain", self.handle_explain),
+            *self.extra_handlers.items(),
+            *(
+                ((MESSAGES_PATH, self.handle_claim_group_messages), (CLAIMS_PATH, self.handle_claims))
+                if self.claims
+                else ()
+            ),
         ):
-            made.add_route(self.counted(path, handler), path, methods=["POST"], error_format="text")
-        return made
+            application.add_route(self.count_bytes(path, handler), path, methods=["POST"], error_format="text")
+        return application
 
-    def counted(self, path: str, handler: Handler) -> Handler:
-        """The same handler, the bytes of its answers counted."""
+    def count_bytes(self, path: str, handler: Handler) -> Handler:
+        """Wrap a handler so that the bytes of its answers are counted."""
 
         @functools.wraps(handler)
-        async def answered(request: Request) -> HTTPResponse:
-            found = await handler(request)
-            self.told[path] += len(found.body or b"")
-            return found
+        async def counted(request: Request) -> HTTPResponse:
+            response = await handler(request)
+            self.answer_bytes[path] += len(response.body or b"")
+            return response
 
-        return answered
+        return counted
 
-    # --- agreement --------------------------------------------------------------------------------
+    # --- consensus --------------------------------------------------------------------------------
 
-    async def messages(self, request: Request) -> HTTPResponse:
-        """Messages of the agreement, answered by those that go back."""
+    async def handle_consensus(self, request: Request) -> HTTPResponse:
+        """Handle consensus messages of the configuration's group; the answer carries the replies."""
         return answer(self.consensus.exchange(body(request)))
 
-    async def group_messages(self, request: Request) -> HTTPResponse:
-        """Messages of the groups that agree on claims."""
+    async def handle_claim_group_messages(self, request: Request) -> HTTPResponse:
+        """Handle consensus messages of the claim groups; the answer carries the replies."""
         assert self.claims is not None
         return answer(await self.claims.exchange(body(request)))
 
-    async def claimed(self, request: Request) -> HTTPResponse:
-        """Claims that another core asks of this one, as the leader of their groups."""
+    async def handle_claims(self, request: Request) -> HTTPResponse:
+        """Answer claims that another core sends to this one as the leader of their groups."""
         assert self.claims is not None
-        return answer(await self.claims.taken(body(request)))
+        return answer(await self.claims.handle_claims(body(request)))
 
-    async def proposal(self, request: Request) -> HTTPResponse:
-        """A conductor's command for the log, taken by the leader only."""
+    async def handle_proposal(self, request: Request) -> HTTPResponse:
+        """Propose a conductor's command, if this machine leads."""
         try:
             return answer({"said": await self.consensus.propose(body(request), 2.0)})
-        except (NotLeader, Lost):
+        except (NotLeaderError, OutcomeUnknownError):
             return answer({"error": "not agreed on here"}, 503)
 
     async def propose(self, command: dict) -> str | None:
-        """Have a command of this conductor agreed on; None if its outcome is unknown (it may yet come)."""
+        """Have a command of this core's conductor committed; None if the outcome is unknown (it may still be)."""
         machine = self.consensus.machine
         try:
             if machine.role == "leader":
@@ -123,210 +130,218 @@
             if machine.leader:
                 reply = await self.caller.json("POST", f"http://{machine.leader}/proposal", command, 2.2, "proposal")
                 return reply["said"]
-        except (NotLeader, Lost, PeerError, KeyError):
+        except (NotLeaderError, OutcomeUnknownError, PeerError, KeyError):
             pass
         return None
 
     # --- leases and freshness ---------------------------------------------------------------------
 
-    async def lease(self, request: Request) -> HTTPResponse:
-        """A conductor asks for its lease, or says that it leaves."""
-        asked = body(request)
-        if asked.get("leaving"):
-            self.list_poller.leave(asked["conductor"])
+    async def handle_lease(self, request: Request) -> HTTPResponse:
+        """Grant a conductor its lease, or record that it leaves."""
+        payload = body(request)
+        if payload.get("leaving"):
+            self.list_poller.on_conductor_left(payload["conductor"])
             return answer({})
-        given = self.list_poller.lease(asked["conductor"])
-        return answer(given) if given else answer({"error": "not the proven leader"}, 503)
+        grant = self.list_poller.grant_lease(payload["conductor"])
+        return answer(grant) if grant else answer({"error": "not the proven leader"}, 503)
 
-    async def keep_lease(self) -> None:
-        """Ask for the lease again and again; each answer also says what was agreed on, so how fresh we are."""
+    async def maintain_lease(self) -> None:
+        """Renew this core's lease periodically; each answer also has the commit index, so how fresh this core is."""
         while True:
             sent, machine = clock(), self.consensus.machine
-            given = None
+            grant = None
             if machine.role == "leader":
-                given = self.list_poller.lease(self.me)
+                grant = self.list_poller.grant_lease(self.me)
             elif machine.leader:
                 try:
-                    given = await self.caller.json(
+                    grant = await self.caller.json(
                         "POST", f"http://{machine.leader}/lease", {"conductor": self.me}, 0.5, "lease"
                     )
                 except PeerError:
-                    given = None
-            if given:
+                    grant = None
+            if grant:
                 if not self.leaving:
-                    self.conductor.leased(sent + given["lease"], given["last"])
+                    self.conductor.on_lease(sent + grant["lease"], grant["last"])
                 for _ in range(20):
-                    if machine.applied >= given["commit"]:
+                    if machine.applied >= grant["commit"]:
                         if clock() >= self.fresh_until:
-                            self.changed()
+                            self.wake_edges()
                         self.fresh_until = sent + FRESH
                         break
                     await asyncio.sleep(0.02)
-                if tuple(given["nodes"]) > self.board.nodes_order and machine.leader:
-                    await self.ask_nodes(machine.leader)
-            await asyncio.sleep(max(0.0, sent + (ASK if given else 0.03) - clock()))
+                if tuple(grant["nodes"]) > self.board.nodes_order and machine.leader:
+                    await self.request_nodes(machine.leader)
+            await asyncio.sleep(max(0.0, sent + (ASK if grant else 0.03) - clock()))
 
-    async def ask_nodes(self, leader: str) -> None:
-        """Ask the leader for a list that is newer than the one here."""
+    async def request_nodes(self, leader: str) -> None:
+        """Request the leader's list of nodes, which is newer than the one here."""
         try:
-            self.list_poller.listed(await self.caller.json("POST", f"http://{leader}/nodes", {}, 0.6, "ask nodes"))
+            self.list_poller.on_list_message(
+                await self.caller.json("POST", f"http://{leader}/nodes", {}, 0.6, "ask nodes")
+            )
         except PeerError:
             pass
 
-    async def nodes(self, request: Request) -> HTTPResponse:
-        """The leader tells its list; or, without a body, another core asks for it."""
+    async def handle_nodes(self, request: Request) -> HTTPResponse:
+        """Apply the list that the leader sends; without a body, another core requests this core's list."""
         message = body(request)
         if not message:
             return answer(self.list_poller.list_message())
-        self.list_poller.listed(message)
+        self.list_poller.on_list_message(message)
         return answer({})
 
     # --- edges ------------------------------------------------------------------------------------
 
-    def changed(self) -> None:
-        """The board has news: wake the edges that wait."""
-        self.news.set()
-        self.news = asyncio.Event()
+    def wake_edges(self) -> None:
+        """The board has updates: wake the calls of edges that wait for them."""
+        self.update_event.set()
+        self.update_event = asyncio.Event()
 
-    async def view(self, request: Request) -> HTTPResponse:
-        """What the edge lacks, at once if there is any, else as soon as there is, or after its wait."""
-        asked = body(request)
+    async def handle_cluster_view(self, request: Request) -> HTTPResponse:
+        """Answer an edge with the updates that it lacks: at once if there are any, else when there are, or when its
+        wait is over."""
+        payload = body(request)
         now = clock()
-        self.loads.heard(now, asked["edge"])
-        self.on_life(asked.get("life", ""))
-        self.asked[asked["edge"]] = now, asked["epoch"], asked["at"]
+        self.loads.heard(now, payload["edge"])
+        self.on_incarnation(payload.get("life", ""))
+        self.edge_calls[payload["edge"]] = now, payload["epoch"], payload["at"]
         arrived = now
-        if asked.get("report"):
-            self.loads.add(now, asked["report"], True)
-        until, patient = now + min(WAIT_MOST, asked.get("wait", 0.0)), now + STALE_WAIT
-        provisional = await self.provisional(asked)
+        if payload.get("report"):
+            self.loads.add(now, payload["report"], True)
+        until, fresh_by = now + min(MAX_WAIT_S, payload.get("wait", 0.0)), now + FRESH_WAIT_S
+        provisional = await self.provisional_view(payload)
         while True:
             now = clock()
-            fresh = self.fresh(now)
-            message = self.board.since(asked, now) if fresh else None
-            if message is not None or now >= until or self.leaving or not fresh and (provisional or now >= patient):
+            fresh = self.is_fresh(now)
+            update = self.board.since(payload, now) if fresh else None
+            if update is not None or now >= until or self.leaving or not fresh and (provisional or now >= fresh_by):
                 break
-            news = self.news
+            update_event = self.update_event
             try:
-                await asyncio.wait_for(news.wait(), min(until, self.fresh_until if fresh else patient) - now)
+                await asyncio.wait_for(update_event.wait(), min(until, self.fresh_until if fresh else fresh_by) - now)
                 if fresh:
-                    await asyncio.sleep(GATHER)
+                    await asyncio.sleep(UPDATE_BATCH_DELAY_S)
             except TimeoutError:
                 pass
-        told = {"fresh": fresh, "zone": self.list_poller.settings.zone, "edges": self.loads.count(now)}
+        response = {"fresh": fresh, "zone": self.list_poller.settings.zone, "edges": self.loads.count(now)}
         if fresh:
-            told["proven"] = round(self.fresh_until - FRESH - PROOF - arrived, 3)
-        if message:
-            told["news"] = message
-        elif provisional and not fresh and self.alone():
-            told["provisional"] = provisional
-        return packed(request, answer(told))
-
-    async def provisional(self, asked: dict) -> dict | None:
-        """What an edge that heard no fresh core may serve by until there is a leader: what the disk here holds as
-        committed, and the list as read here. None where it has as much already, or `alone` does not hold."""
-        if not self.has_more(asked) or not self.alone():
+            response["proven"] = round(self.fresh_until - FRESH - PROOF - arrived, 3)
+        if update:
+            response["news"] = update
+        elif provisional and not fresh and self.may_serve_provisional():
+            response["provisional"] = provisional
+        return packed(request, answer(response))
+
+    async def provisional_view(self, payload: dict) -> dict | None:
+        """The view by which an edge that found no fresh core may serve until there is a leader: the configuration that
+        this core's disk holds as committed, and the list of nodes as read here. None if the edge has as much already,
+        or this core may not serve one."""
+        if not self.has_newer_configuration(payload) or not self.may_serve_provisional():
             return None
         try:
-            nodes = await asyncio.wait_for(self.list_poller.own_nodes(), STALE_WAIT)
+            nodes = await asyncio.wait_for(self.list_poller.own_nodes(), FRESH_WAIT_S)
         except TimeoutError:
             return None
-        if not self.alone():  # a leader was heard meanwhile, or this process stood still
+        if not self.may_serve_provisional():  # a leader was heard meanwhile, or this process was paused
             return None
         return self.board.provisional(nodes, clock())
 
-    def has_more(self, asked: dict) -> bool:
-        """Whether the edge that asks goes by no fresh core's word, and by an older configuration than this one's."""
-        unsure = asked.get("bare") or asked.get("provisional")
-        return bool(unsure) and self.board.config is not None and asked.get("config", -1) < self.board.config[0]
+    def has_newer_configuration(self, payload: dict) -> bool:
+        """Whether the edge that calls has no view of a fresh core, and an older configuration than this core."""
+        unsure = payload.get("bare") or payload.get("provisional")
+        return bool(unsure) and self.board.config is not None and payload.get("config", -1) < self.board.config[0]
 
-    def fresh(self, now: float) -> bool:
-        """Whether edges may go by what this core tells."""
+    def is_fresh(self, now: float) -> bool:
+        """Whether edges may rely on this core's view."""
         return now < self.fresh_until and not self.leaving
 
-    def alone(self) -> bool:
-        """Whether this core only just started, is a member as far as its disk knows, was not fresh in this life, and
-        knows no leader, not even by hearsay: then those that start with it know no more."""
+    def may_serve_provisional(self) -> bool:
+        """Whether this core started a moment ago, is a member as far as its disk knows, was not fresh since its start,
+        and knows of no leader, not even indirectly: then the cores that start with it know no more than it does."""
         machine = self.consensus.machine
-        young = clock() - self.started < PROVISIONAL
-        return young and not self.fresh_until and not self.leaving and machine.role != OUTSIDER and not machine.rumour
+        recent = clock() - self.started_at < PROVISIONAL_PERIOD_S
+        return recent and not self.fresh_until and not self.leaving and machine.role != OUTSIDER and not machine.rumour
 
     # --- operators --------------------------------------------------------------------------------
 
-    async def status(self, request: Request) -> HTTPResponse:
-        """This core's account of itself; nothing changes by it."""
+    async def handle_status(self, request: Request) -> HTTPResponse:
+        """Report this core's status; read-only."""
         now = clock()
         return answer(
-            account.status(
+            status_report.status(
                 now,
                 self.me,
                 self.consensus.machine,
                 self.consensus.state,
                 self.board,
                 self.loads,
-                self.fresh(now),
-                self.asked,
+                self.is_fresh(now),
+                self.edge_calls,
             )
         )
 
-    async def explain(self, request: Request) -> HTTPResponse:
-        """Where this core holds that a request belongs."""
+    async def handle_explain(self, request: Request) -> HTTPResponse:
+        """Report the route that this core finds for a request, and the nodes that may run it."""
         try:
-            asked = body(request)
-            host, path, key = asked["host"], asked["path"], asked.get("key")
+            payload = body(request)
+            host, path, key = payload["host"], payload["path"], payload.get("key")
             if not (isinstance(host, str) and isinstance(path, str) and (key is None or 0 <= key < KEYS)):
                 raise ValueError
         except (KeyError, TypeError, ValueError):
-            return answer({"error": f"host and path are texts, key a number below {KEYS}, if any"}, 400)
-        told = account.explain(clock(), self.consensus.state, self.board, host, path, key)
-        return answer(told | {"fresh": self.fresh(clock())})
+            return answer({"error": f"host and path must be strings, key (optional) a number below {KEYS}"}, 400)
+        report = status_report.explain(clock(), self.consensus.state, self.board, host, path, key)
+        return answer(report | {"fresh": self.is_fresh(clock())})
 
     # --- loads ------------------------------------------------------------------------------------
 
-    async def share(self, request: Request) -> HTTPResponse:
-        """Another core tells what it heard of loads, edges, and nodes that it does not reach."""
-        raw = body(request)
+    async def handle_loads(self, request: Request) -> HTTPResponse:
+        """Apply another core's report of loads, edges, and nodes that it can't reach."""
+        payload = body(request)
         now = clock()
-        if word := raw.pop("unreached", None):
-            self.conductor.peers_reach.hear(now, unreached_nodes(word))
-        for edge in raw.pop("edges", ()):
+        if unreached := payload.pop("unreached", None):
+            self.conductor.peer_reachability.hear(now, unreached_nodes(unreached))
+        for edge in payload.pop("edges", ()):
             self.loads.heard(now, edge, False)
-        self.loads.add(now, raw, False)
+        self.loads.add(now, payload, False)
         return answer({})
 
     async def share_loads(self) -> None:
-        """Tell the other cores each SHARE seconds what was heard here."""
+        """Every LOAD_SHARE_INTERVAL_S, report the loads seen here to the other cores."""
         while True:
-            await asyncio.sleep(SHARE)
-            self.judge()
-            told = self.loads.take(clock())
+            await asyncio.sleep(LOAD_SHARE_INTERVAL_S)
+            self.update_ailing_nodes()
+            report = self.loads.take(clock())
             if unreached := self.conductor.unreached(clock()):
-                told["unreached"] = unreached.to_dict()
-            if told:
+                report["unreached"] = unreached.to_dict()
+            if report:
                 await asyncio.gather(
                     *(
-                        self.caller.json("POST", f"http://{at}/loads", told, 0.6, "loads")
-                        for id, at in self.consensus.machine.members.items()
+                        self.caller.json("POST", f"http://{address}/loads", report, 0.6, "loads")
+                        for id, address in self.consensus.machine.members.items()
                         if id != self.me
                     ),
                     return_exceptions=True,
                 )
 
-    def judge(self) -> None:
-        """Which nodes ail, by what was heard; told to the edges and minded by the placement."""
+    def update_ailing_nodes(self) -> None:
+        """Determine the ailing nodes from the reported loads; edges and the placement take them into account."""
         before = self.board.ailing
         if self.board.set_ailing(self.loads.ailing.judge(clock(), self.board.nodes)):
-            log_warning("nodes ail", found=sorted(self.board.ailing - before), back=sorted(before - self.board.ailing))
-            self.changed()
+            log_warning(
+                "ailing nodes changed",
+                ailing=sorted(self.board.ailing - before),
+                recovered=sorted(before - self.board.ailing),
+            )
+            self.wake_edges()
 
     async def leave(self) -> None:
-        """SIGTERM: act on no lease any more and say so; edges go elsewhere."""
+        """On SIGTERM: stop acting on the lease and report that; edges turn to other cores."""
         self.leaving = True
         self.conductor.stop()
-        self.changed()
+        self.wake_edges()
         machine = self.consensus.machine
         if machine.role == "leader":
-            self.list_poller.leave(self.me)
+            self.list_poller.on_conductor_left(self.me)
         elif machine.leader:
             try:
                 await self.caller.json(
--- a/knotwalk/control_plane/peer_lanes.py
+++ b/knotwalk/control_plane/peer_lanes.py
@@ -1,4 +1,4 @@
-"""Messages to peers, in order: all that wait for a peer go together in the next call, one call at a time."""
+"""Messages to peers, in order: all that are queued for a peer go with the next call, one call at a time."""
 
 from __future__ import annotations
 
@@ -10,50 +10,50 @@
 from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
 
-PATIENCE = 0.6  # for a peer: a lost message is repeated by the machine's own pace
-WAITING_MOST = 256  # messages for a peer that does not answer; the machine repeats what matters
+PEER_CALL_TIMEOUT_S = 0.6  # a lost message is repeated by the consensus machine at its own pace
+MAX_QUEUED_MESSAGES = 256  # for a peer that does not answer; the consensus machine repeats what matters
 
 
 @dataclass(frozen=True)
 class Lane:
-    """What goes to one peer in order, a call at a time. Parts of long contents have a lane of their own, so that no
-    heartbeat waits until one has arrived."""
+    """The queue of messages to one peer, sent in order, one call at a time. Parts of snapshots have a lane of their
+    own, so that no heartbeat waits until one has arrived."""
 
     address: str
-    long: bool
+    is_bulk: bool
 
 
 class PeerLanes:
-    """All lanes of one path of the peers' port. `receive` hears the messages that come back with an answer; `pack` says
-    how a message goes over the wire."""
+    """All lanes of one path of the peers' port. `on_replies` gets the messages that a peer returns with its answer;
+    `pack` encodes a message for the wire."""
 
     def __init__(
         self,
         caller: Caller,
         path: str,
         step: str,
-        receive: Callable[[list], None],
+        on_replies: Callable[[list], None],
         pack: Callable[[dict], Any] = lambda message: message,
     ):
-        self.caller, self.path, self.step, self.receive, self.pack = caller, path, step, receive, pack
+        self.caller, self.path, self.step, self.on_replies, self.pack = caller, path, step, on_replies, pack
         self.outbox: dict[Lane, list[dict]] = {}
-        self.posting: set[Lane] = set()
+        self.sending: set[Lane] = set()
         self.tasks: set[asyncio.Task] = set()
         self.closed = False
 
-    def post(self, address: str, message: dict) -> None:
-        """Send a message to a peer; it may be lost, and is once the lanes are closed."""
+    def send(self, address: str, message: dict) -> None:
+        """Send a message to a peer; it may be lost, and is dropped once the lanes are closed."""
         if self.closed:
             return
         lane = Lane(address, message["type"] == "part")
-        waiting = self.outbox.setdefault(lane, [])
-        if lane.long:
-            waiting.clear()  # a part sent again takes the place of the one before
-        waiting.append(message)
-        if len(waiting) > WAITING_MOST:
-            del waiting[: WAITING_MOST // 2]
-        if lane not in self.posting:
-            self.posting.add(lane)
+        queue = self.outbox.setdefault(lane, [])
+        if lane.is_bulk:
+            queue.clear()  # a part that is sent again replaces the previous one
+        queue.append(message)
+        if len(queue) > MAX_QUEUED_MESSAGES:
+            del queue[: MAX_QUEUED_MESSAGES // 2]
+        if lane not in self.sending:
+            self.sending.add(lane)
             self._spawn(self._deliver(lane))
 
     def _spawn(self, work: Any) -> None:
@@ -67,16 +67,16 @@
                 try:
                     packed = [self.pack(message) for message in messages]
                     answers = await self.caller.json(
-                        "POST", f"http://{lane.address}{self.path}", packed, PATIENCE, self.step
+                        "POST", f"http://{lane.address}{self.path}", packed, PEER_CALL_TIMEOUT_S, self.step
                     )
                 except PeerError:
                     continue
-                self.receive(answers)
+                self.on_replies(answers)
         finally:
-            self.posting.discard(lane)
+            self.sending.discard(lane)
 
     def close(self) -> None:
-        """End all calls; nothing is sent any more."""
+        """Cancel all calls; nothing is sent from now on."""
         self.closed = True
         for task in list(self.tasks):
             task.cancel()
--- a/knotwalk/control_plane/replicated_state.py
+++ b/knotwalk/control_plane/replicated_state.py
@@ -1,11 +1,11 @@
-"""What the core agreed on, as every core machine builds it from the log: configuration, its history, slices.
+"""The state that the core machines replicate, as each builds it from the log: configuration, its history, slices.
 
-Pure and deterministic: the same entries give the same record everywhere. A command that no longer fits is answered
-with why and changes nothing.
+Pure and deterministic: the same entries give the same state everywhere. A command that no longer applies gets the
+reason as its result and changes nothing.
 
-Whether an order is taken rests on the version in force and on the order alone, never on what is remembered of earlier
-ones: members whose memories reach back differently (another program, an older snapshot) take the same orders. Memory
-only tells what to answer.
+Whether a change of configuration is taken depends only on the version in force and on the change, never on the history
+of earlier ones: members whose histories reach back differently (another program version, an older snapshot) must take
+the same changes. The history only determines the answer.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from knotwalk.configuration.read import Invalid, document, patched, read_configuration
 from knotwalk.leases.ledger import Change, Ledger
 
-# Of snapshots; raised when older programs could not read them. 2: rows of the ledger tell of an `early` lease. 3:
-# fences may have a lift; only those that have say so. 4: the history has a floor and marks instead of 64 digests.
+# Of snapshots; raised when older programs can't read them. 2: the ledger's rows mark an `early` lease. 3: fences may
+# have a lift, written only where there is one. 4: the history has a floor and marks instead of 64 digests.
 FORMAT = 4
-HISTORY_WITH_FLOOR = 4
+HISTORY_FLOOR_FORMAT = 4
 
-# What applying an order says.
+# Results of applying a change of configuration.
 DONE = "done"
-ANOTHER = "another version is in place"
-LATE = {Standing.TAKEN: DONE, Standing.NOT_TAKEN: ANOTHER, Standing.UNKNOWN: UNKNOWN}
+VERSION_CONFLICT = "another version is in place"
+RESULT_BY_STANDING = {Standing.TAKEN: DONE, Standing.NOT_TAKEN: VERSION_CONFLICT, Standing.UNKNOWN: UNKNOWN}
 
 
 class ReplicatedState:
-    """The agreed state. `order` is the log index of the configuration in force."""
+    """The replicated state. `configuration_index` is the log index of the configuration in force."""
 
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
-        self.order = -1
+        self.configuration_index = -1
         self.history = History()
         self.ledger = Ledger()
         self.applied = 0
@@ -43,46 +43,46 @@
         return self.configuration.version if self.configuration else 0
 
     def apply(self, index: int, command: dict) -> tuple[str, list[Change]]:
-        """Take the entry `index`: (`DONE` or why not, owner lines that changed)."""
+        """Apply the entry `index`. Returns `DONE` or the reason why not, and the slices that changed."""
         self.applied = index
         if command.get("do") != "configure":
             return DONE, self.ledger.apply(index, command)
         if command["base"] != self.version:
-            return self._late(command), self.ledger.apply(index, {})
+            return self._result_if_late(command), self.ledger.apply(index, {})
         try:
-            fresh = self._made(command)
+            configuration = self._build_configuration(command)
         except Invalid as error:
             return str(error), self.ledger.apply(index, {})
-        self.configuration, self.order = fresh, index
-        self.history.note(fresh.version, command["digest"])
-        sharded = [s.name for s in fresh.services.values() if s.sharded]
+        self.configuration, self.configuration_index = configuration, index
+        self.history.note(configuration.version, command["digest"])
+        sharded = [s.name for s in configuration.services.values() if s.sharded]
         return DONE, self.ledger.apply(index, {"do": "shard", "services": sharded})
 
-    def _late(self, command: dict) -> str:
-        """What is said of an order whose base is not in force: it changes nothing now, but may have before."""
-        version = command.get("version", self.version)  # early programs did not say which version an order makes
-        return LATE[self.history.standing(command["base"], version, command["digest"])]
+    def _result_if_late(self, command: dict) -> str:
+        """The result for a change whose base is not in force: it changes nothing now, but may have done so before."""
+        version = command.get("version", self.version)  # early programs did not store the version that a change makes
+        return RESULT_BY_STANDING[self.history.standing(command["base"], version, command["digest"])]
 
-    def _made(self, command: dict) -> Configuration:
-        """The configuration that a command makes. What a difference leaves alone was read before, and is taken over."""
+    def _build_configuration(self, command: dict) -> Configuration:
+        """Build a command's configuration. Objects that a difference does not mention are taken over as they are."""
         if "difference" in command and self.configuration is not None:
             return patched(self.configuration, command["difference"])
         return read_configuration(command["document"])
 
-    def calls_for_news(self, command: dict, said: str) -> bool:
-        """Whether the entry has put another configuration in force."""
-        return command.get("do") == "configure" and said == DONE
+    def requires_notification(self, command: dict, result: str) -> bool:
+        """Whether the entry put another configuration in force."""
+        return command.get("do") == "configure" and result == DONE
 
-    def work_of(self, command: dict) -> int:
-        """How many items the entry went through: a change of configuration goes through all that there are."""
+    def replay_cost(self, command: dict) -> int:
+        """The number of items that applying the entry went through: a change of configuration goes through all."""
         return len(self.configuration.items) if self.configuration and command.get("do") == "configure" else 0
 
     def to_dict(self) -> dict:
-        """A snapshot, JSON-able."""
+        """A snapshot that JSON can encode."""
         return {
             "format": FORMAT,
             "applied": self.applied,
-            "order": self.order,
+            "order": self.configuration_index,
             "history": self.history.to_dict(),
             "configuration": document(self.configuration) if self.configuration else None,
             "ledger": self.ledger.to_dict(),
@@ -90,13 +90,13 @@
 
     @classmethod
     def from_dict(cls, raw: dict) -> ReplicatedState:
-        """The record of a snapshot; ValueError if it is of a later format."""
+        """The state of a snapshot; ValueError if its format is newer than this program reads."""
         if raw["format"] > FORMAT:
-            raise ValueError(f"the snapshot has format {raw['format']}, this program reads up to {FORMAT}")
-        made = cls()
-        made.applied, made.order = raw["applied"], raw["order"]
-        remembered = History.from_dict if raw["format"] >= HISTORY_WITH_FLOOR else History.from_before
-        made.history = remembered(raw["history"])
-        made.configuration = read_configuration(raw["configuration"]) if raw["configuration"] else None
-        made.ledger = Ledger.from_dict(raw["ledger"])
-        return made
+            raise ValueError(f"snapshot has format {raw['format']}; this program reads formats up to {FORMAT}")
+        state = cls()
+        state.applied, state.configuration_index = raw["applied"], raw["order"]
+        read_history = History.from_dict if raw["format"] >= HISTORY_FLOOR_FORMAT else History.from_before
+        state.history = read_history(raw["history"])
+        state.configuration = read_configuration(raw["configuration"]) if raw["configuration"] else None
+        state.ledger = Ledger.from_dict(raw["ledger"])
+        return state
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -1,4 +1,4 @@
-"""One conductor: drives the pure keeper of leased slices and the placer, and makes their calls to nodes."""
+"""One conductor: drives the keeper of leased slices and the placer, which are pure, and makes their calls to nodes."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 from knotwalk.runtime.logs import clock, log_exception, log_info, log_warning
 from knotwalk.runtime.units import text
 
-STEP = 0.1  # seconds between questions whether the placement is to be looked at
-# Calls under way to one node. Who takes slices over grants all of them at once: 118 calls to one node opened so many
-# connections that it reset those over its bound, ours and the edges'. Four at a time are done in a tenth of a second.
-# Releases, 42 at once when a node leaves, are answered when work has ended: more lanes than it can have works in hand.
-LANES = {"grant": 4, "release": 16}
-LANE_WAIT = 1.0  # seconds that a call waits for its turn: as long as a node that says nothing holds the others up
+PLACEMENT_INTERVAL_S = 0.1  # between checks whether the placement is to be recomputed
+# Calls in progress to one node at a time. A conductor that takes slices over grants all of them at once: 118 calls to
+# one node opened so many connections that the node reset those over its limit, ours and the edges'. Four at a time
+# complete in a tenth of a second. Releases (42 at once when a node leaves) are answered when the node's work has ended,
+# so there are more slots than a node can have requests in progress.
+MAX_CONCURRENT_CALLS = {"grant": 4, "release": 16}
+CALL_QUEUE_TIMEOUT_S = 1.0  # a call's wait for a slot: as long as an unresponsive node holds the other calls up
 
 
 def log_event(event: Event) -> None:
-    """A line of the log for what the keeper found; none for the ordinary way, a release."""
+    """Log an event of the keeper; none for a release, which is the ordinary case."""
     match event:
         case NodeUnreachable(node, address, refused):
             log_warning("node unreachable", node=node, address=list(address), refused=refused)
@@ -38,7 +39,7 @@
 
 
 class SliceManager:
-    """Acts only on slices that the agreed log leases to `me`, and only while its lease is proven."""
+    """Acts only on slices that the replicated ledger leases to `me`, and only while that lease is valid."""
 
     def __init__(
         self,
@@ -55,46 +56,46 @@
         self.me, self.consensus, self.board, self.loads, self.caller = me, consensus, board, loads, caller
         self.pace, self.propose = pace, propose
         self.keeper = Keeper(me, pace, seed, clock())
-        self.peers_reach = PeerReachability()
+        self.peer_reachability = PeerReachability()
         self.placer = Placer(me, seed, zone)
         self.timer: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task] = set()
-        self.lanes: dict[tuple[tuple[str, int], str], asyncio.Semaphore] = {}  # by a node's address and the call
+        self.call_slots: dict[tuple[tuple[str, int], str], asyncio.Semaphore] = {}  # by a node's address and call name
         self.stopped = False
-        self.cleared: Counter[Evidence] = Counter()  # slices whose former holder was cleared
-        self.calls: Counter[tuple[str, str]] = Counter()  # by call, and how it ended
+        self.cleared_counts: Counter[Evidence] = Counter()  # slices whose former holder was cleared, by evidence
+        self.call_counts: Counter[tuple[str, str]] = Counter()  # by call and outcome
 
-    def leased(self, until: float, index: int) -> None:
-        """A lease until then, given when the leader's log went to `index`."""
+    def on_lease(self, until: float, index: int) -> None:
+        """This core was granted a lease until `until`; the leader's log had reached `index` then."""
         self.keeper.leased(clock(), until, index)
-        self.carry_out()
+        self.perform_actions()
 
-    def look(self, whole: bool = False) -> None:
-        """The agreed ledger took an entry, or stands anew."""
+    def on_ledger_change(self, whole: bool = False) -> None:
+        """An entry of the replicated ledger was applied, or (`whole`) the ledger was replaced."""
         ledger = self.consensus.state.ledger
         self.keeper.look(clock(), ledger, None if whole else ledger.touched)
-        self.carry_out()
+        self.perform_actions()
 
-    def listed(self) -> None:
-        """The platform's list is another."""
+    def on_nodes_changed(self) -> None:
+        """The platform's list of nodes changed."""
         self.keeper.nodes(clock(), self.board.nodes)
         listed = {node.address for node in self.board.nodes.values()}
-        self.lanes = {key: lane for key, lane in self.lanes.items() if key[0] in listed}
-        self.carry_out()
+        self.call_slots = {key: slot for key, slot in self.call_slots.items() if key[0] in listed}
+        self.perform_actions()
 
     def tick(self) -> None:
-        """Let the keeper see the time."""
+        """Advance the keeper to the current time."""
         self.keeper.tick(clock())
-        self.carry_out()
+        self.perform_actions()
 
     def stop(self) -> None:
-        """Act no more: nothing is granted, renewed or released from now on."""
+        """Stop: nothing is granted, renewed or released from now on."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
 
-    def carry_out(self) -> None:
-        """Log what the keeper found, make its calls, and see when to call it next."""
+    def perform_actions(self) -> None:
+        """Log the keeper's events, perform its actions, and set the timer for its next tick."""
         if self.stopped:
             return
         keeper = self.keeper
@@ -102,7 +103,7 @@
         for event in events:
             log_event(event)
             if isinstance(event, HolderCleared):
-                self.cleared[event.evidence] += event.slices
+                self.cleared_counts[event.evidence] += event.slices
         while keeper.orders:
             orders, keeper.orders = keeper.orders, []
             for order in orders:
@@ -123,15 +124,15 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _grant(self, order: Grant) -> None:
-        body = {
+        payload = {
             "source_version": order.first_key,
             "target_version": order.last_key,
             "fence": order.fence,
             "hold": text(order.hold),
         }
         if order.handover:
-            body["handover"] = order.handover
-        await self._call(order, "grant", body)
+            payload["handover"] = order.handover
+        await self._call(order, "grant", payload)
 
     async def _release(self, order: Release) -> None:
         await self._call(
@@ -140,91 +141,92 @@
             {"source_version": order.first_key, "target_version": order.last_key, "fence": order.fence},
         )
 
-    async def _call(self, order: Grant | Release, step: str, body: dict) -> None:
-        """Wait for a lane, make the call if it may still be begun, and tell the keeper how it ended."""
-        lane = self.lanes.setdefault((order.address, step), asyncio.Semaphore(LANES[step]))
+    async def _call(self, order: Grant | Release, step: str, payload: dict) -> None:
+        """Wait for a slot, make the call if it may still be made, and report its outcome to the keeper."""
+        slot = self.call_slots.setdefault((order.address, step), asyncio.Semaphore(MAX_CONCURRENT_CALLS[step]))
         status: int | str | None = UNSENT
         handover = None
         try:
-            async with asyncio.timeout(LANE_WAIT):
-                await lane.acquire()
+            async with asyncio.timeout(CALL_QUEUE_TIMEOUT_S):
+                await slot.acquire()
         except TimeoutError:
             pass
         else:
             try:
                 until = order.expires if isinstance(order, Grant) else self.keeper.until
-                if not self.stopped and clock() < until:  # its turn may have come late
-                    status, handover = await self._sent(order, step, body)
+                if not self.stopped and clock() < until:  # the slot may have come too late
+                    status, handover = await self._send_call(order, step, payload)
             finally:
-                lane.release()
-        self.calls[step, str(status or "silent")] += 1
+                slot.release()
+        self.call_counts[step, str(status or "silent")] += 1
         if not self.stopped:
             self.keeper.answered(clock(), order, status, handover)
-            self.carry_out()
+            self.perform_actions()
 
-    async def _sent(self, order: Grant | Release, step: str, body: dict) -> tuple[int | str | None, str | None]:
+    async def _send_call(self, order: Grant | Release, step: str, payload: dict) -> tuple[int | str | None, str | None]:
         host, port = order.address
         try:
-            patience = self.pace.call_timeout if step == "grant" else self.pace.release_timeout
-            # A release that counts as answered while work runs on would give the keys to two at once. Nodes name no
-            # call in their answers, so each release has a connection of its own, on which no other answer can come.
-            alone = step == "release"
+            timeout_s = self.pace.call_timeout if step == "grant" else self.pace.release_timeout
+            # If a release counted as answered while work goes on, two nodes would have the same keys. Answers of nodes
+            # don't name their call, so each release has its own connection, on which no other answer can arrive.
+            own_connection = step == "release"
             url = f"http://{host}:{port}/{step}"
-            status, heads, _ = await self.caller.send("POST", url, body, patience, step, None, alone)
-            return status, heads.get("handover")
+            status, headers, _ = await self.caller.send("POST", url, payload, timeout_s, step, None, own_connection)
+            return status, headers.get("handover")
         except Refused:
             return REFUSED, None
         except PeerError:
             return None, None
 
-    async def place(self) -> None:
-        """Propose what the placer wants moved, again and again."""
+    async def run_placement(self) -> None:
+        """Propose the moves that the placer wants, periodically."""
         while not self.stopped:
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(PLACEMENT_INTERVAL_S)
             now = clock()
             if now >= self.keeper.until or not self.board.nodes:
                 continue
             try:
-                moves = self.moves(now)
-            except Exception:  # a placement that fails must not end the renewals
+                moves = self.plan_moves(now)
+            except Exception:  # a failing placement must not end the renewals of grants
                 log_exception("placement failed")
                 continue
             for command in moves:
                 log_info("moves", runs=len(command["moves"]), first=command["moves"][0])
                 await self.propose(command)
 
-    def moves(self, now: float) -> list[dict]:
-        """What the placer wants moved, if there is anything new to look at."""
+    def plan_moves(self, now: float) -> list[dict]:
+        """The placer's moves, if anything that it depends on has changed."""
         ledger = self.consensus.state.ledger
         unreachable = {id for id in self.board.nodes if self.keeper.unreachable(id)}
         lapsed = self.keeper.lapsed(now)
-        avoided = frozenset(self.peers_reach.since(now))
-        news = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.ailing
-        if not self.placer.due(now, news):
+        avoided = frozenset(self.peer_reachability.since(now))
+        inputs = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.ailing
+        if not self.placer.due(now, inputs):
             return []
-        return self.placer.place(now, ledger, self.board.nodes, self.report(now, unreachable, lapsed, avoided))
+        return self.placer.place(now, ledger, self.board.nodes, self.build_report(now, unreachable, lapsed, avoided))
 
     def unreached(self, now: float) -> UnreachedNodes | None:
-        """What to tell the other cores of nodes that this one does not reach; None where it reaches all."""
+        """The nodes that this core can't reach, for the other cores; None if it reaches all."""
         nodes = self.keeper.unreached(now)
         return UnreachedNodes(self.me, nodes) if nodes else None
 
-    def report(
+    def build_report(
         self, now: float, unreachable: set[str], lapsed: frozenset[tuple[str, int]], avoided: frozenset[str]
     ) -> Report:
-        """What the placement goes by, besides the ledger and the list."""
+        """The placer's input besides the ledger and the list of nodes."""
         sums, spans = self.loads.sums(now)
-        # Requests, not their seconds: those grow with a node's queue, and would make the slices of a full node heavier.
+        # Numbers of requests, not their durations: those grow with a node's queue, and would make the slices of a full
+        # node seem heavier.
         demand = {
             service: {int(slice): count / spans[service] for slice, count in slices.items()}
             for service, slices in sums.get("demand", {}).items()
             if slices
         }
-        told = utilizations(sums.get("nodes", {}), spans, self.board.nodes)
+        utilization = utilizations(sums.get("nodes", {}), spans, self.board.nodes)
         return Report(
             demand=demand,
-            utilization=told,
-            heard={id: now for id in told},
+            utilization=utilization,
+            heard={id: now for id in utilization},
             spans=spans,
             unreachable=unreachable,
             lapsed=lapsed,
--- a/knotwalk/control_plane/account.py
+++ b/knotwalk/control_plane/status_report.py
@@ -1,6 +1,6 @@
-"""A core's account of itself, for operators: read, never changed by the asking. Pure.
+"""A core's status report for operators; read-only. Pure.
 
-`leases` counts slices by conductor; an edge is `current` if it had all of this core's board when it last asked.
+`leases` counts slices by conductor; an edge is `current` if it had all updates of this core's board at its last call.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from knotwalk.discovery.loads import Loads
 from knotwalk.discovery.view_types import WIDTH, entry
 
-EDGES_SPAN = 10.0  # seconds after which an edge that was not heard of counts as gone
+EDGE_EXPIRY_S = 10.0  # an edge that was not heard of for this long counts as gone
 
 
 def status(
@@ -27,21 +27,22 @@
     board: Board,
     loads: Loads,
     fresh: bool,
-    asked: dict[str, tuple[float, str, int]],
+    edge_calls: dict[str, tuple[float, str, int]],
 ) -> dict[str, Any]:
-    """`asked`: by edge that calls here, when it last did, and the epoch and revision of the board it had then."""
+    """The core's status. `edge_calls`: for each edge that calls here, when it called last, and the epoch and revision
+    of the board that it had then."""
     edges = []
-    for name, at in sorted(loads.edges.items()):
-        if now - at >= EDGES_SPAN:
+    for name, heard_at in sorted(loads.edges.items()):
+        if now - heard_at >= EDGE_EXPIRY_S:
             continue
-        told: dict[str, Any] = {"edge": name, "ago": round(now - at, 3)}
-        if name in asked and now - asked[name][0] < EDGES_SPAN:
-            told["current"] = asked[name][1:] == (board.epoch, board.at)
-        edges.append(told)
+        report: dict[str, Any] = {"edge": name, "ago": round(now - heard_at, 3)}
+        if name in edge_calls and now - edge_calls[name][0] < EDGE_EXPIRY_S:
+            report["current"] = edge_calls[name][1:] == (board.epoch, board.at)
+        edges.append(report)
     leases, unopened = {}, {}
-    for service, line in state.ledger.slices.items():
-        leases[service] = dict(sorted(Counter(x.conductor for x in line).items()))
-        unopened[service] = sum(not x.open for x in line)
+    for service, slices in state.ledger.slices.items():
+        leases[service] = dict(sorted(Counter(slice.conductor for slice in slices).items()))
+        unopened[service] = sum(not slice.open for slice in slices)
     return {
         "me": me,
         "role": machine.role,
@@ -53,7 +54,7 @@
         "applied": machine.applied,
         "last": machine.log.last,
         "config_version": version_text(state.version) if state.configuration else None,
-        "config_order": state.order,
+        "config_order": state.configuration_index,
         "tenants": len(state.configuration.tenants) if state.configuration else 0,
         "nodes": {
             "order": list(board.nodes_order),
@@ -69,7 +70,7 @@
 
 
 def explain(now: float, state: ReplicatedState, board: Board, host: str, path: str, key: int | None) -> dict[str, Any]:
-    """Where this core holds that a request belongs: its route, and for each service of it who may run it."""
+    """The route that this core finds for a request, and for each of its services the nodes that may run it."""
     if state.configuration is None:
         return {"config_version": None, "route": None, "services": []}
     version = version_text(state.version)
@@ -78,28 +79,28 @@
         return {"config_version": version, "route": None, "services": []}
     services: list[dict[str, Any]] = []
     for name, weight in route.splits:
-        told: dict[str, Any] = {
+        report: dict[str, Any] = {
             "service": name,
             "weight": weight,
             "sharded": state.configuration.services[name].sharded,
         }
-        there = [node for node in board.nodes.values() if node.service == name]
-        told["nodes"] = {"count": len(there), "draining": sum(node.draining for node in there)}
-        if told["sharded"] and key is not None and name in state.ledger.slices:
-            x = state.ledger.slices[name][key // WIDTH]
-            node = board.nodes.get(x.owner)
-            told["line"] = {
+        service_nodes = [node for node in board.nodes.values() if node.service == name]
+        report["nodes"] = {"count": len(service_nodes), "draining": sum(node.draining for node in service_nodes)}
+        if report["sharded"] and key is not None and name in state.ledger.slices:
+            slice = state.ledger.slices[name][key // WIDTH]
+            node = board.nodes.get(slice.owner)
+            report["line"] = {
                 "slice": key // WIDTH,
                 "first_key": key // WIDTH * WIDTH,
                 "last_key": key // WIDTH * WIDTH + WIDTH - 1,
-                "conductor": x.conductor,
-                "owner": x.owner,
-                "fence": x.fence,
-                "open": x.open,
-                "before": [id for id, _ in x.before],
+                "conductor": slice.conductor,
+                "owner": slice.owner,
+                "fence": slice.fence,
+                "open": slice.open,
+                "before": [id for id, _ in slice.before],
                 "node": entry(node, now) if node else None,
             }
-        services.append(told)
+        services.append(report)
     return {
         "config_version": version,
         "services": services,
--- a/knotwalk/edge/admission_calls.py
+++ b/knotwalk/edge/admission_calls.py
@@ -20,8 +20,8 @@
 from knotwalk.runtime.logs import log_warning
 from knotwalk.shared_state.messages import (
     Admission,
-    AdmissionAsk,
-    AdmissionTold,
+    AdmissionRequest,
+    AdmissionResponse,
     EdgeBatch,
     Ending,
     OperationEnd,
@@ -42,16 +42,16 @@
 AVOID = 2.0
 # Seconds by which asks are counted.
 STEPS = (0.01, 0.02, 0.04, 0.08)
-NOT_TOLD = AdmissionTold(Admission.UNAVAILABLE)
+NOT_TOLD = AdmissionResponse(Admission.UNAVAILABLE)
 
 
 @dataclass(slots=True)
 class Waiting:
     """An ask that waits to be told; `cores` holds those that were asked, `by` is the one that told."""
 
-    ask: AdmissionAsk
+    ask: AdmissionRequest
     until: float
-    told: asyncio.Future[AdmissionTold]
+    told: asyncio.Future[AdmissionResponse]
     cores: list[str] = field(default_factory=list)
     by: str = ""
 
@@ -69,7 +69,7 @@
 class Asked:
     """What was told; `cores`: those that granted the ask, or may have."""
 
-    told: AdmissionTold
+    told: AdmissionResponse
     cores: tuple[str, ...] = ()
 
 
@@ -100,7 +100,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._calls: set[asyncio.Task] = set()
 
-    async def ask(self, ask: AdmissionAsk, until: float) -> Asked:
+    async def ask(self, ask: AdmissionRequest, until: float) -> Asked:
         """Ask until told, or the steady clock shows `until`: UNAVAILABLE, and `cores` may have granted it."""
         begun = self.clock()
         waiting = Waiting(ask, until, asyncio.get_running_loop().create_future())
@@ -139,7 +139,7 @@
         for lane in self.lanes:
             await lane.close()
 
-    def _note(self, told: AdmissionTold, took: float) -> None:
+    def _note(self, told: AdmissionResponse, took: float) -> None:
         """Count an ask by how long it took."""
         self.waited += took
         step = next((step for step in STEPS if took <= step), None)
@@ -205,7 +205,7 @@
             if lane.keep_only(core):
                 await asyncio.sleep(0)  # only then the descriptor is free that the next connection takes
             raw = await lane.json("POST", f"http://{core}/admissions", message, patience, "admissions")
-            told = [AdmissionTold.from_json(one) for one in raw["told"]]
+            told = [AdmissionResponse.from_json(one) for one in raw["told"]]
             if len(told) != len(batch):
                 raise ValueError("another number of answers than asks")
         except (PeerError, KeyError, TypeError, ValueError) as error:
--- a/knotwalk/edge/operation_steps.py
+++ b/knotwalk/edge/operation_steps.py
@@ -8,7 +8,7 @@
 
 from knotwalk.admission.outcome import End, Move
 from knotwalk.edge.node_answer import Answer
-from knotwalk.shared_state.messages import Admission, AdmissionTold, Ending, OperationEnd, StoredAnswer
+from knotwalk.shared_state.messages import Admission, AdmissionResponse, Ending, OperationEnd, StoredAnswer
 
 # Seconds between asks for an operation that another try runs, and between asks while it can't be told.
 REPEAT_LEAST, REPEAT_MOST = 0.05, 0.1
@@ -56,20 +56,20 @@
     until: float
 
 
-def step(told: AdmissionTold, in_work_at: float | None, now: float, patience: Patience) -> Step:
+def step(told: AdmissionResponse, in_work_at: float | None, now: float, patience: Patience) -> Step:
     """What follows. `in_work_at`: when a core told last that its operation is in work, None if none did.
 
     UNAVAILABLE without a time to come back says that the core waits for others' word.
 
     >>> times = Patience(1.1, 1.3, 2.0)
-    >>> step(AdmissionTold(Admission.IN_WORK), None, 1.0, times)
+    >>> step(AdmissionResponse(Admission.IN_PROGRESS), None, 1.0, times)
     <Step.WAIT: 'wait'>
-    >>> [step(AdmissionTold(Admission.UNAVAILABLE, wait), None, 1.2, times) for wait in (0.0, 0.2)]
+    >>> [step(AdmissionResponse(Admission.UNAVAILABLE, wait), None, 1.2, times) for wait in (0.0, 0.2)]
     [<Step.WAIT: 'wait'>, <Step.COME_BACK: 'come back'>]
     """
     if told.admission in AT_ONCE:
         return AT_ONCE[told.admission]
-    if told.admission is Admission.IN_WORK:
+    if told.admission is Admission.IN_PROGRESS:
         return Step.WAIT if now < patience.until else Step.CONFLICT
     if in_work_at is None:
         return Step.WAIT if now < (patience.early if told.retry_after else patience.late) else Step.COME_BACK
@@ -101,12 +101,12 @@
     ending: Ending
     answer: StoredAnswer | None = None
 
-    def as_told(self) -> AdmissionTold | None:
+    def as_told(self) -> AdmissionResponse | None:
         """What a repeat that waited here for this end is told; None if its operation is free again."""
         if self.ending is Ending.NEVER_RAN:
             return None
         admission = Admission.ANSWERED if self.ending is Ending.ANSWERED else Admission.UNKNOWN
-        return AdmissionTold(admission, answer=self.answer)
+        return AdmissionResponse(admission, answer=self.answer)
 
 
 def run_end(move: Move, answer: Answer | None) -> RunEnd:
--- a/knotwalk/edge/operations.py
+++ b/knotwalk/edge/operations.py
@@ -31,7 +31,7 @@
 )
 from knotwalk.edge.stages import Stage
 from knotwalk.runtime.settings import Settings
-from knotwalk.shared_state.messages import Admission, AdmissionAsk, AdmissionTold, Ending, operation_id
+from knotwalk.shared_state.messages import Admission, AdmissionRequest, AdmissionResponse, Ending, operation_id
 
 CONTRACT = "keys"  # the part of the rules by which requests of keyed routes are operations
 # Seconds that an ask for an operation in work may take.
@@ -74,7 +74,7 @@
         self.running: dict[str, Running] = {}
         self._number = count(1)
 
-    def ask_of(self, exchange: Exchange) -> AdmissionAsk | None:
+    def ask_of(self, exchange: Exchange) -> AdmissionRequest | None:
         """What must be asked before the request may run, None if nothing binds it.
 
         The attempt is a number of this life: a client's id may come twice, and each request that bears it is a try of
@@ -86,7 +86,7 @@
             return None
         attempt = str(next(self._number))
         operation = operation_id(exchange.tenant, exchange.operation) if keyed else ""
-        return AdmissionAsk(exchange.tenant if limited else "", operation, attempt)
+        return AdmissionRequest(exchange.tenant if limited else "", operation, attempt)
 
     async def carry(self, exchange: Exchange) -> None:
         """Carry a request to its answer, asking for leave first where something binds it."""
@@ -100,7 +100,7 @@
             return
         await self._admit(exchange, ask)
 
-    async def _admit(self, exchange: Exchange, ask: AdmissionAsk) -> None:
+    async def _admit(self, exchange: Exchange, ask: AdmissionRequest) -> None:
         """Ask until something follows."""
         cores: tuple[str, ...] = ()  # that may have granted the ask
         in_work_at: float | None = None
@@ -110,7 +110,7 @@
             asked = await self._ask(ask, in_work_at is not None, patience)
             cores = tuple(dict.fromkeys((*cores, *asked.cores)))
             now = self.forwarder.clock()
-            if asked.told.admission is Admission.IN_WORK:
+            if asked.told.admission is Admission.IN_PROGRESS:
                 in_work_at = now
             follows = step(asked.told, in_work_at, now, patience)
             if exchange.gone and follows in (Step.WAIT, Step.CARRY):
@@ -133,7 +133,7 @@
                 self.calls.end(cores, ask.operation, ask.attempt, Ending.NEVER_RAN)
             self._settle(exchange, ask, follows, asked.told)
 
-    async def _ask(self, ask: AdmissionAsk, in_work: bool, patience: Patience) -> Asked:
+    async def _ask(self, ask: AdmissionRequest, in_work: bool, patience: Patience) -> Asked:
         """One ask; a repeat of what runs at this edge waits for its end instead."""
         running = self.running.get(ask.operation) if ask.operation else None
         now = self.forwarder.clock()
@@ -142,14 +142,14 @@
                 async with asyncio.timeout(max(0.0, patience.until - now)):
                     ended = await asyncio.shield(running.ended)
             except TimeoutError:
-                return Asked(AdmissionTold(Admission.IN_WORK))
+                return Asked(AdmissionResponse(Admission.IN_PROGRESS))
             if (told := ended.as_told()) is not None:
                 return Asked(told)
             now = self.forwarder.clock()
         until = min(now + ASK_IN_WORK, patience.until) if in_work else patience.late
         return await self.calls.ask(ask, until)
 
-    async def _run(self, exchange: Exchange, ask: AdmissionAsk, cores: tuple[str, ...]) -> None:
+    async def _run(self, exchange: Exchange, ask: AdmissionRequest, cores: tuple[str, ...]) -> None:
         """Carry an operation that is granted, and tell how it ended: as unknown, should the carrying fail."""
         running = self.running[ask.operation] = Running(ask.attempt, cores)
         ended = RunEnd(Ending.UNKNOWN)
@@ -161,7 +161,7 @@
             self.calls.end(cores, ask.operation, ask.attempt, ended.ending, ended.answer)
             running.ended.set_result(ended)
 
-    def _settle(self, exchange: Exchange, ask: AdmissionAsk, follows: Step, told: AdmissionTold) -> None:
+    def _settle(self, exchange: Exchange, ask: AdmissionRequest, follows: Step, told: AdmissionResponse) -> None:
         """Answer a request that does not run."""
         forwarder = self.forwarder
         if follows is Step.LIMITED:
--- a/knotwalk/shared_state/__init__.py
+++ b/knotwalk/shared_state/__init__.py
@@ -1,6 +1,6 @@
-"""What all machines must know alike of tenants: who runs a keyed operation, and how much each tenant may still send.
+"""State of tenants that all machines share: who runs a keyed operation, and how much each tenant may still send.
 
-Owns the messages of both, the table of claims that a group agrees on, answers kept for repeats, and the buckets from
-which allowance is given out. Pure; must never let an operation run twice within its window, and never give out more
-than a tenant's limit bears, whatever is lost.
+Contains the messages for both, the table of claims that a group agrees on, the answers stored for repeated requests,
+and the token buckets of tenants' limits. Pure. Whatever messages or machines are lost, no operation may run twice
+within its window, and no tenant may be granted more than its limit allows.
 """
--- a/knotwalk/shared_state/answers.py
+++ b/knotwalk/shared_state/answers.py
@@ -1,6 +1,6 @@
-"""What a core machine keeps of the operations whose claims name it as the keeper of their answers. Pure.
+"""What a core machine knows of the operations whose claims name it as the keeper of their answers. Pure.
 
-It is kept in memory only: what is lost here is unknown from then on, and is never taken for one that did not run.
+Kept in memory only: an operation whose record is lost counts as UNKNOWN from then on, never as one that did not run.
 """
 
 from __future__ import annotations
@@ -11,45 +11,45 @@
 
 from knotwalk.shared_state.messages import Ending, Holder, StoredAnswer
 
-# Of a machine's memory, what answers may take.
-MEMORY_PART = 0.125
-# Bytes that an operation takes beside its answer's body, its headers counted as their letters.
-OVERHEAD = 1200
-# Seconds past the window (`key_period`) until an operation is forgotten here: its claim must have ended by then.
-WINDOW_MARGIN = 12.0
+# Fraction of a machine's memory that answers may take.
+MEMORY_FRACTION = 0.125
+# Bytes that a record takes in addition to its answer (body, and headers by their number of characters).
+ENTRY_OVERHEAD_BYTES = 1200
+# How long past the window (`key_period`) a record is kept: by then the claim of its operation must have expired.
+WINDOW_MARGIN_S = 12.0
 
 
 class Phase(Enum):
-    """What is known here of an operation."""
+    """What this core knows of an operation."""
 
     RUNNING = "running"
-    FREED = "freed"  # its holder said that it surely never ran: its claim is given back
+    FREED = "freed"  # its holder reported that it did not run: its claim is released
     ANSWERED = "answered"
-    UNKNOWN = "unknown"  # it may have run, and its answer can't be had
+    UNKNOWN = "unknown"  # it may have run, and its answer is not available
 
 
-# An operation that was given up as unknown may still be told of: what its edge says is the truth, however late.
+# An edge may still report on an operation that was given up as UNKNOWN: its report is authoritative, however late.
 TRANSITIONS = {
     Phase.RUNNING: {Phase.FREED, Phase.ANSWERED, Phase.UNKNOWN},
     Phase.UNKNOWN: {Phase.FREED, Phase.ANSWERED},
     Phase.FREED: set(),
     Phase.ANSWERED: set(),
 }
-PHASES = {Ending.ANSWERED: Phase.ANSWERED, Ending.NEVER_RAN: Phase.FREED, Ending.UNKNOWN: Phase.UNKNOWN}
+PHASE_OF_ENDING = {Ending.ANSWERED: Phase.ANSWERED, Ending.NEVER_RAN: Phase.FREED, Ending.UNKNOWN: Phase.UNKNOWN}
 
 
 @dataclass(slots=True)
-class Kept:
-    """One operation: who holds its claim, since when by the steady clock, and how it stands."""
+class OperationRecord:
+    """One operation: the holder of its claim, since when by the monotonic clock, and its phase."""
 
     holder: Holder
     since: float
     phase: Phase = Phase.RUNNING
     answer: StoredAnswer | None = None
-    size: int = OVERHEAD
+    size: int = ENTRY_OVERHEAD_BYTES
 
-    def to(self, phase: Phase) -> bool:
-        """Change the phase, the only place that does; whether it may be changed so."""
+    def transition_to(self, phase: Phase) -> bool:
+        """Change the phase, if the transition is allowed; return whether it is. Nothing else changes a phase."""
         if phase not in TRANSITIONS[self.phase]:
             return False
         self.phase = phase
@@ -57,87 +57,87 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """How an operation stands; `answer` where it is ANSWERED."""
+class OperationStatus:
+    """The phase of an operation; `answer` if it is ANSWERED."""
 
     phase: Phase
     answer: StoredAnswer | None = None
 
 
 def size_of(answer: StoredAnswer) -> int:
-    """Bytes that an answer takes."""
+    """The size of an answer in bytes."""
     return len(answer.body) + sum(len(name) + len(value) for name, value in answer.headers)
 
 
 class Answers:
-    """Operations by their id, the oldest first; `most` bytes at most, each for `window` seconds.
+    """Records of operations by id, oldest first; `max_bytes` in all, each for `window` seconds.
 
-    A run whose edge has said nothing for `longest` seconds, the whole window at first, counts as unknown."""
+    A run that its edge has not reported on for `max_run_s` seconds (at first the whole window) counts as UNKNOWN."""
 
-    def __init__(self, most: int, window: float):
-        self.most, self.window, self.longest = most, window + WINDOW_MARGIN, window
-        self.kept: OrderedDict[str, Kept] = OrderedDict()
+    def __init__(self, max_bytes: int, window: float):
+        self.max_bytes, self.window, self.max_run_s = max_bytes, window + WINDOW_MARGIN_S, window
+        self.operations: OrderedDict[str, OperationRecord] = OrderedDict()
         self.size = 0
 
-    def begun(self, now: float, operation: str, holder: Holder) -> bool:
-        """The claim of `holder` was granted; False if that holder has ended already, and so must not be let run."""
-        found = self.kept.get(operation)
-        if found is not None and found.holder == holder:
-            return found.phase is Phase.RUNNING
-        self._put(operation, Kept(holder, now))
-        self._bound(now)
+    def begin(self, now: float, operation: str, holder: Holder) -> bool:
+        """Record that the claim of `holder` was granted. False if that run has already ended, so it must not start."""
+        record = self.operations.get(operation)
+        if record is not None and record.holder == holder:
+            return record.phase is Phase.RUNNING
+        self._store(operation, OperationRecord(holder, now))
+        self._evict(now)
         return True
 
-    def ended(
+    def end(
         self, now: float, operation: str, holder: Holder, ending: Ending, answer: StoredAnswer | None = None
     ) -> Holder:
-        """The edge tells how the run of `holder` ended, of which nothing may be known here any more; the holder as the
-        claim names it. Words of a holder that another one has followed change nothing."""
-        found = self.kept.get(operation)
-        if found is None:
-            found = Kept(holder, now)
-            self._put(operation, found)
-        elif (found.holder.life, found.holder.attempt) != (holder.life, holder.attempt):
+        """Record how an edge reported the run of `holder` to have ended, even if no record of it is left here. Returns
+        the holder as its claim names it. A report on a holder that another one has replaced changes nothing."""
+        record = self.operations.get(operation)
+        if record is None:
+            record = OperationRecord(holder, now)
+            self._store(operation, record)
+        elif (record.holder.incarnation, record.holder.attempt) != (holder.incarnation, holder.attempt):
             return holder
-        if found.to(PHASES[ending]) and found.phase is Phase.ANSWERED:
+        if record.transition_to(PHASE_OF_ENDING[ending]) and record.phase is Phase.ANSWERED:
             assert answer is not None
-            found.answer = answer
-            found.size += size_of(answer)
+            record.answer = answer
+            record.size += size_of(answer)
             self.size += size_of(answer)
-        self._bound(now)
-        return found.holder
-
-    def find(self, now: float, operation: str, holder: Holder) -> Found:
-        """How the run of `holder` stands."""
-        found = self.kept.get(operation)
-        if found is None or found.holder != holder:
-            return Found(Phase.UNKNOWN)
-        if found.phase is Phase.RUNNING and now - found.since > self.longest:
-            found.to(Phase.UNKNOWN)
-        return Found(found.phase, found.answer)
+        self._evict(now)
+        return record.holder
+
+    def find(self, now: float, operation: str, holder: Holder) -> OperationStatus:
+        """The status of the run of `holder`."""
+        record = self.operations.get(operation)
+        if record is None or record.holder != holder:
+            return OperationStatus(Phase.UNKNOWN)
+        if record.phase is Phase.RUNNING and now - record.since > self.max_run_s:
+            record.transition_to(Phase.UNKNOWN)
+        return OperationStatus(record.phase, record.answer)
 
     def holder_of(self, operation: str) -> Holder | None:
-        """Who was let run an operation last, as far as is known here."""
-        found = self.kept.get(operation)
-        return found.holder if found is not None else None
-
-    def counts(self) -> dict[Phase, int]:
-        """Operations by phase."""
-        return {phase: sum(one.phase is phase for one in self.kept.values()) for phase in Phase}
-
-    def _put(self, operation: str, kept: Kept) -> None:
-        """Keep as the newest, in place of what was kept of the operation."""
-        before = self.kept.pop(operation, None)
-        if before is not None:
-            self.size -= before.size
-        self.kept[operation] = kept
-        self.size += kept.size
-
-    def _bound(self, now: float) -> None:
-        """Forget what is past its window, and the oldest while there is too much."""
-        while self.kept:
-            oldest = next(iter(self.kept.values()))
-            if self.size <= self.most and now - oldest.since < self.window:
+        """The last holder that was allowed to run an operation, as far as this core knows."""
+        record = self.operations.get(operation)
+        return record.holder if record is not None else None
+
+    def count_by_phase(self) -> dict[Phase, int]:
+        """The number of operations in each phase."""
+        return {phase: sum(one.phase is phase for one in self.operations.values()) for phase in Phase}
+
+    def _store(self, operation: str, record: OperationRecord) -> None:
+        """Store a record as the newest, replacing the operation's previous one."""
+        previous = self.operations.pop(operation, None)
+        if previous is not None:
+            self.size -= previous.size
+        self.operations[operation] = record
+        self.size += record.size
+
+    def _evict(self, now: float) -> None:
+        """Evict records past their window, and the oldest ones while the store is over its size."""
+        while self.operations:
+            oldest = next(iter(self.operations.values()))
+            if self.size <= self.max_bytes and now - oldest.since < self.window:
                 return
             self.size -= oldest.size
-            self.kept.popitem(last=False)
+            self.operations.popitem(last=False)
--- a/knotwalk/shared_state/claim_packing.py
+++ b/knotwalk/shared_state/claim_packing.py
@@ -1,4 +1,4 @@
-"""Claims as short lists, for logs and for calls between core machines: each goes to every core machine. Pure."""
+"""Claims as short lists, for logs and for calls between core machines: each claim goes to every core. Pure."""
 
 from __future__ import annotations
 
@@ -7,36 +7,38 @@
 
 from knotwalk.shared_state.messages import Claim, Holder
 
-HEXADECIMAL = re.compile(r"(?:[0-9a-f]{2}){4,}")
-SHORT, PLAIN = "~", "="  # the first character of a text in base64, and of one that begins with either of these
+HEX_TEXT = re.compile(r"(?:[0-9a-f]{2}){4,}")
+# First character of a text in base64, and of a plain text that itself begins with one of the two characters.
+BASE64_PREFIX, PLAIN_PREFIX = "~", "="
 
 
-def shortened(text: str) -> str:
-    """A text in two thirds of its length if it is of hexadecimal digits, as operations, lives and most attempts are.
+def shorten(text: str) -> str:
+    """Encode hexadecimal digits as base64, in two thirds of the length; operation ids, incarnations and most attempts
+    are hexadecimal. Any other text is kept.
 
-    >>> shortened("00ff00ff00ff00ff"), shortened("a b"), shortened("~")
+    >>> shorten("00ff00ff00ff00ff"), shorten("a b"), shorten("~")
     ('~AP8A_wD_AP8', 'a b', '=~')
     """
-    if HEXADECIMAL.fullmatch(text):
-        return SHORT + urlsafe_b64encode(bytes.fromhex(text)).rstrip(b"=").decode("ascii")
-    return PLAIN + text if text[:1] in (SHORT, PLAIN) else text
+    if HEX_TEXT.fullmatch(text):
+        return BASE64_PREFIX + urlsafe_b64encode(bytes.fromhex(text)).rstrip(b"=").decode("ascii")
+    return PLAIN_PREFIX + text if text[:1] in (BASE64_PREFIX, PLAIN_PREFIX) else text
 
 
-def lengthened(text: str) -> str:
-    """The text that `shortened` was given; ValueError where it is none of its texts."""
-    if text.startswith(SHORT):
+def lengthen(text: str) -> str:
+    """The inverse of `shorten`; ValueError for a text that it can't have returned."""
+    if text.startswith(BASE64_PREFIX):
         return urlsafe_b64decode(text[1:] + "=" * (-len(text[1:]) % 4)).hex()
-    return text.removeprefix(PLAIN)
+    return text.removeprefix(PLAIN_PREFIX)
 
 
 def pack_claim(claim: Claim) -> list:
-    """A claim as [operation, core, life, attempt], and 1 behind it for a release."""
+    """A claim as [operation, core, incarnation, attempt], with 1 appended for a release."""
     holder = claim.holder
-    found = [shortened(claim.operation), holder.core, shortened(holder.life), shortened(holder.attempt)]
-    return [*found, 1] if claim.release else found
+    packed = [shorten(claim.operation), holder.core, shorten(holder.incarnation), shorten(holder.attempt)]
+    return [*packed, 1] if claim.release else packed
 
 
 def unpack_claim(raw: list) -> Claim:
-    """The claim that `pack_claim` was given; ValueError or TypeError for anything else."""
-    operation, core, life, attempt, *release = raw
-    return Claim(lengthened(operation), Holder(core, lengthened(life), lengthened(attempt)), bool(release))
+    """The inverse of `pack_claim`; ValueError or TypeError for anything else."""
+    operation, core, incarnation, attempt, *release = raw
+    return Claim(lengthen(operation), Holder(core, lengthen(incarnation), lengthen(attempt)), bool(release))
