--- a/knotwalk/shared_state/held_tokens.py
+++ b/knotwalk/shared_state/held_tokens.py
@@ -1,7 +1,7 @@
-"""Tokens of tenants' limits that were taken for asks whose claim is not known yet. Pure.
+"""Tokens of tenants' limits that were taken for admission requests whose claim has no outcome yet. Pure.
 
-An attempt asks again until its claim is known, so each has one token at most: the next ask of the attempt uses the one
-that the ask before has taken.
+An attempt asks again until its claim has an outcome, so it holds one token at most: its next admission request uses the
+token that the previous one took.
 """
 
 from __future__ import annotations
@@ -9,49 +9,49 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-# Seconds that a token is held for an attempt that asks no more; it asks again within some ms, or has been refused.
-HELD_FOR = 1.0
+# How long a token is held for an attempt that asks no more: an attempt asks again within some ms, or has been refused.
+HOLD_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A request of an edge's life."""
+    """A request of one incarnation of an edge."""
 
-    life: str
+    incarnation: str
     attempt: str
 
 
 @dataclass(frozen=True, slots=True)
 class HeldToken:
-    """A token of `tenant`, held until a time of the steady clock."""
+    """A token of `tenant`, held until `expires_at` by the monotonic clock."""
 
     tenant: str
-    until: float
+    expires_at: float
 
 
 class HeldTokens:
-    """One token for each attempt that has one, the oldest first."""
+    """One token for each attempt that holds one, oldest first."""
 
     def __init__(self) -> None:
         self.held: OrderedDict[Attempt, HeldToken] = OrderedDict()
 
     def hold(self, now: float, attempt: Attempt, tenant: str) -> None:
-        """The attempt has taken a token, and its claim is not known."""
-        self.held[attempt] = HeldToken(tenant, now + HELD_FOR)
+        """Hold a token for an attempt whose claim has no outcome yet."""
+        self.held[attempt] = HeldToken(tenant, now + HOLD_TIMEOUT_S)
         self.held.move_to_end(attempt)
 
-    def use(self, attempt: Attempt) -> str | None:
-        """The tenant whose token the attempt has, which it holds no more from here on; None if it has none."""
+    def pop(self, attempt: Attempt) -> str | None:
+        """Remove the attempt's token and return its tenant; None if it holds none."""
         held = self.held.pop(attempt, None)
         return held.tenant if held is not None else None
 
-    def ended(self, now: float) -> list[str]:
-        """The tenants of tokens whose attempts ask no more, one for each token; they are held no more."""
-        found = []
+    def pop_expired(self, now: float) -> list[str]:
+        """Remove the tokens of attempts that ask no more; the tenant of each token."""
+        tenants = []
         while self.held:
             attempt, oldest = next(iter(self.held.items()))
-            if now < oldest.until:
+            if now < oldest.expires_at:
                 break
             del self.held[attempt]
-            found.append(oldest.tenant)
-        return found
+            tenants.append(oldest.tenant)
+        return tenants
--- a/knotwalk/shared_state/limit.py
+++ b/knotwalk/shared_state/limit.py
@@ -1,25 +1,28 @@
-"""A tenant's limit as the leader's bucket and the core machines' holdings keep it. Pure.
+"""A tenant's limit, as the leader's bucket and the core machines' holdings enforce it. Pure.
 
-In any window W, a tenant of rate r and burst b may have (rW + b) x (1 + overage) + slack requests run. What runs in it
-was held unused by core machines at its beginning, or lay in the bucket then, or filled since. So what lies in the
-bucket and what is held stay together within `most` = b + M, where M is what the rule allows beyond rW + b. A part of
-the overage is left out of M: one request may be run by two nodes, where the first one's answer was lost.
+In any window W, a tenant of rate r and burst b may have (rW + b) x (1 + overage) + slack requests run. The tokens that
+are used in the window were held unused by core machines at its beginning, or were in the bucket then, or were added
+since. So the tokens in the bucket and the tokens held must stay within `capacity` = b + M together, where M is what the
+rule allows beyond rW + b. A part of the overage is left out of M, since one request may be run by two nodes if the
+answer of the first one was lost.
 
-All that may be held together is within M. So a tenant that keeps to its limit finds a token, wherever the others lie.
+All tokens that may be held at once fit in M. So a tenant within its limit finds a token at any core, whichever cores
+hold the others.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Of a window: how long a core machine may use what it was given. Below one window, since a lower limit holds after one.
-LASTS = 0.6
-FOR_FURTHER_RUNS = 0.4  # of the overage: kept for requests that two nodes run
+# Fraction of a window for which a core machine may use tokens. Below 1, since a lowered limit must hold after a window.
+VALIDITY_FRACTION = 0.6
+RERUN_OVERAGE_FRACTION = 0.4  # of the overage: reserved for requests that two nodes run
 
 
 @dataclass(frozen=True, slots=True)
-class Sharing:
-    """How limits are kept: `window` in seconds, beyond it `overage` (a ratio) and `slack` (requests); among `cores`."""
+class QuotaBounds:
+    """How exactly limits are enforced among `cores`: in each `window` (seconds), `overage` (a ratio) and `slack`
+    (requests) beyond the limit are allowed."""
 
     window: float
     overage: float
@@ -29,38 +32,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """A tenant's limit: `rate` in requests a second, `lasts` in seconds; the others are requests.
+    """A tenant's limit. `rate` is in requests per second, `valid_for_s` in seconds; the others count requests.
 
-    `most`: what may lie in its bucket and be held, together. `share`: the most that one core machine may hold unused;
-    `outstanding`: the most that all may hold together, one that was just replaced among them."""
+    `capacity`: the most that its bucket and all holdings may contain together. `max_per_core`: the most that one core
+    machine may hold unused. `max_outstanding`: the most that all may hold, including one core that was just replaced.
+    """
 
     rate: float
-    most: float
-    share: int
-    outstanding: int
-    lasts: float
+    capacity: float
+    max_per_core: int
+    max_outstanding: int
+    valid_for_s: float
 
 
-def limit_of(rate_per_s: float, burst_size: float, sharing: Sharing) -> Limit | None:
-    """The limit of a tenant with this rate (requests a second) and burst (requests); None for a rate of 0.
+def limit_of(rate_per_s: float, burst_size: float, quota_bounds: QuotaBounds) -> Limit | None:
+    """The limit of a tenant with this rate (requests per second) and burst (requests); None for a rate of 0.
 
-    Where M is less than a token for each core machine, each may still hold one, and the bound is wider by as much.
+    If M (see the module's text) is less than one token per core, each core may still hold one, which widens the bound
+    by as much.
 
-    >>> limit_of(20.0, 0.0, Sharing(window=5.0, overage=0.1, slack=20.0, cores=5))
-    Limit(rate=20.0, most=26.0, share=4, outstanding=24, lasts=3.0)
+    >>> limit_of(20.0, 0.0, QuotaBounds(window=5.0, overage=0.1, slack=20.0, cores=5))
+    Limit(rate=20.0, capacity=26.0, max_per_core=4, max_outstanding=24, valid_for_s=3.0)
     """
     if rate_per_s <= 0:
         return None
-    cores, window = sharing.cores, sharing.window
-    overage = sharing.overage * (rate_per_s * window + burst_size)
-    beyond = overage * (1 - FOR_FURTHER_RUNS) + sharing.slack
-    share = max(1, int(beyond / (cores + 1)))
-    outstanding = (cores + 1) * share
-    lasts = LASTS * window
+    cores, window = quota_bounds.cores, quota_bounds.window
+    overage = quota_bounds.overage * (rate_per_s * window + burst_size)
+    headroom = overage * (1 - RERUN_OVERAGE_FRACTION) + quota_bounds.slack
+    max_per_core = max(1, int(headroom / (cores + 1)))
+    max_outstanding = (cores + 1) * max_per_core
+    valid_for_s = VALIDITY_FRACTION * window
     return Limit(
         rate=rate_per_s,
-        most=burst_size + beyond,
-        share=share,
-        outstanding=outstanding,
-        lasts=lasts,
+        capacity=burst_size + headroom,
+        max_per_core=max_per_core,
+        max_outstanding=max_outstanding,
+        valid_for_s=valid_for_s,
     )
--- a/tests/simulation/claims_mistakes.py
+++ b/tests/simulation/claims_mistakes.py
@@ -6,25 +6,25 @@
 
 from knotwalk.consensus import following
 from knotwalk.control_plane import claim_group
-from knotwalk.control_plane.claim_group import Group
-from knotwalk.shared_state.claims import ClaimTable, GroupClock, command
+from knotwalk.control_plane.claim_group import ClaimGroup
+from knotwalk.shared_state.claims import ClaimTable, GroupClock, claims_command
 from knotwalk.shared_state.messages import Claim
 from tests.simulation.mistakes import Mistake, _match_received
 
 POINT = 6
 
 
-async def _answers_at_once(group: Group, batch: list[Claim]) -> list:
+async def _answers_at_once(group: ClaimGroup, batch: list[Claim]) -> list:
     """Answers claims by what it knows, before they are agreed on and kept."""
     machine = group.machine
     if not machine.settled or machine.applied < machine.log.last:
-        raise claim_group.NotLeader(None)
+        raise claim_group.NotLeaderError(None)
     now = claim_group.clock()
-    entry = command(group.clock.time(group.driver.state, now), group.hold, batch)
+    entry = claims_command(group.clock.time(group.driver.state, now), group.hold_s, batch)
     table = ClaimTable.from_dict(group.driver.state.to_dict())
     group.clock.proposed(now)
     machine.propose(now, entry, None)
-    group.driver.carry_out()
+    group.driver.perform_actions()
     return table.apply(machine.log.last, entry)[0]
 
 
@@ -51,7 +51,7 @@
 
 
 MISTAKES: dict[str, Mistake] = {
-    "answered before it is kept": _one(Group, "propose", _answers_at_once),
+    "answered before it is kept": _one(ClaimGroup, "propose", _answers_at_once),
     "claims lost at a snapshot": _one(ClaimTable, "from_dict", classmethod(_loses_claims)),
     "group time too fast": _one(GroupClock, "applied", _counts_twice),
     "released by another": _one(ClaimTable, "_release", _frees_any),
--- a/tests/simulation/mistakes.py
+++ b/tests/simulation/mistakes.py
@@ -125,25 +125,25 @@
 def _loses_state(kind: type, raw: dict) -> Any:
     """A snapshot whose configuration is taken, and whose order is not."""
     made = RESTORE(raw)
-    made.configuration, made.order = None, -1
+    made.configuration, made.configuration_index = None, -1
     return made
 
 
 async def _done_by_default(driver: ConsensusDriver, command: dict, patience: float = 4.0) -> str:
     """Says done whatever applying a command said."""
-    outcome, value = await driver._wait(lambda now, ticket: driver.machine.propose(now, command, ticket), patience)
+    outcome, value = await driver._submit(lambda now, ticket: driver.machine.propose(now, command, ticket), patience)
     if outcome == "not_leader":
-        raise control.NotLeader(value)
+        raise control.NotLeaderError(value)
     if outcome != "committed":
-        raise control.Lost
+        raise control.OutcomeUnknownError
     return "done"
 
 
 async def _done_if_lost(driver: ConsensusDriver, command: dict, patience: float = 4.0) -> str:
     """Takes an order whose leader went for one that was agreed on."""
-    outcome, value = await driver._wait(lambda now, ticket: driver.machine.propose(now, command, ticket), patience)
+    outcome, value = await driver._submit(lambda now, ticket: driver.machine.propose(now, command, ticket), patience)
     if outcome == "not_leader":
-        raise control.NotLeader(value)
+        raise control.NotLeaderError(value)
     return driver.results.get(value, "done")
 
 
@@ -219,7 +219,7 @@
     return MOVE(end, True, may_have_run, again, status)
 
 
-OPENED = program.opened
+OPENED = program.open_store
 
 
 def _founds_again(store: Any, data_dir: str, first_start: bool, *rest: Any) -> Any:
@@ -243,7 +243,7 @@
 MISTAKES: dict[str, Mistake] = {
     "no contact before a read": _one(1, Machine, "read", _read_at_once, 18),
     "any member answers reads": _one(1, Machine, "read", _read_anywhere, 18),
-    "provisional view though fresh before": _one(1, peer_api.PeerApi, "alone", _alone_always, 1),
+    "provisional view though fresh before": _one(1, peer_api.PeerApi, "may_serve_provisional", _alone_always, 1),
     "fresh whatever was heard": _one(1, peer_api, "FRESH", 60.0, 11),
     "history forgotten": _one(2, verdicts.History, "holds", _holds_nothing),
     "identity by number": _one(2, verdicts.History, "holds", _same_number),
@@ -263,7 +263,7 @@
     "committed by what was received": _one(4, leading.Leading, "_count", _count_any_term, 29),
     "votes whatever the log": _one(4, elections.Elections, "_current", _votes_for_any, 8),
     "snapshot loses the configuration": _one(4, ReplicatedState, "from_dict", classmethod(_loses_state), 1),
-    "an emptied disk founds again": _one(4, program, "opened", _founds_again, 24),
+    "an emptied disk founds again": _one(4, program, "open_store", _founds_again, 24),
     "a refused connection ends a node": _one(4, Keeper, "answered", _refused_is_gone, 6),
     "stale connection used again": _one(5, Connection, "ready", _ready_unasked),
     "answer of a node taken with its id unchecked": _one(5, AnswerReader, "_read_head", _any_answer),
--- a/tests/simulation/programs.py
+++ b/tests/simulation/programs.py
@@ -90,11 +90,11 @@
         put(peer_api, "app", App)
         put(control, "app", App)
         put(life.Ending, "listen", lambda ending: None)
-        put(Compaction, "due", lambda made, *worth: _due(made, compact))
+        put(Compaction, "should_compact", lambda made, *worth: _due(made, compact))
         put(consensus_machine, "TRAIL", trail)
         for room in (messages, claim_group, claim_groups):
-            put(room, "PARTS", parts)
-        put(claim_group, "MARGIN", MARGIN)
+            put(room, "PARTITION_COUNT", parts)
+        put(claim_group, "HOLD_MARGIN_S", MARGIN)
         yield
 
 
@@ -132,7 +132,7 @@
         """Start the program."""
 
         def make() -> None:
-            program.BORN = self.clock()
+            program.PROCESS_STARTED_AT = self.clock()
             self.plane = program.ControlPlane(given)
 
         async def live() -> None:
--- a/tests/simulation/shared_mistakes.py
+++ b/tests/simulation/shared_mistakes.py
@@ -8,7 +8,7 @@
 from knotwalk.discovery import cluster_view
 from knotwalk.edge.freshness import Freshness
 from knotwalk.shared_state.buckets import Bucket, Buckets
-from knotwalk.shared_state.escrow import Escrow, Taken
+from knotwalk.shared_state.escrow import Escrow, TakeResult
 from tests.simulation.mistakes import KEYS, QUOTA, Mistake, _one
 
 
@@ -31,23 +31,23 @@
     BUCKETS(buckets, since - 3600, limit_of)
 
 
-def _unlooked(buckets: Buckets, now: float, core: str, want: Any, bucket: Bucket) -> int:
+def _unlooked(buckets: Buckets, now: float, core: str, request: Any, bucket: Bucket) -> int:
     """What is asked for is given, whatever is left."""
-    return max(0, min(want.wanted, bucket.limit.share - want.unused))
+    return max(0, min(request.requested, bucket.limit.max_per_core - request.unused))
 
 
 def _fills_again(bucket: Bucket, now: float, limit: Any, *given: Any) -> None:
     """What has filled fills once more."""
-    at = bucket.at
+    at = bucket.updated_at
     FILL(bucket, now, limit, *given)
-    bucket.at = max(at, now - 0.5)
+    bucket.updated_at = max(at, now - 0.5)
 
 
-def _first_limits(limits: allowances.Limits, tenant: str) -> Any:
+def _first_limits(limits: allowances.TenantLimits, tenant: str) -> Any:
     """A limit that was found once stays."""
-    if tenant not in limits._found:
+    if tenant not in limits._limits:
         OF(limits, tenant)
-    return limits._found[tenant]
+    return limits._limits[tenant]
 
 
 def _kept(escrow: Escrow, now: float, tenant: str) -> bool:
@@ -59,17 +59,17 @@
     return True
 
 
-def _used_again(escrow: Escrow, now: float, tenant: str) -> Taken:
+def _used_again(escrow: Escrow, now: float, tenant: str) -> TakeResult:
     """A token may be used by a second request."""
-    taken = TAKE_AGAIN(escrow, now, tenant)
+    taken = RETRY_TAKE(escrow, now, tenant)
     holding = escrow.holdings[tenant]
-    if taken is Taken.GRANTED and holding.used_at != now:
+    if taken is TakeResult.GRANTED and holding.last_use_at != now:
         holding.held += 1
     return taken
 
 
 FRESHNESS, TENANT_KEYS = Freshness.__init__, cluster_view.tenant_keys
-BUCKETS, FILL, OF, TAKE_AGAIN = Buckets.__init__, Bucket.fill, allowances.Limits.of, Escrow.take_again
+BUCKETS, FILL, OF, RETRY_TAKE = Buckets.__init__, Bucket.fill, allowances.TenantLimits.of, Escrow.retry_take
 
 SHARED_MISTAKES: dict[str, Mistake] = {
     "keys taken whatever was heard": _one(KEYS, Freshness, "holds", _always, 1),
@@ -79,7 +79,7 @@
     "a new leader's buckets are full": _one(QUOTA, Buckets, "__init__", _full, 2),
     "allowance whatever is left": _one(QUOTA, Buckets, "_take", _unlooked),
     "a bucket fills again": _one(QUOTA, Bucket, "fill", _fills_again),
-    "a changed limit is not taken up": _one(QUOTA, allowances.Limits, "of", _first_limits, 2),
+    "a changed limit is not taken up": _one(QUOTA, allowances.TenantLimits, "of", _first_limits, 2),
     "allowance given back counts twice": _one(QUOTA, Escrow, "give_back", _kept),
-    "a token is used again": _one(QUOTA, Escrow, "take_again", _used_again),
+    "a token is used again": _one(QUOTA, Escrow, "retry_take", _used_again),
 }
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -156,7 +156,7 @@
 
     def whole(self) -> bool:
         """Whether all members run and hold all that is committed, so that the core bears the loss of any one."""
-        groups = range(messages.PARTS) if self.keyed else ()
+        groups = range(messages.PARTITION_COUNT) if self.keyed else ()
         return self._whole(None) and all(self._whole(group) for group in groups)
 
     def _whole(self, group: int | None) -> bool:
--- a/tests/standins/cores.py
+++ b/tests/standins/cores.py
@@ -11,8 +11,8 @@
 from knotwalk.control_plane.admissions import Admissions
 from knotwalk.runtime.errors import PeerError
 from knotwalk.shared_state.answers import Answers
-from knotwalk.shared_state.claims import UNAVAILABLE, ClaimResult, ClaimTable, command
-from knotwalk.shared_state.messages import Admission, AdmissionTold, Claim, EdgeBatch
+from knotwalk.shared_state.claims import UNAVAILABLE, ClaimResult, ClaimTable, claims_command
+from knotwalk.shared_state.messages import Admission, AdmissionResponse, Claim, EdgeBatch
 
 
 class Group:
@@ -41,7 +41,7 @@
 
     async def agreed(self, claim: Claim) -> ClaimResult:
         await asyncio.sleep(self.pause)
-        entry = json.loads(json.dumps(command(self.clock(), self.hold, [claim])))
+        entry = json.loads(json.dumps(claims_command(self.clock(), self.hold, [claim])))
         return self.table.apply(self.table.applied + 1, entry)[0][0]
 
 
@@ -53,16 +53,16 @@
         self.spent: Counter[str] = Counter()
         self.pause = 0.0
 
-    async def take(self, tenant: str, patience: float) -> AdmissionTold:
+    async def take(self, tenant: str, patience: float) -> AdmissionResponse:
         if self.pause:
             await asyncio.sleep(self.pause)
         left = self.left.get(tenant)
         if left is None:
-            return AdmissionTold(Admission.RUN)
+            return AdmissionResponse(Admission.RUN)
         if not left:
-            return AdmissionTold(Admission.OVER_LIMIT, 0.2)
+            return AdmissionResponse(Admission.OVER_LIMIT, 0.2)
         self.left[tenant] = left - 1
-        return AdmissionTold(Admission.RUN)
+        return AdmissionResponse(Admission.RUN)
 
     def spend(self, tenant: str) -> bool:
         self.spent[tenant] += 1
@@ -87,16 +87,16 @@
     def restart(self) -> None:
         cores = self.cores
         self.answers = Answers(cores.most, cores.window)
-        self.answers.longest = cores.longest
+        self.answers.max_run_s = cores.longest
         self.admissions = Admissions(self.at, cores.limits, cores.group, self.answers, cores, cores.clock)
         self.dead = False
 
     async def take(self, path: str, raw):
         self.calls += 1
         for life in self.cores.living:  # each edge calls for its cluster view once a second
-            self.admissions.heard(life)
+            self.admissions.note_incarnation(life)
         if path == "/answers":
-            return self.admissions.kept_of(raw)
+            return self.admissions.answers_of(raw)
         told = await self.admissions.admit(EdgeBatch.from_json(raw))
         return {"told": [one.to_json() for one in told]}
 
--- a/tests/system/operations_case.py
+++ b/tests/system/operations_case.py
@@ -74,7 +74,7 @@
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        patched = mock.patch("knotwalk.control_plane.admissions.CLAIM_WAIT", 5.0)  # a machine may be busy
+        patched = mock.patch("knotwalk.control_plane.admissions.CLAIM_WAIT_S", 5.0)  # a machine may be busy
         patched.start()
         self.addCleanup(patched.stop)
         self.edges = []
--- a/tests/system/quota_world.py
+++ b/tests/system/quota_world.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 
 from knotwalk.shared_state.buckets import Buckets
-from knotwalk.shared_state.escrow import Escrow, Taken
-from knotwalk.shared_state.limit import Sharing, limit_of
+from knotwalk.shared_state.escrow import Escrow, TakeResult
+from knotwalk.shared_state.limit import QuotaBounds, limit_of
 
-SHARING = Sharing(window=5.0, overage=0.1, slack=20.0, cores=5)
+QUOTA_BOUNDS = QuotaBounds(window=5.0, overage=0.1, slack=20.0, cores=5)
 
 
 @dataclass
@@ -22,16 +22,16 @@
     rate: float
     burst: float
 
-    def most(self, sharing):
+    def most(self, quota_bounds):
         """What the rule allows in a window."""
-        return (self.rate * sharing.window + self.burst) * (1 + sharing.overage) + sharing.slack
+        return (self.rate * quota_bounds.window + self.burst) * (1 + quota_bounds.overage) + quota_bounds.slack
 
 
 class Counter:
     """What was let pass, by tenant; the rule is looked at for each window that ends with a request."""
 
-    def __init__(self, sharing):
-        self.sharing = sharing
+    def __init__(self, quota_bounds):
+        self.quota_bounds = quota_bounds
         self.passed = defaultdict(list)
         self.in_force = defaultdict(list)
 
@@ -42,14 +42,14 @@
         """The widest limit of a window: one that was lowered counts for a window more."""
         lines, found = self.in_force[tenant], []
         for line, following in zip(lines, [*lines[1:], None], strict=True):
-            until = following.since + self.sharing.window if following else float("inf")
+            until = following.since + self.quota_bounds.window if following else float("inf")
             if line.since <= end and until >= start:
-                found.append(line.most(self.sharing) if line.rate else float("inf"))
+                found.append(line.most(self.quota_bounds) if line.rate else float("inf"))
         return max(found)
 
     def over(self, now, tenant):
         """By how much the window that ends now is over the rule; 0 or less is within it."""
-        start = now - self.sharing.window
+        start = now - self.quota_bounds.window
         passed = self.passed[tenant]
         return len(passed) - bisect_left(passed, start) - self.most(tenant, start, now)
 
@@ -65,7 +65,7 @@
 
     def send(self):
         """Begin a call; whether there was anything to ask for."""
-        wants = self.escrow.wants(self.world.now)
+        wants = self.escrow.pending_requests(self.world.now)
         self.call = (self.world.now, wants) if wants else None
         return bool(wants)
 
@@ -75,7 +75,7 @@
         self.call = None
         grants = self.world.leader.grant(self.world.now, self.id, wants)
         if not lost:
-            self.escrow.granted(self.world.now, sent, grants)
+            self.escrow.apply_grants(self.world.now, sent, grants)
         return grants
 
     def resolve(self, tenant, runs):
@@ -90,20 +90,20 @@
         """A request comes; it waits for so many calls, each answered in the same instant. `open`: it may not run."""
         now = self.world.now
         taken = self.escrow.take(now, tenant)
-        if taken is Taken.WAIT and calls:
-            self.escrow.wait(now, tenant)
-            while taken is Taken.WAIT and calls:
+        if taken is TakeResult.WAIT and calls:
+            self.escrow.start_waiting(now, tenant)
+            while taken is TakeResult.WAIT and calls:
                 if self.send():
                     self.deliver()
-                taken = self.escrow.take_again(now, tenant)
+                taken = self.escrow.retry_take(now, tenant)
                 calls -= 1
-            self.escrow.waited(tenant)
-        if taken is Taken.GRANTED:
+            self.escrow.stop_waiting(tenant)
+        if taken is TakeResult.GRANTED:
             self.escrow.reserve(tenant)
             self.reserved += 1
             if not open:
                 self.resolve(tenant, True)
-        elif taken is Taken.UNLIMITED:
+        elif taken is TakeResult.UNLIMITED:
             self.world.counter.passed[tenant].append(now)
         return taken
 
@@ -111,18 +111,18 @@
 class World:
     """Five core machines, a leader, tenants with limits."""
 
-    def __init__(self, sharing=SHARING, buckets=Buckets, escrow=Escrow, now=0.0):
-        self.sharing, self.buckets, self.escrow, self.now = sharing, buckets, escrow, now
-        self.counter = Counter(sharing)
+    def __init__(self, quota_bounds=QUOTA_BOUNDS, buckets=Buckets, escrow=Escrow, now=0.0):
+        self.quota_bounds, self.buckets, self.escrow, self.now = quota_bounds, buckets, escrow, now
+        self.counter = Counter(quota_bounds)
         self.limits = {}
         self.leader = buckets(now, self.limit)
-        self.cores = [Core(f"c{k}", self, escrow) for k in range(sharing.cores)]
+        self.cores = [Core(f"c{k}", self, escrow) for k in range(quota_bounds.cores)]
 
     def limit(self, tenant):
         return self.limits.get(tenant)
 
     def set_limit(self, tenant, rate, burst):
-        self.limits[tenant] = limit_of(rate, burst, self.sharing)
+        self.limits[tenant] = limit_of(rate, burst, self.quota_bounds)
         self.counter.limited(self.now, tenant, rate, burst)
 
     def lead_anew(self):
@@ -140,6 +140,6 @@
         before = len(self.counter.passed[tenant])
         left = list(self.cores)
         while left and most:
-            left = [core for core in left if core.take(tenant) is Taken.GRANTED]
+            left = [core for core in left if core.take(tenant) is TakeResult.GRANTED]
             most -= 1
         return len(self.counter.passed[tenant]) - before
--- a/tests/system/test_admission_calls.py
+++ b/tests/system/test_admission_calls.py
@@ -20,12 +20,12 @@
 from knotwalk.runtime.logs import clock
 from knotwalk.runtime.serve import Listener, app
 from knotwalk.runtime.settings import parse
-from knotwalk.shared_state.answers import OVERHEAD, Answers, Phase, size_of
+from knotwalk.shared_state.answers import ENTRY_OVERHEAD_BYTES, Answers, Phase, size_of
 from knotwalk.shared_state.claims import GRANTED, UNAVAILABLE as CLAIMS_UNAVAILABLE
 from knotwalk.shared_state.messages import (
     Admission,
-    AdmissionAsk,
-    AdmissionTold,
+    AdmissionRequest,
+    AdmissionResponse,
     EdgeBatch,
     Ending,
     Holder,
@@ -43,9 +43,9 @@
         times = Patience(early=1.1, late=1.3, until=2.0)
         moments = (1.0, 1.2, 1.4, 2.0)
         waits = {
-            (Admission.IN_WORK, None): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
-            (Admission.IN_WORK, 1.0): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
-            (Admission.IN_WORK, 1.9): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
+            (Admission.IN_PROGRESS, None): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
+            (Admission.IN_PROGRESS, 1.0): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
+            (Admission.IN_PROGRESS, 1.9): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
             (Admission.UNAVAILABLE, 1.0): (Step.WAIT, Step.WAIT, Step.WAIT, Step.COME_BACK),  # an old word: no conflict
             (Admission.UNAVAILABLE, 1.9): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
         }
@@ -55,7 +55,7 @@
             for in_work_at in (None, 1.0, 1.9):
                 for wait in (0.0, 0.2):
                     with self.subTest(admission, in_work_at=in_work_at, wait=wait):
-                        told = AdmissionTold(admission, wait)
+                        told = AdmissionResponse(admission, wait)
                         follows = tuple(step(told, in_work_at, now, times) for now in moments)
                         if (admission, in_work_at) == (Admission.UNAVAILABLE, None):
                             self.assertEqual(follows, hopeless if wait else on_its_way)
@@ -123,7 +123,7 @@
 class AnswersTest(unittest.TestCase):
     def setUp(self):
         self.answers = Answers(20_000, 60.0)
-        self.answers.longest = 15.0
+        self.answers.max_run_s = 15.0
         self.holder = Holder("core", "life", "a1")
 
     def phase(self, now, holder=None):
@@ -131,42 +131,42 @@
 
     def test_what_is_not_known_is_unknown(self):
         self.assertIs(self.phase(0), Phase.UNKNOWN)
-        self.answers.begun(0, OPERATION, self.holder)
+        self.answers.begin(0, OPERATION, self.holder)
         self.assertIs(self.phase(1), Phase.RUNNING)
         self.assertIs(self.phase(1, Holder("core", "life", "a2")), Phase.UNKNOWN)
         self.assertIs(self.phase(15.1), Phase.UNKNOWN)
 
     def test_a_late_word_is_the_truth_and_the_first_one_stands(self):
-        self.answers.begun(0, OPERATION, self.holder)
+        self.answers.begin(0, OPERATION, self.holder)
         self.assertIs(self.phase(16), Phase.UNKNOWN)
-        self.answers.ended(17, OPERATION, self.holder, Ending.ANSWERED, KEPT)
+        self.answers.end(17, OPERATION, self.holder, Ending.ANSWERED, KEPT)
         self.assertEqual(self.answers.find(17, OPERATION, self.holder).answer, KEPT)
         size = self.answers.size
         for ending in (Ending.UNKNOWN, Ending.NEVER_RAN):
-            self.answers.ended(18, OPERATION, self.holder, ending)
-        self.answers.ended(18, OPERATION, self.holder, Ending.ANSWERED, StoredAnswer(200, (), b"other"))
+            self.answers.end(18, OPERATION, self.holder, ending)
+        self.answers.end(18, OPERATION, self.holder, Ending.ANSWERED, StoredAnswer(200, (), b"other"))
         self.assertEqual(self.answers.find(19, OPERATION, self.holder).answer, KEPT)
-        self.assertEqual((self.answers.size, size), (OVERHEAD + size_of(KEPT),) * 2)
+        self.assertEqual((self.answers.size, size), (ENTRY_OVERHEAD_BYTES + size_of(KEPT),) * 2)
 
     def test_who_has_ended_is_not_let_run(self):
         for ending in Ending:
             with self.subTest(ending):
                 answers = Answers(20_000, 60.0)
-                answers.ended(0, OPERATION, self.holder, ending, KEPT if ending is Ending.ANSWERED else None)
-                self.assertFalse(answers.begun(1, OPERATION, self.holder))
-                self.assertTrue(answers.begun(1, OPERATION, Holder("core", "life", "a2")))
+                answers.end(0, OPERATION, self.holder, ending, KEPT if ending is Ending.ANSWERED else None)
+                self.assertFalse(answers.begin(1, OPERATION, self.holder))
+                self.assertTrue(answers.begin(1, OPERATION, Holder("core", "life", "a2")))
 
     def test_a_word_of_one_who_was_followed_changes_nothing(self):
         later = Holder("core", "life", "a2")
-        self.answers.begun(0, OPERATION, self.holder)
-        self.answers.begun(1, OPERATION, later)
+        self.answers.begin(0, OPERATION, self.holder)
+        self.answers.begin(1, OPERATION, later)
         for ending in Ending:
-            self.answers.ended(2, OPERATION, self.holder, ending, KEPT if ending is Ending.ANSWERED else None)
+            self.answers.end(2, OPERATION, self.holder, ending, KEPT if ending is Ending.ANSWERED else None)
         self.assertIs(self.phase(3, later), Phase.RUNNING)
 
     def test_the_holder_is_told_as_its_claim_names_it(self):
-        self.answers.begun(0, OPERATION, Holder("another", "life", "a1"))
-        found = self.answers.ended(1, OPERATION, self.holder, Ending.NEVER_RAN)
+        self.answers.begin(0, OPERATION, Holder("another", "life", "a1"))
+        found = self.answers.end(1, OPERATION, self.holder, Ending.NEVER_RAN)
         self.assertEqual(found.core, "another")
 
     @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 3000), st.sampled_from(list(Ending))), max_size=60))
@@ -174,12 +174,12 @@
         answers = Answers(12_000, 60.0)
         for now, (number, size, ending) in enumerate(steps):
             holder = Holder("core", "life", f"a{now}")
-            answers.begun(now * 5, str(number), holder)
+            answers.begin(now * 5, str(number), holder)
             answer = StoredAnswer(200, (), b"x" * size) if ending is Ending.ANSWERED else None
-            answers.ended(now * 5, str(number), holder, ending, answer)
+            answers.end(now * 5, str(number), holder, ending, answer)
             self.assertLessEqual(answers.size, 12_000)
-            self.assertEqual(answers.size, sum(one.size for one in answers.kept.values()))
-            self.assertTrue(all(now * 5 - one.since <= 72 for one in answers.kept.values()))
+            self.assertEqual(answers.size, sum(one.size for one in answers.operations.values()))
+            self.assertTrue(all(now * 5 - one.since <= 72 for one in answers.operations.values()))
 
 
 class ProgramTest(unittest.TestCase):
@@ -216,7 +216,7 @@
     async def asyncSetUp(self):
         self.cores = Cores(clock, 1)
         self.admissions = self.cores[0].admissions
-        self.batch = EdgeBatch("e", "life", [AdmissionAsk("t", OPERATION, "1")])
+        self.batch = EdgeBatch("e", "life", [AdmissionRequest("t", OPERATION, "1")])
         self.answered = asyncio.Event()
         self.cores.group.claim = self.claim
         self.claims, self.outcome = [], GRANTED
@@ -231,33 +231,33 @@
         return told
 
     async def test_who_asks_again_waits_for_the_same_claim(self):
-        self.assertEqual(await self.ask(), AdmissionTold(Admission.UNAVAILABLE, 0.0))
-        self.assertEqual(await self.ask(), AdmissionTold(Admission.UNAVAILABLE, 0.0))
+        self.assertEqual(await self.ask(), AdmissionResponse(Admission.UNAVAILABLE, 0.0))
+        self.assertEqual(await self.ask(), AdmissionResponse(Admission.UNAVAILABLE, 0.0))
         self.answered.set()
         await asyncio.sleep(0)  # it is answered while nobody asks
         self.assertEqual([(await self.ask()).admission for _ in range(2)], [Admission.RUN] * 2)
         self.assertEqual(len(self.claims), 1)
 
     async def test_a_group_that_does_not_answer_is_told_of_until_it_does(self):
-        with mock.patch("knotwalk.control_plane.admissions.STUCK", 0.01):
+        with mock.patch("knotwalk.control_plane.admissions.STUCK_AFTER_S", 0.01):
             self.assertGreater((await self.ask()).retry_after, 0)
         self.assertGreater((await self.ask()).retry_after, 0)
         self.answered.set()
         self.assertIs((await self.ask()).admission, Admission.RUN)
         self.answered.clear()
-        self.batch.asks[0] = AdmissionAsk("t", OPERATION[:-1] + "x", "2")  # of the same part
-        self.assertEqual(await self.ask(), AdmissionTold(Admission.UNAVAILABLE, 0.0))
+        self.batch.asks[0] = AdmissionRequest("t", OPERATION[:-1] + "x", "2")  # of the same part
+        self.assertEqual(await self.ask(), AdmissionResponse(Admission.UNAVAILABLE, 0.0))
 
     async def test_an_allowance_is_late_while_others_have_theirs_and_else_not_to_be_had(self):
-        late = AdmissionTold(Admission.UNAVAILABLE, 0.2)
-        self.batch.asks[0] = AdmissionAsk("t", "", "1")
+        late = AdmissionResponse(Admission.UNAVAILABLE, 0.2)
+        self.batch.asks[0] = AdmissionRequest("t", "", "1")
         limits = self.cores.limits
         with mock.patch.object(limits, "take", return_value=late):
             self.assertEqual(await self.ask(), late)
         self.assertIs((await self.ask()).admission, Admission.RUN)
         with mock.patch.object(limits, "take", return_value=late):
-            self.assertEqual(await self.ask(), AdmissionTold(Admission.UNAVAILABLE, 0.0))
-            self.admissions.taken_at -= 1.0
+            self.assertEqual(await self.ask(), AdmissionResponse(Admission.UNAVAILABLE, 0.0))
+            self.admissions.last_allowance_at -= 1.0
             self.assertEqual(await self.ask(), late)
 
     async def test_a_claim_without_an_outcome_is_asked_for_anew(self):
@@ -273,7 +273,7 @@
             for count in (1, 2):
                 with contextlib.suppress(OSError):
                     await self.ask()
-                self.assertEqual((failing.await_count, self.admissions.seeking), (count, {}))
+                self.assertEqual((failing.await_count, self.admissions.pending_claims), (count, {}))
         self.assertIs((await self.ask()).admission, Admission.RUN)
 
 
@@ -281,7 +281,7 @@
     """Asks and ends between a real edge's caller and a real port."""
 
     async def asyncSetUp(self):
-        for bound in ("edge.admission_calls.PATIENCE", "control_plane.admissions.CLAIM_WAIT"):
+        for bound in ("edge.admission_calls.PATIENCE", "control_plane.admissions.CLAIM_WAIT_S"):
             patched = mock.patch(f"knotwalk.{bound}", 60.0)  # a busy machine may stall a test for longer
             patched.start()
             self.addCleanup(patched.stop)
@@ -304,14 +304,14 @@
     async def taken(self, request):
         self.batches.append(EdgeBatch.from_json(json.loads(request.body)))
         await self.gate.wait()
-        return await self.core.admissions.admissions(request)
+        return await self.core.admissions.handle_admissions(request)
 
     def ask(self, attempt, key="k"):
-        return self.calls.ask(AdmissionAsk("t", operation_id("t", key), attempt), clock() + 60)
+        return self.calls.ask(AdmissionRequest("t", operation_id("t", key), attempt), clock() + 60)
 
     async def test_an_answer_comes_back_as_it_was_told(self):
         asked = await self.ask("a1")
-        self.assertEqual((asked.told, asked.cores), (AdmissionTold(Admission.RUN), tuple(self.known)))
+        self.assertEqual((asked.told, asked.cores), (AdmissionResponse(Admission.RUN), tuple(self.known)))
         self.calls.end(asked.cores, OPERATION, "a1", Ending.ANSWERED, KEPT)
         while self.calls.ends.waiting:
             await asyncio.sleep(0.01)
@@ -339,7 +339,7 @@
 
     async def test_cores_that_refuse_are_not_called_without_a_pause(self):
         self.known = ["127.0.0.1:9", "127.0.0.1:10"]
-        asked = await self.calls.ask(AdmissionAsk("t", OPERATION, "a1"), clock() + 0.3)
+        asked = await self.calls.ask(AdmissionRequest("t", OPERATION, "a1"), clock() + 0.3)
         self.assertIs(asked.told.admission, Admission.UNAVAILABLE)
         calls = sum(lane.calls for lane in self.calls.lanes)
         self.assertTrue(2 <= calls <= 20, calls)
@@ -369,7 +369,7 @@
 
             loop = asyncio.get_running_loop()
             with mock.patch.object(loop, "create_connection", refused), mock.patch("knotwalk.edge.caller.IDLE", -1.0):
-                await self.calls.ask(AdmissionAsk("t", OPERATION, "a2"), clock() + 0.02)
+                await self.calls.ask(AdmissionRequest("t", OPERATION, "a2"), clock() + 0.02)
             self.known = [f"127.0.0.1:{self.port}"]
             self.calls.failed.clear()
             await self.ask("a3")
@@ -426,7 +426,7 @@
             with self.subTest(told):
                 lane = mock.Mock(json=mock.AsyncMock(return_value=told))
                 with mock.patch.object(self.calls, "idle", [lane]):
-                    ask = AdmissionAsk("t", OPERATION, "a1")
+                    ask = AdmissionRequest("t", OPERATION, "a1")
                     asked = await self.calls.ask(ask, clock() + 0.02)
                 self.assertIs(asked.told.admission, Admission.UNAVAILABLE)
                 self.assertTrue(asked.cores)
--- a/tests/system/test_allowances.py
+++ b/tests/system/test_allowances.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 from knotwalk.configuration.objects import Configuration, Limits, Tenant
-from knotwalk.control_plane.allowances import OTHERS, TENANTS_NAMED, Allowances
+from knotwalk.control_plane.allowances import MAX_NAMED_TENANTS, OTHER_TENANTS, Allowances
 from knotwalk.edge.limits import REFUSE_FOR, REMEMBERED, Refusals, needs_ask
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.logs import clock
@@ -33,12 +33,12 @@
     """Cores that share a configuration; calls reach the leader's real handler, or fail while it is cut off."""
 
     def __init__(self, count, **rates):
-        self.state = SimpleNamespace(configuration=configuration(**rates), order=1)
-        self.cut, self.proven, self.calls = False, True, 0
+        self.state = SimpleNamespace(configuration=configuration(**rates), configuration_index=1)
+        self.cut, self.is_proven, self.calls = False, True, 0
         self.members = {f"c{k}": f"host{k}" for k in range(count)}
         self.cores = [self.made(k) for k in range(count)]
         self.lead(0)
-        self.cores[0].buckets.since -= 100.0  # it has led for long
+        self.cores[0].buckets.leader_since -= 100.0  # it has led for long
 
     def made(self, k):
         machine = SimpleNamespace(role="follower", leader="host0", members=self.members)
@@ -50,7 +50,7 @@
         for k, core in enumerate(self.cores):
             core.consensus.machine.role = "leader" if k == leader else "follower"
             core.consensus.machine.leader = f"host{leader}"
-            core.role(k == leader)
+            core.on_leadership(k == leader)
 
     async def json(self, method, url, body, patience, step):
         self.calls += 1
@@ -58,7 +58,7 @@
         if self.cut:
             raise PeerError(step, url, "cut off")
         core = self.cores[int(url.removeprefix("http://host").removesuffix("/allowances"))]
-        found = await core.asked(SimpleNamespace(body=json.dumps(body).encode(), headers={}))
+        found = await core.handle_request(SimpleNamespace(body=json.dumps(body).encode(), headers={}))
         if found.status != 200:
             raise PeerError(step, url, f"status {found.status}")
         return json.loads(found.body)
@@ -68,7 +68,7 @@
     def begun(self, count=5, **rates):
         cluster = Cluster(count, **rates)
         loop = asyncio.get_running_loop()
-        self.works = [loop.create_task(core.keep_asking()) for core in cluster.cores]
+        self.works = [loop.create_task(core.run_refills()) for core in cluster.cores]
         self.addAsyncCleanup(self.ended)
         return cluster
 
@@ -79,7 +79,7 @@
 
     async def test_requests_at_all_cores_in_one_instant_get_what_there_is_and_no_more(self):
         cluster = self.begun(t=2.0)
-        most = cluster.cores[0].limits.of("t").most
+        most = cluster.cores[0].limits.of("t").capacity
         begun = clock()
         told = await asyncio.gather(*(used(core, "t", PATIENCE) for core in cluster.cores for _ in range(40)))
         passed = [one.admission for one in told].count(Admission.RUN)
@@ -93,7 +93,7 @@
         cluster = self.begun(t=20.0)
         await asyncio.sleep(0.05)  # all wait by now
         for core, work in zip(cluster.cores, self.works, strict=True):
-            core._stirred.set()
+            core._wake_event.set()
             work.cancel()
         ended, _ = await asyncio.wait(self.works, timeout=0.5)
         self.assertEqual(len(ended), len(self.works))
@@ -104,7 +104,7 @@
         await asyncio.gather(*(used(core, "t", PATIENCE) for _ in range(20)))
         self.assertLess(cluster.calls, 10)
         await used(core, "t", PATIENCE)
-        self.assertGreater(core.told["granted", "at once"], 0)
+        self.assertGreater(core.outcome_counts["granted", "at once"], 0)
 
     async def test_without_a_leader_it_is_unavailable_and_not_over_the_limit(self):
         cluster = self.begun(t=20.0)
@@ -112,7 +112,7 @@
             with self.subTest(trouble=trouble):
                 core = cluster.cores[2]
                 core.escrow.holdings.clear()
-                cluster.cut, cluster.proven = trouble == "cut", trouble != "not proven"
+                cluster.cut, cluster.is_proven = trouble == "cut", trouble != "not proven"
                 core.consensus.machine.leader = None if trouble == "none" else "host0"
                 told = await used(core, "t", 0.1)
                 self.assertEqual(told.admission, Admission.UNAVAILABLE)
@@ -145,19 +145,19 @@
 
     async def test_a_changed_limit_holds_at_the_leader_at_once(self):
         cluster = self.begun(t=1000.0)
-        cluster.state.configuration, cluster.state.order = configuration(t=0.5), 2
+        cluster.state.configuration, cluster.state.configuration_index = configuration(t=0.5), 2
         told = [(await used(cluster.cores[0], "t", PATIENCE)).admission for _ in range(200)]
         self.assertLess(told.count(Admission.RUN), 30)
 
     async def test_refused_tenants_are_counted_by_name_and_names_are_bounded(self):
-        names = [f"t{k}" for k in range(TENANTS_NAMED + 5)]
+        names = [f"t{k}" for k in range(MAX_NAMED_TENANTS + 5)]
         cluster = self.begun(**dict.fromkeys(names, 0.1))
         core = cluster.cores[0]
         for name in names:
             await asyncio.gather(*(used(core, name, PATIENCE) for _ in range(60)))
-        self.assertEqual(len(core.refused), TENANTS_NAMED + 1)
-        self.assertGreater(core.refused[OTHERS], 0)
-        self.assertGreater(core.refused["t0"], 0)
+        self.assertEqual(len(core.refusal_counts), MAX_NAMED_TENANTS + 1)
+        self.assertGreater(core.refusal_counts[OTHER_TENANTS], 0)
+        self.assertGreater(core.refusal_counts["t0"], 0)
 
 
 class EdgeRefusals(unittest.TestCase):
--- a/tests/system/test_catch_up.py
+++ b/tests/system/test_catch_up.py
@@ -29,7 +29,7 @@
 )
 from knotwalk.consensus.store import Refused, Store
 from knotwalk.control_plane import compaction
-from knotwalk.control_plane.consensus_driver import PATIENCE, ConsensusDriver
+from knotwalk.control_plane.consensus_driver import PEER_CALL_TIMEOUT_S, ConsensusDriver
 from tests.standins.disk import FULL, REFUSED, FaultyDisk
 from tests.system.cluster import Cluster, Node, Violation, trouble
 
@@ -60,11 +60,11 @@
             return
         link = address + sender
         begin = max(self.now, self.free.get(link, 0.0))
-        if begin - self.now > PATIENCE:
+        if begin - self.now > PEER_CALL_TIMEOUT_S:
             return  # given up before a byte of it left
         end = begin + len(text) / rate
-        self.free[link] = min(end, self.now + PATIENCE)
-        if end - self.now <= PATIENCE:
+        self.free[link] = min(end, self.now + PEER_CALL_TIMEOUT_S)
+        if end - self.now <= PEER_CALL_TIMEOUT_S:
             self._later(end - self.now, lambda: Cluster._post(self, sender, address, text))
 
     def compact(self, address: str) -> None:
@@ -128,7 +128,7 @@
         cluster.run(0.5)
         self.assertEqual(leader.machine.term, term)
         self.assertGreater(lost.disk.saved.snapshot_index, 1000)
-        self.assertLess(max(len(one["text"]) for one in cluster.parts), TWO_MBIT * PATIENCE)
+        self.assertLess(max(len(one["text"]) for one in cluster.parts), TWO_MBIT * PEER_CALL_TIMEOUT_S)
         sent = sum(len(one["text"]) for one in cluster.parts)
         self.assertLess(sent, 1.2 * cluster.parts[0]["size"], "what had come was not sent again")
 
@@ -585,7 +585,7 @@
         for number in range(50):
             for kind in ("part", "append"):
                 driver.machine.orders.append(Send("b:1", {"type": kind, "number": number}))
-                driver.carry_out()
+                driver.perform_actions()
                 for _ in range(5):
                     await asyncio.sleep(0)
         appends = [message["number"] for body in caller.sent for message in body if message["type"] == "append"]
@@ -601,7 +601,7 @@
 
     def test_it_is_due_by_entries_bytes_or_work_and_not_on_all_machines_at_once(self) -> None:
         for name, size, work, most in (
-            ("entries", 0, 0, compaction.ENTRIES),
+            ("entries", 0, 0, compaction.MAX_ENTRIES),
             ("bytes", 100_000, 0, 160),
             ("work", 0, 12_000, 50),
         ):
@@ -609,7 +609,7 @@
             for me in ("10.0.0.1:7#founder", "10.0.0.2:7#founder", "10.0.0.3:7#founder"):
                 with self.subTest((name, me)):
                     counted = compaction.Compaction(64, me)
-                    due = [number for number in range(4 * most) if counted.due(size, work)]
+                    due = [number for number in range(4 * most) if counted.should_compact(size, work)]
                     self.assertLess(due[0], most)
                     self.assertEqual({two - one for one, two in zip(due, due[1:])}, {most})
                     firsts.append(due[0])
@@ -620,8 +620,8 @@
     """A start after 2,700 changes, the changes of a day."""
 
     async def test_it_replays_a_bounded_part_of_them_and_tells_of_the_configuration_once(self) -> None:
-        for routes, work, most in ((3, compaction.WORK, 2702), (100, 10_000, 101)):
-            with self.subTest(routes), mock.patch.object(compaction, "WORK", work):
+        for routes, work, most in ((3, compaction.MAX_REPLAY_ITEMS, 2702), (100, 10_000, 101)):
+            with self.subTest(routes), mock.patch.object(compaction, "MAX_REPLAY_ITEMS", work):
                 store = Kept()
                 driver = ConsensusDriver(store, store.saved, None, Pace(target=1), 1, float("-inf"))
                 machine = driver.machine
@@ -630,12 +630,12 @@
                     if version:
                         machine.propose(machine.wake, change(version, routes), None)
                     while not machine.applied or machine.log.last > machine.applied:
-                        driver.carry_out()
+                        driver.perform_actions()
                         while not driver.saves.empty():
                             save = driver.saves.get_nowait()
                             store.write(save)
                             machine.kept(machine.wake, save.number)
-                    driver.carry_out()
+                    driver.perform_actions()
                 while not driver.saves.empty():
                     save = driver.saves.get_nowait()
                     store.write(save)
@@ -643,9 +643,9 @@
                 await driver.close()
                 again = ConsensusDriver(store, store.saved, None, Pace(target=1), 2, float("-inf"))
                 told, seen = [], []
-                again.on_config = lambda: told.append(again.state.version)
+                again.on_configuration = lambda: told.append(again.state.version)
                 again.on_change = lambda index, changes: seen.append(index)
-                again.carry_out()
+                again.perform_actions()
                 await again.close()
                 self.assertGreaterEqual(again.state.version, 2699)
                 self.assertLessEqual(len(seen), most)
--- a/tests/system/test_claim_groups.py
+++ b/tests/system/test_claim_groups.py
@@ -6,7 +6,7 @@
 
 from knotwalk.control_plane import claim_groups
 from knotwalk.shared_state.claims import GRANTED, UNAVAILABLE, ClaimResult, ClaimTable, Outcome
-from knotwalk.shared_state.messages import Claim, Holder, operation_id, part_of
+from knotwalk.shared_state.messages import Claim, Holder, operation_id, partition_of
 from tests.simulation import programs
 from tests.simulation.wire import Cut
 from tests.simulation.world import Place, World
@@ -19,7 +19,7 @@
 def operation(part: int, number: int = 0) -> str:
     """An operation of a part."""
     found = (operation_id("tenant", f"key {n}") for n in range(10_000))
-    return [one for one in (next(found) for _ in range(500)) if part_of(one) == part][number]
+    return [one for one in (next(found) for _ in range(500)) if partition_of(one) == part][number]
 
 
 class Groups(unittest.TestCase):
@@ -279,9 +279,9 @@
         found = [self.begin(other, "a", operation=operation(0, number)) for number in range(40)]
         self.until(lambda: all(found))
         self.assertEqual({one[0] for one in found}, {GRANTED})
-        asked = [one for one in calls if one == (other.host, claim_groups.CLAIMS)]
+        asked = [one for one in calls if one == (other.host, claim_groups.CLAIMS_PATH)]
         self.assertLessEqual(len(asked), 2)
-        told = [one for one in calls if one == (leader.host, claim_groups.MESSAGES)]
+        told = [one for one in calls if one == (leader.host, claim_groups.MESSAGES_PATH)]
         self.assertLessEqual(len(told), 3 * (self.cores - 1))
 
 
--- a/tests/system/test_claims.py
+++ b/tests/system/test_claims.py
@@ -11,14 +11,14 @@
 from knotwalk.shared_state import claims
 from knotwalk.shared_state.claim_packing import pack_claim, unpack_claim
 from knotwalk.shared_state.claims import (
-    AGREED_WITHIN,
     GRANTED,
+    MAX_COUNTED_COMMIT_S,
     UNAVAILABLE,
     ClaimResult,
     ClaimTable,
     GroupClock,
     Outcome,
-    command,
+    claims_command,
 )
 from knotwalk.shared_state.messages import Claim, Holder, operation_id
 
@@ -38,7 +38,7 @@
         self.table, self.entries = ClaimTable(), []
 
     def put(self, now: float, *asked: Claim, hold: float = HOLD) -> list[ClaimResult]:
-        self.entries.append(json.loads(json.dumps(command(now, hold, list(asked)))))
+        self.entries.append(json.loads(json.dumps(claims_command(now, hold, list(asked)))))
         return self.table.apply(len(self.entries), self.entries[-1])[0]
 
 
@@ -103,7 +103,7 @@
         self.assertEqual(log.put(100.0 + HOLD - 1, claim("l", OTHER)), [HELD_BY_ONE])
 
     def test_a_full_table_takes_no_more_until_something_has_gone(self):
-        with mock.patch.object(claims, "CLAIMS_MOST", 3):
+        with mock.patch.object(claims, "MAX_CLAIMS", 3):
             log = Log()
             self.assertEqual(log.put(0.0, *(claim(k, ONE) for k in "abcd")), [GRANTED] * 3 + [UNAVAILABLE])
             self.assertEqual(log.put(1.0, claim("a", ONE), claim("a", OTHER)), [GRANTED, HELD_BY_ONE])
@@ -126,7 +126,7 @@
             table = ClaimTable()
             for n in range(count):
                 holder = Holder("10.120.30.4:7660", "5f0c2a91b7d3e846", f"{n:016x}")
-                entry = json.loads(json.dumps(command(n / 300, HOLD, [claim(f"k-{n}", holder)])))
+                entry = json.loads(json.dumps(claims_command(n / 300, HOLD, [claim(f"k-{n}", holder)])))
                 table.apply(n + 1, entry)
                 del entry
             used = tracemalloc.get_traced_memory()[0]
@@ -152,8 +152,8 @@
 
     def one(self, asked: Claim) -> ClaimResult:
         has = self.claims.get(asked.operation, (0, None))[1]
-        same = has is not None and (has.life, has.attempt) == (asked.holder.life, asked.holder.attempt)
-        key = asked.operation, asked.holder.life, asked.holder.attempt
+        same = has is not None and (has.incarnation, has.attempt) == (asked.holder.incarnation, asked.holder.attempt)
+        key = asked.operation, asked.holder.incarnation, asked.holder.attempt
         if asked.release:
             if same:
                 del self.claims[asked.operation]
@@ -167,14 +167,14 @@
         return GRANTED
 
 
-def forgets_release(table: ClaimTable, operation: str, who: str, until: float) -> None:
+def forgets_release(table: ClaimTable, operation: str, holder_key: str, until: float) -> None:
     """A mistake: frees for the holder, and remembers nothing of it."""
     found = table.claims.get(operation)
-    if found is not None and found.who == who:
+    if found is not None and found.holder_key == holder_key:
         del table.claims[operation]
 
 
-def frees_any(table: ClaimTable, operation: str, who: str, until: float) -> None:
+def frees_any(table: ClaimTable, operation: str, holder_key: str, until: float) -> None:
     """A mistake: takes a release by whomever."""
     table.claims.pop(operation, None)
 
@@ -260,7 +260,7 @@
         table, group = ClaimTable(), GroupClock(0.0)
         group.proposed(10.0)
         group.applied(40.0)
-        self.assertAlmostEqual(group.time(table, 41.0), 1.0 + AGREED_WITHIN, 2)
+        self.assertAlmostEqual(group.time(table, 41.0), 1.0 + MAX_COUNTED_COMMIT_S, 2)
 
     def test_a_new_leader_counts_from_when_it_leads(self):
         table, group = ClaimTable(), GroupClock(0.0)
@@ -284,8 +284,8 @@
                 true += chance.choice((0.005, 0.3))
                 if granted is None:
                     granted = true, now
-                self.assertLessEqual(now - granted[1], true - granted[0] + AGREED_WITHIN + 1e-9)
-                table.apply(index, command(now, HOLD, []))
+                self.assertLessEqual(now - granted[1], true - granted[0] + MAX_COUNTED_COMMIT_S + 1e-9)
+                table.apply(index, claims_command(now, HOLD, []))
                 for n, clock in enumerate(clocks):
                     clock.applied(100.0 * n + true + (0 if n == leader else chance.choice((0.01, 0.4))))
 
--- a/tests/system/test_cli.py
+++ b/tests/system/test_cli.py
@@ -20,7 +20,7 @@
 from knotwalk.consensus.machine import Machine
 from knotwalk.consensus.orders import Entry, Pace, Save, Saved
 from knotwalk.consensus.store import Store, StoreBroken, read
-from knotwalk.control_plane import account
+from knotwalk.control_plane import status_report
 from knotwalk.control_plane.replicated_state import ReplicatedState
 from knotwalk.discovery.board import Board
 from knotwalk.discovery.loads import Loads
@@ -400,7 +400,9 @@
     def status(self, fresh=True):
         self.loads.edges = {"e-1": 99.0, "e-2": 98.5, "e-3": 99.5, "e-old": 80.0}
         asked = {"e-1": (99.0, "e", self.board.at), "e-2": (98.5, "e", self.board.at - 1)}
-        return account.status(100.0, "a:1#founder", self.machine, self.state, self.board, self.loads, fresh, asked)
+        return status_report.status(
+            100.0, "a:1#founder", self.machine, self.state, self.board, self.loads, fresh, asked
+        )
 
     def fits(self, name, told):
         schema = yaml.safe_load(STATIONS.read_text())["components"]["schemas"][name]
@@ -425,7 +427,7 @@
         self.assertIn("e-old", self.loads.edges)  # asking has changed nothing
 
     def test_explain(self):
-        told = account.explain(100.0, self.state, self.board, "tiles.example:80", "/frames/7?x=/desk/", 3 * WIDTH)
+        told = status_report.explain(100.0, self.state, self.board, "tiles.example:80", "/frames/7?x=/desk/", 3 * WIDTH)
         self.fits("Explained", told)
         line = told["services"][0]["line"]
         self.assertEqual(
@@ -433,13 +435,13 @@
             ("frames", 3, "i-1", True, 3),
         )
         self.assertIn("owner i-1, at 10.0.0.9:80 in z", "\n".join(show.explained(told)))
-        shut = account.explain(100.0, self.state, self.board, "tiles.example", "/frames/", 9 * WIDTH)
+        shut = status_report.explain(100.0, self.state, self.board, "tiles.example", "/frames/", 9 * WIDTH)
         self.assertIn("changes hands", "\n".join(show.explained(shut)))
-        nobody = account.explain(100.0, self.state, self.board, "tiles.example", "/frames/", 65535)
+        nobody = status_report.explain(100.0, self.state, self.board, "tiles.example", "/frames/", 65535)
         self.assertIn("owner nobody, not placed yet", "\n".join(show.explained(nobody)))
-        self.assertIsNone(account.explain(100.0, self.state, self.board, "tiles.example", "/", 3)["route"])
+        self.assertIsNone(status_report.explain(100.0, self.state, self.board, "tiles.example", "/", 3)["route"])
         self.assertEqual(
-            show.explained(account.explain(0.0, ReplicatedState(), self.board, "h", "/", None)),
+            show.explained(status_report.explain(0.0, ReplicatedState(), self.board, "h", "/", None)),
             ["no configuration has been taken yet"],
         )
 
@@ -455,7 +457,7 @@
         self.assertEqual(answered(self.status(fresh=False), "status", "x:1")[0], 1)
         self.assertEqual(json.loads(answered(self.status(), "status", "x:1", "--json")[1]), self.status())
         self.assertEqual(answered({"me": "other"}, "status", "x:1")[0], 2)
-        none = account.explain(0.0, self.state, self.board, "h", "/", None)
+        none = status_report.explain(0.0, self.state, self.board, "h", "/", None)
         asked.clear()
         self.assertEqual(
             answered(none, "explain", "x:1", "1.10", "/", "--key", "7")[:2], (1, "r3: no route; an edge answers 404\n")
--- a/tests/system/test_cli_tenants.py
+++ b/tests/system/test_cli_tenants.py
@@ -8,7 +8,7 @@
 from knotwalk.configuration.read import Invalid, read_configuration
 from knotwalk.consensus.orders import Entry, Save
 from knotwalk.consensus.store import Store
-from knotwalk.control_plane import account
+from knotwalk.control_plane import status_report
 from knotwalk.control_plane.replicated_state import ReplicatedState
 from knotwalk.discovery.board import Board
 from tests.standins.documents import FIRST, route, tenant
@@ -92,7 +92,7 @@
         state = ReplicatedState()
         state.apply(1, configure(0, self.old))
         board = Board("e")
-        told = [account.explain(0.0, state, board, "tiles.example", path, None) for path in ("/open/", "/pay/")]
+        told = [status_report.explain(0.0, state, board, "tiles.example", path, None) for path in ("/open/", "/pay/")]
         lines = ["\n".join(show.explained(one)) for one in told]
         self.assertNotIn("needs a tenant's key", lines[0])
         self.assertIn("keyed, needs a tenant's key, timeout 60s", lines[1])
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -15,11 +15,11 @@
 from knotwalk.consensus.orders import Pace, Save, Saved
 from knotwalk.consensus.store import NAME, Damaged, Refused, Store
 from knotwalk.control_plane import consensus_driver, control
-from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeader, opened
+from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeaderError, open_store
 from knotwalk.control_plane.control import Control
 from knotwalk.control_plane.list_poller import ListPoller
 from knotwalk.control_plane.peer_api import PeerApi
-from knotwalk.control_plane.slice_manager import LANES, SliceManager
+from knotwalk.control_plane.slice_manager import MAX_CONCURRENT_CALLS, SliceManager
 from knotwalk.discovery.board import Board
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.loads import Loads, merge
@@ -140,9 +140,9 @@
     async def test_only_the_leader_reads_and_proposes(self):
         leader = await self.leader()
         follower = next(end for end in self.wire.ends.values() if end is not leader)
-        with self.assertRaises(NotLeader):
+        with self.assertRaises(NotLeaderError):
             await follower.propose({"do": "shard", "services": ["s"]})
-        with self.assertRaises(NotLeader):
+        with self.assertRaises(NotLeaderError):
             await follower.current()
         await leader.current()
 
@@ -193,7 +193,7 @@
         def start(at: str, first: bool) -> ConsensusDriver:
             store = Store()
             end = wire.ends[at] = ConsensusDriver(
-                store, opened(store, str(folder / at), first, at, founders), wire, Pace(), 1, float("-inf")
+                store, open_store(store, str(folder / at), first, at, founders), wire, Pace(), 1, float("-inf")
             )
             end.machine.address, end.machine.contacts = at, [one for one in ADDRESSES if one != at]
             end.on_damage = lambda: damage.append(at)
@@ -241,7 +241,7 @@
             self.assertRaises(StopIteration),
             self.assertLogs(level="WARNING"),
         ):
-            opened(Store(), str(folder / at), True, at, founders, mock.Mock(side_effect=[StopIteration]))
+            open_store(Store(), str(folder / at), True, at, founders, mock.Mock(side_effect=[StopIteration]))
         await asyncio.sleep(0.01)  # an end and a start aren't one moment: who answers at it is alive
         wire.cut.discard(at)
         with self.assertLogs(level="WARNING") as said:
@@ -365,13 +365,13 @@
 
     async def ask(self, **more):
         asked = json.dumps({"edge": "e", "epoch": "", "at": 0, "wait": 0.0, "bare": True} | more).encode()
-        return json.loads((await self.peer_api.view(SimpleNamespace(body=asked, headers={}))).body)
+        return json.loads((await self.peer_api.handle_cluster_view(SimpleNamespace(body=asked, headers={}))).body)
 
     async def test_a_large_view_is_packed_for_an_edge_that_takes_it(self):
         self.board.set_config(5, DOCUMENT | {"filler": "x" * LEAST})
         asked = json.dumps({"edge": "e", "epoch": "", "at": 0, "wait": 0.0, "bare": True}).encode()
         plain, found = [
-            await self.peer_api.view(SimpleNamespace(body=asked, headers=headers))
+            await self.peer_api.handle_cluster_view(SimpleNamespace(body=asked, headers=headers))
             for headers in ({}, {"accept-encoding": "deflate"})
         ]
         self.assertNotIn("content-encoding", plain.headers)
@@ -594,8 +594,8 @@
         orders = []
         list_poller.on_nodes = lambda: orders.append(list_poller.board.nodes_order)
         with (
-            mock.patch.object(ListPoller, "proven", True),
-            mock.patch("knotwalk.control_plane.list_poller.POLL", 0),
+            mock.patch.object(ListPoller, "is_proven", True),
+            mock.patch("knotwalk.control_plane.list_poller.POLL_INTERVAL_S", 0),
             self.assertRaises(asyncio.CancelledError),
         ):
             await list_poller.poll()
@@ -622,14 +622,14 @@
         failing.set()
         self.assertEqual(await stays, {})
         failing.clear()
-        list_poller.own_list_at = float("-inf")
+        list_poller.own_read_at = float("-inf")
         left = asyncio.ensure_future(list_poller.own_nodes())
         await asyncio.sleep(0)
         left.cancel()
         await asyncio.wait([left])
         failing.set()
-        await asyncio.wait([list_poller.own_list])
-        list_poller.own_list = None
+        await asyncio.wait([list_poller.own_read])
+        list_poller.own_read = None
         gc.collect()
         await asyncio.sleep(0)
         self.assertEqual(faults, [])
@@ -649,7 +649,7 @@
 
         conductor = SliceManager("me", None, Board("b"), Loads(), Node(), LeasePace(), 1, None)
         conductor.keeper.answered = lambda at, order, status, *_: ends.append((order.fence, status))
-        lanes = LANES["grant"]
+        lanes = MAX_CONCURRENT_CALLS["grant"]
         orders = [
             Grant("i-1", ("10.0.1.1", 80), 0, 31, n, 6.0, None, "s", (0,), 5.0 if n < lanes + 2 else 2.0)
             for n in range(lanes + 4)
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -14,10 +14,10 @@
 from knotwalk.configuration.read import document
 from knotwalk.consensus.orders import Pace, Save, Saved
 from knotwalk.control_plane import consensus_driver, control, list_poller, peer_api
-from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost
+from knotwalk.control_plane.consensus_driver import ConsensusDriver, OutcomeUnknownError
 from knotwalk.control_plane.control import Control
 from knotwalk.control_plane.list_poller import ListPoller
-from knotwalk.control_plane.peer_api import FRESH, PROVISIONAL, PeerApi
+from knotwalk.control_plane.peer_api import FRESH, PROVISIONAL_PERIOD_S, PeerApi
 from knotwalk.discovery.board import Board
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.loads import Loads
@@ -85,25 +85,25 @@
         self.board, self.loads = Board(f"b{seed}"), Loads()
         settings = SimpleNamespace(platform=SimpleNamespace(address=("h", 1)), zone="z")
         self.poller = ListPoller(settings, self.consensus, self.board, self, saved.me)
-        conductor = SimpleNamespace(leased=lambda *_: None, look=lambda **_: None, stop=lambda: None)
+        conductor = SimpleNamespace(on_lease=lambda *_: None, on_ledger_change=lambda **_: None, stop=lambda: None)
         self.peers = PeerApi(saved.me, self.consensus, self.poller, conductor, self.board, self.loads, self)
         self.control = Control(self.consensus, 9)
-        self.consensus.on_config = self.configured
+        self.consensus.on_configuration = self.configured
         self.consensus.on_restore = self.configured
-        self.consensus.on_role = lambda role: self.poller.role(role.role == "leader")
-        self.poller.on_nodes = self.peers.changed
+        self.consensus.on_role = lambda role: self.poller.on_leadership(role.role == "leader")
+        self.poller.on_nodes = self.peers.wake_edges
         self.configured()
         self.board.set_cores(sorted(ADDRESSES))
         self.consensus.start()
         loop = asyncio.get_running_loop()
-        works = (self.peers.keep_lease(), self.poller.poll(), self.poller.keep_leases())
+        works = (self.peers.maintain_lease(), self.poller.poll(), self.poller.maintain_leases())
         self.tasks = [loop.create_task(work) for work in works]
 
     def configured(self):
         state = self.consensus.state
         if state.configuration is not None:
-            self.board.set_config(state.order, document(state.configuration))
-            self.peers.changed()
+            self.board.set_config(state.configuration_index, document(state.configuration))
+            self.peers.wake_edges()
 
     @property
     def leads(self):
@@ -123,8 +123,16 @@
     async def serve(self, path, body):
         """A call's answer, as far as this process runs; one computed before a freeze leaves after it."""
         await self.thawed.wait()
-        handler = {"/consensus": self.peers.messages, "/lease": self.peers.lease, "/nodes": self.peers.nodes}
-        handler |= {"/cluster-view": self.peers.view, "/proposal": self.peers.proposal, "/loads": self.peers.share}
+        handler = {
+            "/consensus": self.peers.handle_consensus,
+            "/lease": self.peers.handle_lease,
+            "/nodes": self.peers.handle_nodes,
+        }
+        handler |= {
+            "/cluster-view": self.peers.handle_cluster_view,
+            "/proposal": self.peers.handle_proposal,
+            "/loads": self.peers.handle_loads,
+        }
         found = await handler[path](SimpleNamespace(body=json.dumps(body).encode(), headers={}))
         await self.thawed.wait()
         return found
@@ -152,8 +160,8 @@
 
     def thaw(self):
         self.thawed.set()
-        self.consensus.turn()
-        works = (self.peers.keep_lease(), self.poller.poll(), self.poller.keep_leases())
+        self.consensus.tick()
+        works = (self.peers.maintain_lease(), self.poller.poll(), self.poller.maintain_leases())
         self.tasks = [asyncio.get_running_loop().create_task(work) for work in works]
 
     async def end(self):
@@ -370,7 +378,7 @@
             self.assertEqual(core.consensus.machine.leader, before.at)
             self.assertEqual((await core.operate("GET"))[0], 503)
             core.thaw()
-            self.assertEqual(core.control.elsewhere(core.at).status, 503)  # sent to itself it would go round
+            self.assertEqual(core.control.redirect(core.at).status, 503)  # sent to itself it would go round
 
         play(story)
 
@@ -378,7 +386,7 @@
         async def story(world):
             leader = world.leader()
             leader.consensus.results = Forgets()
-            with self.assertRaises(Lost):
+            with self.assertRaises(OutcomeUnknownError):
                 await leader.consensus.propose({"do": "nothing"})
 
         play(story)
@@ -407,7 +415,11 @@
                         while clock() < start + 5:
                             begun = clock()
                             told = json.loads(
-                                (await core.peers.view(SimpleNamespace(body=json.dumps(asked), headers={}))).body
+                                (
+                                    await core.peers.handle_cluster_view(
+                                        SimpleNamespace(body=json.dumps(asked), headers={})
+                                    )
+                                ).body
                             )
                             if told["fresh"]:
                                 fresh.append(clock() - start)
@@ -420,13 +432,13 @@
         async def story(world):
             leader = world.leader()
             me = leader.consensus.machine.me
-            self.assertIsNotNone(leader.poller.lease(me))
+            self.assertIsNotNone(leader.poller.grant_lease(me))
             leader.freeze()
             last = leader.consensus.machine.majority_at
             await asyncio.sleep(last + PROOF - 0.01 - clock())
-            self.assertIsNotNone(leader.poller.lease(me))
+            self.assertIsNotNone(leader.poller.grant_lease(me))
             await asyncio.sleep(0.02)
-            self.assertEqual((leader.consensus.machine.role, leader.poller.lease(me)), ("leader", None))
+            self.assertEqual((leader.consensus.machine.role, leader.poller.grant_lease(me)), ("leader", None))
 
         play(story)
 
@@ -492,7 +504,7 @@
             asked = SimpleNamespace(body=wanted, headers={})
 
             async def given():
-                return "provisional" in json.loads((await core.peers.view(asked)).body)
+                return "provisional" in json.loads((await core.peers.handle_cluster_view(asked)).body)
 
             self.assertTrue(await given())
             with mock.patch.object(core.consensus.machine, "role", "outsider"):
@@ -511,7 +523,7 @@
                 with mock.patch.object(core.consensus.machine, "_hint", "10.0.0.2:7"):
                     reading.set()  # the list came, and meanwhile a leader was heard of
                     self.assertFalse(await call)
-            await asyncio.sleep(PROVISIONAL)
+            await asyncio.sleep(PROVISIONAL_PERIOD_S)
             self.assertFalse(await given())
 
         play(story)
@@ -555,22 +567,22 @@
             for what, taken in (("nothing", 2), ("is back", 1), ("office lost", 1), ("office anew", 1)):
                 with (
                     self.subTest(what=what),
-                    mock.patch.object(ListPoller, "proven", True),
+                    mock.patch.object(ListPoller, "is_proven", True),
                     mock.patch.object(leader.consensus, "state", state),
-                    mock.patch.object(poller, "give", give),
+                    mock.patch.object(poller, "propose_lease", give),
                 ):
-                    poller.role(True)
+                    poller.on_leadership(True)
                     tenure = poller.tenure
                     tenure.since -= 10 * LEASE  # all that were not heard have surely ended
                     tenure.asked(clock(), a)
                     happens = {
                         "nothing": lambda: None,
                         "is back": lambda: (tenure.asked(clock(), b), tenure.asked(clock(), c)),
-                        "office lost": lambda: poller.role(False),
-                        "office anew": lambda: poller.role(True),
+                        "office lost": lambda: poller.on_leadership(False),
+                        "office anew": lambda: poller.on_leadership(True),
                     }[what]
                     given.clear()
-                    await poller.mind(tenure, "s")
+                    await poller.maintain_service(tenure, "s")
                     self.assertEqual(len(given), taken)
 
         play(story)
--- a/tests/system/test_operations.py
+++ b/tests/system/test_operations.py
@@ -178,10 +178,10 @@
         await wait_for(lambda: self.runs() == 1)
         await self.edges[0].end()
         self.edges[0] = await Edge(self.cores, self.edges[0].order).start(self.view)
-        with mock.patch("knotwalk.control_plane.admissions.HEARD_WITHIN", 0.0):  # its edge has long said nothing
+        with mock.patch("knotwalk.control_plane.admissions.EDGE_ALIVE_S", 0.0):  # its edge has long said nothing
             self.assertEqual((await self.ask("a1", deadline=300))[0], 503)
             self.assertEqual((await self.ask("a2", 1, deadline=300))[0], 503)
-        self.cores.longest = self.cores[0].answers.longest = 0.0
+        self.cores.longest = self.cores[0].answers.max_run_s = 0.0
         self.assertEqual((await self.ask("a3"))[0], 502)
         self.assertEqual((await self.ask("a4", 1))[0], 502)
         go.set()
@@ -215,7 +215,7 @@
         status, _, _ = await self.ask("a2", 1)
         self.assertEqual(status, 200)
         await self.told()
-        self.assertEqual(self.cores[0].admissions.ended[Ending.NEVER_RAN], 1)
+        self.assertEqual(self.cores[0].admissions.ending_counts[Ending.NEVER_RAN], 1)
 
     async def test_a_lost_answer_is_asked_for_again(self):
         await self.begin()
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -15,7 +15,7 @@
 from knotwalk.configuration.read import document, version_text
 from knotwalk.consensus.orders import Pace, Saved
 from knotwalk.control_plane import consensus_driver, control
-from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost
+from knotwalk.control_plane.consensus_driver import ConsensusDriver, OutcomeUnknownError
 from knotwalk.control_plane.control import Control
 from knotwalk.control_plane.replicated_state import DONE, ReplicatedState
 from knotwalk.runtime.errors import PeerError
@@ -372,7 +372,7 @@
     async def test_nothing_is_told_before_the_state_is_known_to_be_the_newest(self):
         self.assertEqual(await self.clear(0, 3), 200)
         at = await self.leads()
-        with mock.patch.object(ConsensusDriver, "current", side_effect=Lost):
+        with mock.patch.object(ConsensusDriver, "current", side_effect=OutcomeUnknownError):
             for order in ((0, 3), (0, 3, "/rival"), (3, 2), (3, 4, "no slash")):
                 self.assertEqual((await self.send(at, *order)).status, 503)
         with mock.patch.object(ConsensusDriver, "propose", return_value=control.UNKNOWN):
@@ -381,5 +381,5 @@
     async def test_an_outcome_that_is_not_known_is_not_called_done(self):
         end = self.wire.ends[await self.leads()]
         end.results = Forgetful()
-        with self.assertRaises(Lost):
+        with self.assertRaises(OutcomeUnknownError):
             await end.propose(command(0, 3))
--- a/tests/system/test_peer_lanes.py
+++ b/tests/system/test_peer_lanes.py
@@ -24,10 +24,10 @@
         async def told():
             caller = NoCaller()
             lanes = PeerLanes(caller, "/p", "step", lambda answers: None)
-            lanes.post("one", {"type": "vote"})
+            lanes.send("one", {"type": "vote"})
             await asyncio.sleep(0)
             lanes.close()
-            lanes.post("two", {"type": "vote"})
+            lanes.send("two", {"type": "vote"})
             await asyncio.sleep(0)
             return len(caller.calls), [task for task in lanes.tasks if not task.cancelling()]
 
--- a/tests/system/test_quota.py
+++ b/tests/system/test_quota.py
@@ -15,15 +15,15 @@
 )
 
 from knotwalk.shared_state.buckets import Bucket, Buckets
-from knotwalk.shared_state.escrow import EMPTY_PAUSE, IDLE, Escrow, Taken
-from knotwalk.shared_state.limit import Sharing, limit_of
-from knotwalk.shared_state.messages import AllowanceWant
-from tests.system.quota_world import SHARING, World
+from knotwalk.shared_state.escrow import IDLE_TIMEOUT_S, LIMIT_REACHED_PAUSE_S, Escrow, TakeResult
+from knotwalk.shared_state.limit import QuotaBounds, limit_of
+from knotwalk.shared_state.messages import AllowanceRequest
+from tests.system.quota_world import QUOTA_BOUNDS, World
 
 
-def filled(rate=20.0, burst=20.0, sharing=SHARING, **more):
+def filled(rate=20.0, burst=20.0, quota_bounds=QUOTA_BOUNDS, **more):
     """A world with one tenant whose bucket is full."""
-    world = World(sharing, **more)
+    world = World(quota_bounds, **more)
     world.set_limit("t", rate, burst)
     world.now = 1000.0
     return world
@@ -32,11 +32,11 @@
 class HardCases(unittest.TestCase):
     def test_the_last_unit_asked_for_by_all_in_the_same_instant(self):
         world = filled()
-        world.leader.grant(world.now, "c0", [AllowanceWant("t", 0, 0)])
+        world.leader.grant(world.now, "c0", [AllowanceRequest("t", 0, 0)])
         world.leader.buckets["t"].level = 1.0
         taken = [core.take("t") for core in world.cores]
-        self.assertEqual(taken.count(Taken.GRANTED), 1)
-        self.assertEqual(taken.count(Taken.OVER_LIMIT), 4)
+        self.assertEqual(taken.count(TakeResult.GRANTED), 1)
+        self.assertEqual(taken.count(TakeResult.OVER_LIMIT), 4)
 
     def test_a_core_frozen_past_the_end_of_its_part_uses_nothing_of_it(self):
         world = filled()
@@ -44,8 +44,8 @@
         core.take("t")
         held = core.escrow.holdings["t"].held
         self.assertGreater(held, 0)
-        world.now += world.limit("t").lasts
-        self.assertEqual(core.escrow.take(world.now, "t"), Taken.WAIT)
+        world.now += world.limit("t").valid_for_s
+        self.assertEqual(core.escrow.take(world.now, "t"), TakeResult.WAIT)
 
     def test_the_bound_is_kept_at_its_edge_with_parts_outstanding_and_a_new_leader(self):
         """All hold all that they may, one was just replaced, the bucket is full: then a window of a storm, with the
@@ -58,24 +58,24 @@
                     before = world.replaced(0)
                     holders = [before, *world.cores]
                     for core in holders:
-                        grants = world.leader.grant(world.now, core.id, [AllowanceWant("t", 1000, 0)])
-                        core.escrow.granted(world.now, world.now, grants)
-                        world.leader.buckets["t"].level = limit.most
+                        grants = world.leader.grant(world.now, core.id, [AllowanceRequest("t", 1000, 0)])
+                        core.escrow.apply_grants(world.now, world.now, grants)
+                        world.leader.buckets["t"].level = limit.capacity
                     held = sum(core.escrow.holdings["t"].held for core in holders)
-                    self.assertEqual(held, limit.outstanding)
+                    self.assertEqual(held, limit.max_outstanding)
                     world.cores.append(before)
-                    world.leader.buckets["t"].level = max(1.0, limit.most - held)
+                    world.leader.buckets["t"].level = max(1.0, limit.capacity - held)
                     world.now += quiet
                     begun, passed = world.now, 0
-                    while world.now < begun + SHARING.window:
+                    while world.now < begun + QUOTA_BOUNDS.window:
                         if lost_after is not None and world.now - begun >= lost_after:
                             world.lead_anew()
                             lost_after = None
                         passed += world.drained("t")
                         self.assertLessEqual(world.counter.over(world.now, "t"), 0)
                         world.now += 0.05
-                    spendable = limit.most + limit.rate * SHARING.window
-                    if world.leader.since < begun:
+                    spendable = limit.capacity + limit.rate * QUOTA_BOUNDS.window
+                    if world.leader.leader_since < begun:
                         self.assertGreaterEqual(passed, spendable - limit.rate * 0.3 - 2)
 
     def test_a_limit_lowered_below_what_is_out_holds_after_a_window(self):
@@ -85,7 +85,7 @@
         world.drained("t")
         world.set_limit("t", 2.0, 0.0)
         begun = world.now
-        while world.now < begun + 3 * SHARING.window:
+        while world.now < begun + 3 * QUOTA_BOUNDS.window:
             world.drained("t")
             self.assertLessEqual(world.counter.over(world.now, "t"), 0)
             world.now += 0.05
@@ -94,17 +94,19 @@
     def test_no_part_that_was_given_before_a_limit_was_lowered_is_prolonged(self):
         world = filled(1000.0, 1000.0)
         core = world.cores[0]
-        core.escrow.granted(world.now, world.now, world.leader.grant(world.now, "c0", [AllowanceWant("t", 50, 0)]))
-        ends = core.escrow.holdings["t"].ends
+        core.escrow.apply_grants(
+            world.now, world.now, world.leader.grant(world.now, "c0", [AllowanceRequest("t", 50, 0)])
+        )
+        ends = core.escrow.holdings["t"].expires_at
         world.set_limit("t", 1.0, 0.0)
         world.now += 1.0
-        grant = world.leader.grant(world.now, "c0", [AllowanceWant("t", 0, 40)])[0]
-        core.escrow.granted(world.now, world.now, [grant])
-        self.assertEqual(core.escrow.holdings["t"].ends, ends)
+        grant = world.leader.grant(world.now, "c0", [AllowanceRequest("t", 0, 40)])[0]
+        core.escrow.apply_grants(world.now, world.now, [grant])
+        self.assertEqual(core.escrow.holdings["t"].expires_at, ends)
 
     def test_of_many_tenants_only_the_busy_ones_take_memory(self):
         world = World()
-        limit = limit_of(5.0, 5.0, SHARING)
+        limit = limit_of(5.0, 5.0, QUOTA_BOUNDS)
         world.limit = lambda tenant: limit
         world.leader = Buckets(0.0, world.limit)
         core = world.cores[0]
@@ -112,8 +114,8 @@
         world.now = 100.0
         for k in range(100_000):
             core.escrow.take(world.now, f"t{k}")
-            world.leader.grant(world.now, "c0", [AllowanceWant(f"t{k}", 1, 0)])
-        world.now += IDLE
+            world.leader.grant(world.now, "c0", [AllowanceRequest(f"t{k}", 1, 0)])
+        world.now += IDLE_TIMEOUT_S
         for _ in range(100):
             world.now += 0.1
             for k in range(50):
@@ -126,53 +128,53 @@
         world.set_limit("t", 0.5, 1.0)
         world.now = 100.0
         for k in range(100):
-            self.assertEqual(world.cores[k % 5].take("t"), Taken.GRANTED)
+            self.assertEqual(world.cores[k % 5].take("t"), TakeResult.GRANTED)
             world.now += 2.0
 
     def test_no_limit_is_told_for_a_time_and_a_new_limit_holds_after_it(self):
         world = World()
         core = world.cores[0]
-        self.assertEqual(core.take("t"), Taken.UNLIMITED)
+        self.assertEqual(core.take("t"), TakeResult.UNLIMITED)
         world.set_limit("t", 1.0, 0.0)
-        self.assertEqual(core.take("t"), Taken.UNLIMITED)
+        self.assertEqual(core.take("t"), TakeResult.UNLIMITED)
         world.now += 2.0
         found = [core.take("t") for _ in range(100)]
-        self.assertLess(found.count(Taken.GRANTED), 30)
-        self.assertNotIn(Taken.UNLIMITED, found)
+        self.assertLess(found.count(TakeResult.GRANTED), 30)
+        self.assertNotIn(TakeResult.UNLIMITED, found)
 
     def test_after_empty_nothing_is_asked_for_a_moment(self):
         world = filled()
         world.drained("t")
         core = world.cores[0]
-        self.assertEqual(core.escrow.take(world.now, "t"), Taken.OVER_LIMIT)
-        self.assertEqual(core.escrow.wants(world.now), [])
-        world.now += EMPTY_PAUSE
-        self.assertEqual(core.take("t"), Taken.GRANTED)
+        self.assertEqual(core.escrow.take(world.now, "t"), TakeResult.OVER_LIMIT)
+        self.assertEqual(core.escrow.pending_requests(world.now), [])
+        world.now += LIMIT_REACHED_PAUSE_S
+        self.assertEqual(core.take("t"), TakeResult.GRANTED)
 
     def test_a_new_leader_does_not_call_a_limit_reached_because_it_has_just_begun(self):
         world = filled()
         world.lead_anew()
-        self.assertEqual(world.cores[0].take("t"), Taken.WAIT)
+        self.assertEqual(world.cores[0].take("t"), TakeResult.WAIT)
         world.now += 0.5
-        self.assertEqual(world.cores[0].take("t"), Taken.GRANTED)
+        self.assertEqual(world.cores[0].take("t"), TakeResult.GRANTED)
 
     def test_what_is_held_by_those_who_use_it_no_more_goes_back(self):
         world = filled()
         core = world.cores[0]
         core.take("t")
         self.assertGreater(core.escrow.holdings["t"].held, 0)
-        for _ in range(int(IDLE) * 10 + 50):
+        for _ in range(int(IDLE_TIMEOUT_S) * 10 + 50):
             world.now += 0.1
-            if core.escrow.due <= world.now and core.send():
+            if core.escrow.due_at <= world.now and core.send():
                 core.deliver()
         self.assertEqual(core.escrow.holdings["t"].held, 0)
         core.take("another")
         self.assertNotIn("t", core.escrow.holdings)
-        self.assertEqual(world.leader.buckets["t"].parts, {})
+        self.assertEqual(world.leader.buckets["t"].holdings, {})
 
     def test_without_room_for_a_token_each_a_core_still_gets_one(self):
-        limit = limit_of(0.2, 0.0, Sharing(5.0, 0.0, 0.0, 5))
-        self.assertEqual((limit.share, limit.most), (1, 0.0))
+        limit = limit_of(0.2, 0.0, QuotaBounds(5.0, 0.0, 0.0, 5))
+        self.assertEqual((limit.max_per_core, limit.capacity), (1, 0.0))
 
 
 class SteadyUse(unittest.TestCase):
@@ -185,13 +187,13 @@
             world.set_limit(tenant, rate, max(1.0, rate))
         world.now = 50.0
         own = dict.fromkeys(rates, 0.0)  # the truth: a bucket of the rate and its burst
-        found = {taken: 0 for taken in Taken}
+        found = {taken: 0 for taken in TakeResult}
         while world.now < 50.0 + seconds:
             world.now += step
             for core in world.cores:
                 if core.call is not None:
                     core.deliver()
-                elif core.escrow.due <= world.now:
+                elif core.escrow.due_at <= world.now:
                     core.send()
             for tenant, rate in rates.items():
                 own[tenant] = min(max(1.0, rate), own[tenant] + rate * step)
@@ -199,10 +201,10 @@
                     own[tenant] -= 1
                     core = chance.choice(world.cores)
                     taken = core.take(tenant, calls=0)
-                    if world.now >= 50.0 + warm_up or taken is Taken.OVER_LIMIT:
+                    if world.now >= 50.0 + warm_up or taken is TakeResult.OVER_LIMIT:
                         found[taken] += 1
-                    if taken is Taken.WAIT:
-                        self.assertIn(core.take(tenant), (Taken.GRANTED,))
+                    if taken is TakeResult.WAIT:
+                        self.assertIn(core.take(tenant), (TakeResult.GRANTED,))
                 self.assertLessEqual(world.counter.over(world.now, tenant), 0)
         return found
 
@@ -211,16 +213,16 @@
             with self.subTest(seed=seed):
                 for rate in (0.7, 3.0, 20.0, 160.0):
                     found = self.played(seed, {"t": rate}, 1 / 1.6, seconds=60.0 if rate < 20.0 else 20.0)
-                    self.assertEqual(found[Taken.OVER_LIMIT], 0)
-                    self.assertGreater(found[Taken.GRANTED], 0)
+                    self.assertEqual(found[TakeResult.OVER_LIMIT], 0)
+                    self.assertGreater(found[TakeResult.GRANTED], 0)
                     if rate > 1.0:
-                        self.assertLess(found[Taken.WAIT], 0.05 * sum(found.values()) + 1)
+                        self.assertLess(found[TakeResult.WAIT], 0.05 * sum(found.values()) + 1)
 
     def test_nobody_at_the_very_limit_is_refused(self):
         for seed in range(3):
             with self.subTest(seed=seed):
                 found = self.played(seed, {"a": 0.7, "b": 3.0, "c": 20.0}, 3.0)
-                self.assertEqual(found[Taken.OVER_LIMIT], 0)
+                self.assertEqual(found[TakeResult.OVER_LIMIT], 0)
 
 
 class Quotas(RuleBasedStateMachine):
@@ -285,7 +287,7 @@
         for core in self.gone:
             while core.reserved:
                 core.resolve("t", True)
-            while core.take("t", calls=0) is Taken.GRANTED:
+            while core.take("t", calls=0) is TakeResult.GRANTED:
                 pass
 
     @rule(k=some.integers(0, 4), count=some.sampled_from([1, 5, 30]))
@@ -327,42 +329,42 @@
 class StartsFull(Buckets):
     def _bucket(self, now, tenant, limit):
         if tenant not in self.buckets:
-            self.buckets[tenant] = Bucket(limit, limit.most, now)
+            self.buckets[tenant] = Bucket(limit, limit.capacity, now)
         return super()._bucket(now, tenant, limit)
 
 
 class GivesForNothing(Buckets):
-    def _take(self, now, core, want, bucket):
+    def _take(self, now, core, request, bucket):
         before = bucket.level
-        granted = super()._take(now, core, want, bucket)
+        granted = super()._take(now, core, request, bucket)
         bucket.level = before
         return granted
 
 
 class KnowsNoShares(Buckets):
-    def _take(self, now, core, want, bucket):
-        granted = max(0, min(want.wanted, int(bucket.level)))
+    def _take(self, now, core, request, bucket):
+        granted = max(0, min(request.requested, int(bucket.level)))
         bucket.level -= granted
         return granted
 
 
 class FillsWhereOthersHold(Buckets):
-    def _granted(self, now, core, want):
-        if want.tenant in self.buckets:
-            self.buckets[want.tenant].hold(now, core, want.unused)
-        return super()._granted(now, core, want)
+    def _grant_one(self, now, core, request):
+        if request.tenant in self.buckets:
+            self.buckets[request.tenant].hold(now, core, request.unused)
+        return super()._grant_one(now, core, request)
 
 
 class FillsForEver(Buckets):
     def __init__(self, since, limit_of):
-        super().__init__(since, lambda tenant: replace(limit_of(tenant), most=1e9))
+        super().__init__(since, lambda tenant: replace(limit_of(tenant), capacity=1e9))
 
 
 class TakesBackTwice(Buckets):
-    def _granted(self, now, core, want):
-        if want.wanted < 0:
-            super()._granted(now, core, want)
-        return super()._granted(now, core, want)
+    def _grant_one(self, now, core, request):
+        if request.requested < 0:
+            super()._grant_one(now, core, request)
+        return super()._grant_one(now, core, request)
 
 
 class KeepsAllThatIsGivenBack(Escrow):
@@ -374,10 +376,10 @@
 
 
 class HoldsForEver(Escrow):
-    def take_again(self, now, tenant):
+    def retry_take(self, now, tenant):
         if tenant in self.holdings and self.holdings[tenant].held > 0:
-            self.holdings[tenant].ends = float("inf")
-        return super().take_again(now, tenant)
+            self.holdings[tenant].expires_at = float("inf")
+        return super().retry_take(now, tenant)
 
 
 class StateMachines(unittest.TestCase):
@@ -397,14 +399,14 @@
     """A window's storm never ran, after all; what is over in the one behind it."""
     world = filled(100.0, 100.0, escrow=escrow)
     passed = world.counter.passed["t"]
-    while world.now < 1000.0 + SHARING.window:
+    while world.now < 1000.0 + QUOTA_BOUNDS.window:
         world.drained("t")
         world.now += 0.05
     for at in passed:
         world.cores[hash(at) % 5].escrow.give_back(world.now, "t")
     passed.clear()
     begun, worst = world.now, 0.0
-    while world.now < begun + SHARING.window:
+    while world.now < begun + QUOTA_BOUNDS.window:
         world.drained("t")
         worst = max(worst, world.counter.over(world.now, "t"))
         world.now += 0.05
@@ -415,11 +417,13 @@
     """All hold their shares of a large limit; thawed two windows after it was lowered, they use what they have."""
     world = filled(1000.0, 1000.0, escrow=escrow)
     for core in world.cores:
-        core.escrow.granted(world.now, world.now, world.leader.grant(world.now, core.id, [AllowanceWant("t", 999, 0)]))
+        core.escrow.apply_grants(
+            world.now, world.now, world.leader.grant(world.now, core.id, [AllowanceRequest("t", 999, 0)])
+        )
     world.set_limit("t", 0.5, 0.0)
-    world.now += 2.1 * SHARING.window
+    world.now += 2.1 * QUOTA_BOUNDS.window
     for core in world.cores:
-        while core.take("t", calls=0) is Taken.GRANTED:
+        while core.take("t", calls=0) is TakeResult.GRANTED:
             pass
     return world.counter.over(world.now, "t")
 
@@ -429,35 +433,35 @@
     world = filled(buckets=buckets)
     limit, held = world.limit("t"), []
     for k in range(9):
-        world.leader.grant(world.now, "", [AllowanceWant("t", 0, 0)])
-        world.leader.buckets["t"].level = limit.most
-        held.append(world.leader.grant(world.now, f"c{k}", [AllowanceWant("t", 1000, 0)])[0].granted)
-    return max(max(held) - limit.share, sum(held) - limit.outstanding)
+        world.leader.grant(world.now, "", [AllowanceRequest("t", 0, 0)])
+        world.leader.buckets["t"].level = limit.capacity
+        held.append(world.leader.grant(world.now, f"c{k}", [AllowanceRequest("t", 1000, 0)])[0].granted)
+    return max(max(held) - limit.max_per_core, sum(held) - limit.max_outstanding)
 
 
 def a_storm_after_a_quiet_time(buckets):
     """All hold their parts, untouched for a while, then use them and ask for more."""
     world = filled(100.0, 0.0, buckets=buckets)
     for core in world.cores:
-        grants = world.leader.grant(world.now, core.id, [AllowanceWant("t", 1000, 0)])
-        core.escrow.granted(world.now, world.now, grants)
-    world.leader.grant(world.now, "", [AllowanceWant("t", 0, 0)])
+        grants = world.leader.grant(world.now, core.id, [AllowanceRequest("t", 1000, 0)])
+        core.escrow.apply_grants(world.now, world.now, grants)
+    world.leader.grant(world.now, "", [AllowanceRequest("t", 0, 0)])
     world.leader.buckets["t"].level = 0.0
     world.now += 1.7
     passed = 0
     for core in world.cores:
-        while core.take("t") is Taken.GRANTED:
+        while core.take("t") is TakeResult.GRANTED:
             passed += 1
-    return passed - world.limit("t").most
+    return passed - world.limit("t").capacity
 
 
 def tokens_come_back_twice(buckets):
     """How much more a bucket holds than it had before tokens went out and came back."""
     world = filled(buckets=buckets)
-    world.leader.grant(world.now, "c0", [AllowanceWant("t", 0, 0)])
+    world.leader.grant(world.now, "c0", [AllowanceRequest("t", 0, 0)])
     world.leader.buckets["t"].level = 10.0
-    granted = world.leader.grant(world.now, "c0", [AllowanceWant("t", 2, 0)])[0].granted
-    world.leader.grant(world.now, "c0", [AllowanceWant("t", -granted, 0)])
+    granted = world.leader.grant(world.now, "c0", [AllowanceRequest("t", 2, 0)])[0].granted
+    world.leader.grant(world.now, "c0", [AllowanceRequest("t", -granted, 0)])
     return world.leader.buckets["t"].level - 10.0
 
 
