--- a/knotwalk/control_plane/metrics.py
+++ b/knotwalk/control_plane/metrics.py
@@ -103,11 +103,11 @@
         leads[partition], waiting[partition] = group.is_leader, len(group.pending_claims)
         held[partition] = len(group.driver.state.claims)
     labels = ("part",)
+    yield Metric("knotwalk_core_claims_leader", MetricType.GAUGE, "1 while this core leads a partition", leads, labels)
+    yield Metric("knotwalk_core_claims_held", MetricType.GAUGE, "operations of a partition with a holder", held, labels)
     yield Metric(
-        "knotwalk_core_claims_leader", MetricType.GAUGE, "1 while this core leads a partition", leads, labels
+        "knotwalk_core_claims_waiting", MetricType.GAUGE, "pending claims of a partition here", waiting, labels
     )
-    yield Metric("knotwalk_core_claims_held", MetricType.GAUGE, "operations of a partition with a holder", held, labels)
-    yield Metric("knotwalk_core_claims_waiting", MetricType.GAUGE, "pending claims of a partition here", waiting, labels)
     outcomes: dict[tuple[str, ...], float] = {
         (one.value,): count for one, count in (groups.outcome_counts.items() if groups else ())
     }
--- a/knotwalk/control_plane/peer_api.py
+++ b/knotwalk/control_plane/peer_api.py
@@ -288,7 +288,9 @@
             if not (isinstance(host, str) and isinstance(path, str) and (key is None or 0 <= key < KEY_COUNT)):
                 raise ValueError
         except (KeyError, TypeError, ValueError):
-            return json_response({"error": f"host and path must be strings, key (optional) a number below {KEY_COUNT}"}, 400)
+            return json_response(
+                {"error": f"host and path must be strings, key (optional) a number below {KEY_COUNT}"}, 400
+            )
         report = status_report.explain(clock(), self.consensus.state, self.board, host, path, key)
         return json_response(report | {"fresh": self.is_fresh(clock())})
 
--- a/knotwalk/control_plane/replicated_state.py
+++ b/knotwalk/control_plane/replicated_state.py
@@ -24,7 +24,11 @@
 # Results of applying a change of configuration.
 DONE = "done"
 VERSION_CONFLICT = "another version is in place"
-RESULT_BY_STANDING = {ChangeStatus.TAKEN: DONE, ChangeStatus.NOT_TAKEN: VERSION_CONFLICT, ChangeStatus.UNKNOWN: STATUS_UNKNOWN_MESSAGE}
+RESULT_BY_STANDING = {
+    ChangeStatus.TAKEN: DONE,
+    ChangeStatus.NOT_TAKEN: VERSION_CONFLICT,
+    ChangeStatus.UNKNOWN: STATUS_UNKNOWN_MESSAGE,
+}
 
 
 class ReplicatedState:
@@ -95,7 +99,9 @@
             raise ValueError(f"snapshot has format {raw['format']}; this program reads formats up to {FORMAT}")
         state = cls()
         state.applied, state.configuration_index = raw["applied"], raw["order"]
-        read_history = ChangeHistory.from_dict if raw["format"] >= HISTORY_FLOOR_FORMAT else ChangeHistory.from_legacy_dict
+        read_history = (
+            ChangeHistory.from_dict if raw["format"] >= HISTORY_FLOOR_FORMAT else ChangeHistory.from_legacy_dict
+        )
         state.history = read_history(raw["history"])
         state.configuration = parse_configuration(raw["configuration"]) if raw["configuration"] else None
         state.ledger = Ledger.from_dict(raw["ledger"])
--- a/tests/system/test_cli.py
+++ b/tests/system/test_cli.py
@@ -429,7 +429,9 @@
         self.assertIn("e-old", self.loads.edges)  # asking has changed nothing
 
     def test_explain(self):
-        told = status_report.explain(100.0, self.state, self.board, "tiles.example:80", "/frames/7?x=/desk/", 3 * SLICE_WIDTH)
+        told = status_report.explain(
+            100.0, self.state, self.board, "tiles.example:80", "/frames/7?x=/desk/", 3 * SLICE_WIDTH
+        )
         self.fits("Explained", told)
         line = told["services"][0]["line"]
         self.assertEqual(
