--- a/knotwalk/decide/__init__.py
+++ b/knotwalk/decide/__init__.py
@@ -34,7 +34,7 @@
             self.update_estimates()
             self.update_health()
             self.place_shares()
-            if self.admits and self.demand_reported_at == now and self.mean_capacity:
+            if self.admits and self.demand_reported_at == now and self.avg_capacity:
                 self.update_levels()
         if self.send_due_at < float("inf"):
             self.send_due_at = self.send(out)
--- a/knotwalk/decide/controller_state.py
+++ b/knotwalk/decide/controller_state.py
@@ -15,7 +15,7 @@
         self.proven = True          # in the first list, or has answered a try
         self.delisted = False       # the list says gone, which may be wrong (see InboxHandlers.listed)
         self.owned = True           # this controller is the one that fills it after a restart; see server_for()
-        self.unmeasured = False     # started after the first list, and no usage sample since
+        self.unmeasured = False     # restarted, or still cold in the first list, and no usage sample since
         self.leaving_since = 0.0    # when it was first reported draining, gone or restarted
         self.withdrawn = self.ever_withdrawn = False    # excluded from all tables, now or ever
         self.quota = 1.0            # the share of its capacity that may be admitted
@@ -53,7 +53,7 @@
 
     RETRY = 1       # only on proof that the first try never ran; see Orders.admit
     PERIOD = 5.0    # seconds between ordinary passes; 3 s moved more shares without a better result
-    URGENT_PART = 0.65      # of the channel: leaves leaving lines room for message overhead to many proxies
+    URGENT_PART = 0.65      # of the channel: the rest is for drains, whose messages have their overhead for every proxy
     FORGET = 30.0   # seconds: outlasts list errors, so a server dropped and listed again keeps its history
 
     def __init__(self, settings: Settings, seed: int):
@@ -64,9 +64,9 @@
         # Methods in order of admission: by criticality per unit of work.
         self.method_order = sorted(range(len(s.methods)), key=lambda k: -s.methods[k].criticality / self.rpc_costs[k])
         self.admits, self.report_period, self.messages_capped = s.admits, max(s.report_period, 0.1), s.messages_most > 0
-        # Reports this long after a move show its effect: the message's way, and one whole report period.
+        # Reports this long after a move show its effect: it is sent and applied, then a whole report period passes.
         self.settle_time = 2 * self.report_period + s.message_delay
-        self.total_slices, self.list_on_request, self.one_owner = s.slices, s.asked_list, s.one_owner
+        self.total_slices, self.list_on_request, self.one_line = s.slices, s.asked_list, s.one_owner
         self.controllers, self.controller_index = s.controllers, s.place
         self.cold_share, self.cold_time = s.cold_share or 1.0, max(s.cold_time, 0.001)
         self.message_overhead, self.max_waiting, self.assumed_line_rate = (
@@ -80,7 +80,7 @@
         self.servers: dict[str, Server] = {}
         self.slices: dict[int, Slice] = {}
         self.proxies: dict[int, None] = {}
-        self.in_flight: deque[tuple] = deque()  # messages: (mark, lines, proxies that have yet to apply it)
+        self.in_flight: deque[tuple] = deque()  # (mark, lines, proxies yet to apply it); mark None: receipts were lost
         self.sent_times: deque[float] = deque()     # of messages, over the last messages_span
         self.first_slice_at = self.last_taken_at = float("-inf")    # the former: given when it had none
         self.demand_reported_at, self.receipt_mark = 0.0, 0     # the mark: of the last message
@@ -90,7 +90,7 @@
         self.has_started = self.list_received = self.list_confirmed = False     # confirmed: not from a cache
         self.send_due_at = float("inf")     # when the next message may go
         self.zone_delays: dict[tuple, float] = {}   # see measure_zone_delays()
-        self.unit_capacity = self.mean_capacity = 0.0    # of a server of size 1, and of an average one
+        self.unit_capacity = self.avg_capacity = 0.0    # of a server of size 1, and of an average one
         self.has_new_input = True   # something came in that decisions depend on
 
     def is_expired(self, x: Server) -> bool:
--- a/knotwalk/decide/estimates.py
+++ b/knotwalk/decide/estimates.py
@@ -12,38 +12,38 @@
 
     def update_estimates(self) -> None:
         """Estimate demand, load and capacity from the samples kept."""
-        for s in self.slices.values():
-            while s.samples and s.samples[0][0] < self.demand_reported_at - self.WINDOW:
-                s.samples.popleft()
-            s.method_demand = [0.0] * len(self.rpc_costs)
-            seconds = max(self.report_period, min(self.WINDOW, self.demand_reported_at - s.demand_since))
-            for x in s.samples:
-                s.method_demand[x[4]] += x[2] / seconds
-            s.demand, s.demand_unknown = sum(s.method_demand), not any(s.method_demand)
-            recent = [x for x in s.samples if x[0] > self.demand_reported_at - 0.5 * self.report_period]
+        for slice in self.slices.values():
+            while slice.samples and slice.samples[0][0] < self.demand_reported_at - self.WINDOW:
+                slice.samples.popleft()
+            slice.method_demand = [0.0] * len(self.rpc_costs)
+            seconds = max(self.report_period, min(self.WINDOW, self.demand_reported_at - slice.demand_since))
+            for x in slice.samples:
+                slice.method_demand[x[4]] += x[2] / seconds
+            slice.demand, slice.demand_unknown = sum(slice.method_demand), not any(slice.method_demand)
+            recent = [x for x in slice.samples if x[0] > self.demand_reported_at - 0.5 * self.report_period]
             if recent:
                 span, rpcs = max(x[1] for x in recent), sum(x[3] for x in recent)
                 # A jump too large to be chance counts at once.
                 certain = sum(x[2] for x in recent) / max(span, 0.1) * max(0.0, 1 - 1.5 / max(1, rpcs) ** 0.5)
-                if certain > s.demand:
-                    s.method_demand = [w * certain / s.demand for w in s.method_demand]
-                    s.demand = certain
+                if certain > slice.demand:
+                    slice.method_demand = [w * certain / slice.demand for w in slice.method_demand]
+                    slice.demand = certain
         reported = [s.demand for s in self.slices.values() if s.demand_since < float("inf")]
         # A slice just given counts as the mean of the others: at no demand, many would go to the same server.
-        for s in self.slices.values():
-            if s.demand_since == float("inf") and self.demand_reported_at < s.given_at + self.report_period:
-                s.demand = fmean(reported or [self.UNHEARD])
+        for slice in self.slices.values():
+            if slice.demand_since == float("inf") and self.demand_reported_at < slice.given_at + self.report_period:
+                slice.demand = fmean(reported or [self.UNHEARD])
         known = [s.demand for s in self.slices.values()]
         ready = self.ready_servers()
         rpcs = [(x[2], x[3]) for s in self.slices.values() for x in s.samples]
         mean_cost = sum(work for work, _ in rpcs) / max(1, sum(n for _, n in rpcs))
         for server in self.servers.values():
             server.load = server.rejected_load = server.incoming_load = 0.0
-        for s in self.slices.values():
-            rejected = sum(work * (1 - level) for work, level in zip(s.method_demand, s.sent_levels))
-            for server in s.shares:
-                server.load += s.demand / len(s.shares)
-                server.rejected_load += rejected / len(s.shares)
+        for slice in self.slices.values():
+            rejected = sum(work * (1 - level) for work, level in zip(slice.method_demand, slice.sent_levels))
+            for server in slice.shares:
+                server.load += slice.demand / len(slice.shares)
+                server.rejected_load += rejected / len(slice.shares)
         # Other controllers' slices load the servers too. Until reported, they count as ours do on average and fill
         # up what ours leave of an even load: a server with few of our slices is not idle for that.
         others = sum(known) * (self.total_slices / max(1, len(known)) - 1)
@@ -80,13 +80,13 @@
         # Capacity: demand over utilization, each summed over the samples and blended with the fleet's average.
         sums = [(x, sum(u[1] + u[2] for u in x.usage_samples), sum(u[3] for u in x.usage_samples)) for x in ready]
         used_all = sum(used * x.size for x, _, used in sums)
-        self.mean_capacity = sum(load for _, load, _ in sums) / used_all if used_all else 0.0    # of size 1
+        self.avg_capacity = sum(load for _, load, _ in sums) / used_all if used_all else 0.0    # of size 1
         mean_used = used_all / max(1.0, sum(x.size * len(x.usage_samples) for x in ready))
         for server, load, used in sums:
             weight = self.PRIOR * mean_used
-            base = (load + weight * self.mean_capacity * server.size) / (used + weight) if weight else 0.0
+            base = (load + weight * self.avg_capacity * server.size) / (used + weight) if weight else 0.0
             if self.is_cold(server):
-                base = min(base, self.mean_capacity * server.size)
+                base = min(base, self.avg_capacity * server.size)
             server.full_capacity = base * self.ramp_share(server)
             server.capacity = server.full_capacity * server.health
             # Utilization that our slices do not explain comes from another controller, a neighbour or a slow core.
@@ -97,8 +97,8 @@
             unreported = (0.0 if server.unmeasured and server.owned else min(server.others_load, theirs)
                           if not self.is_cold(server) else theirs if server.owned else server.full_capacity)
             server.load += max(0.0, sum(recent) / len(recent)) if recent else unreported
-        self.unit_capacity = self.mean_capacity
-        self.mean_capacity *= sum(x.size for x in ready) / max(1, len(ready))    # of a server of mean size
+        self.unit_capacity = self.avg_capacity
+        self.avg_capacity *= sum(x.size for x in ready) / max(1, len(ready))    # of a server of mean size
 
     IDLE = 0.2      # of the utilization expected from the average capacity: chance seldom shows so little
 
--- a/knotwalk/decide/inbox.py
+++ b/knotwalk/decide/inbox.py
@@ -61,20 +61,20 @@
             self.first_slice_at = self.now
             for server in self.servers.values():
                 server.health = server.quota = 1.0
-        s = self.slices[id] = Slice(id, self.now)
-        s.levels, s.sent_levels = [1.0] * len(self.rpc_costs), [1.0] * len(self.rpc_costs)    # as proxies do
+        slice = self.slices[id] = Slice(id, self.now)
+        slice.levels, slice.sent_levels = [1.0] * len(self.rpc_costs), [1.0] * len(self.rpc_costs)    # as proxies do
 
     def taken(self, id: int) -> None:
         self.last_taken_at = self.now
         self.slices.pop(id, None)
 
     def held(self, id: int, server: str, weight: float) -> None:
-        if (s := self.slices.get(id)) is None:
+        if (slice := self.slices.get(id)) is None:
             return
         if self.list_confirmed and server not in self.servers:      # never listed or evicted: it has gone
             self.server_for(server).state, self.server_for(server).leaving_since = "gone", self.now
-        s.sent_lines[self.server_for(server)] = weight
-        s.shares += [self.server_for(server)] * max(1, round(weight))
+        slice.sent_lines[self.server_for(server)] = weight
+        slice.shares += [self.server_for(server)] * max(1, round(weight))
 
     def wanted(self, id: int, method: int, span: float, rpcs: int) -> None:
         self.demand_reported_at = self.now
@@ -95,7 +95,7 @@
     def evict_servers(self) -> None:
         """Drop servers that are gone for good: with replacements all day, they would fill the memory."""
         expired = [x for x in self.servers.values() if self.is_expired(x) and not x.withdrawn]
-        for s in self.slices.values() if expired else ():
-            expired = [x for x in expired if x not in s.shares and x not in s.sent_lines]
+        for slice in self.slices.values() if expired else ():
+            expired = [x for x in expired if x not in slice.shares and x not in slice.sent_lines]
         for x in expired:
             del self.servers[x.id]
--- a/knotwalk/decide/levels.py
+++ b/knotwalk/decide/levels.py
@@ -10,11 +10,11 @@
 
         Guards against queues in which every answer is late. Each round of reports in which a server is overloaded
         lowers its quota, a share of its capacity, since a queue drains only below capacity. Quotas rise in steps."""
-        shares, asked = {}, {server: [0.0] * len(self.rpc_costs) for server in self.servers.values()}
-        for s in self.slices.values():
-            for server in s.shares:
-                for k, work in enumerate(s.method_demand):
-                    asked[server][k] += work / len(s.shares)
+        parts, asked = {}, {server: [0.0] * len(self.rpc_costs) for server in self.servers.values()}
+        for slice in self.slices.values():
+            for server in slice.shares:
+                for k, work in enumerate(slice.method_demand):
+                    asked[server][k] += work / len(slice.shares)
         self.zone_delays = self.measure_zone_delays()
         for server in self.ready_servers():
             if not self.is_overloaded(server):
@@ -23,19 +23,19 @@
                 server.quota = max(self.LEAST_QUOTA, server.quota * self.TIGHTEN)
             limited = server.quota < 1 and self.utilization(server) > server.quota
             budget = server.capacity * server.quota * sum(asked[server]) / max(server.load, 1e-9)
-            shares[server] = [1.0] * len(self.rpc_costs)
+            parts[server] = [1.0] * len(self.rpc_costs)
             for k in self.method_order if limited else ():
                 if work := asked[server][k]:
-                    shares[server][k] = max(self.LEAST, min(1.0, budget / work))
+                    parts[server][k] = max(self.LEAST, min(1.0, budget / work))
                 budget = max(0.0, budget - work)
         # A change of a tenth is within the estimates' noise; a fifth where the channel cannot take all levels at once.
         step = 0.09 if len(self.slices) * len(self.rpc_costs) * len(self.proxies) < self.max_waiting else 0.19
-        for s in self.slices.values():
-            for k, old in enumerate(s.levels):
-                new = sum(shares[x][k] for x in s.shares if x in shares) / len(s.shares) if s.shares else 1.0
+        for slice in self.slices.values():
+            for k, old in enumerate(slice.levels):
+                new = sum(parts[x][k] for x in slice.shares if x in parts) / len(slice.shares) if slice.shares else 1.0
                 if new > 0.99 or abs(new - old) > step:
-                    s.levels[k] = min(1.0, new)
-                    s.urgent = s.urgent or new < old    # a growing queue cannot wait for an ordinary message
+                    slice.levels[k] = min(1.0, new)
+                    slice.urgent = slice.urgent or new < old    # a growing queue cannot wait for an ordinary message
 
     def measure_zone_delays(self) -> dict[tuple, float]:
         """By (proxies' zone, server's zone): the extra latency over the proxies' zone that is answered fastest."""
--- a/knotwalk/decide/sending.py
+++ b/knotwalk/decide/sending.py
@@ -23,9 +23,9 @@
         self.last_receipt_at = self.now if lost else max([self.last_receipt_at, *self.sent_times])
         self.in_flight = deque([(None, waiting, {None})])
 
-    def target_lines(self, s: Slice) -> dict[Server, float]:
+    def target_lines(self, slice: Slice) -> dict[Server, float]:
         """What a slice's table should hold."""
-        return {x: float(s.shares.count(x)) for x in s.shares}
+        return {x: float(slice.shares.count(x)) for x in slice.shares}
 
     def waiting_lines(self) -> float:
         """Lines that may still wait in the channel: none after a span without messages, since receipts get lost."""
@@ -33,15 +33,15 @@
         return sum(max(0.0, lines - left * (mark is None)) * len(proxies)
                    for mark, lines, proxies in self.in_flight) if self.sent_times else 0.0
 
-    def must_leave(self, s: Slice, x: Server) -> bool:
+    def must_leave(self, slice: Slice, x: Server) -> bool:
         """Whether its line must be removed soon: gone or draining (rule 3), or cold and relieved (rule 4)."""
-        return x not in s.shares and (x.state != "ready" or self.is_cold(x))
+        return x not in slice.shares and (x.state != "ready" or self.is_cold(x))
 
-    def has_unsent_lines(self, s: Slice) -> bool:
+    def has_unsent_lines(self, slice: Slice) -> bool:
         """Whether its table differs from what was sent; the common case first, since every round checks all slices."""
-        if len(s.shares) == 1:
-            return len(s.sent_lines) != 1 or s.sent_lines.get(s.shares[0]) != 1.0
-        return s.sent_lines != self.target_lines(s)
+        if len(slice.shares) == 1:
+            return len(slice.sent_lines) != 1 or slice.sent_lines.get(slice.shares[0]) != 1.0
+        return slice.sent_lines != self.target_lines(slice)
 
     def changed_slices(self) -> list[Slice]:
         return [s for s in self.slices.values() if s.levels != s.sent_levels or self.has_unsent_lines(s)]
@@ -87,23 +87,23 @@
         for server in readmitted + withdrawn:
             out.withdraw(server.id, server in withdrawn)
             server.withdrawn, server.ever_withdrawn = server in withdrawn, True
-        for s in changed:
-            target = self.target_lines(s)
-            change = [(x, w) for x, w in target.items() if s.sent_lines.get(x) != w]
-            change += [(x, 0.0) for x in s.sent_lines if x not in target]
-            levels = [k for k, share in enumerate(s.levels) if share != s.sent_levels[k] and s not in removals]
+        for slice in changed:
+            target = self.target_lines(slice)
+            change = [(x, w) for x, w in target.items() if slice.sent_lines.get(x) != w]
+            change += [(x, 0.0) for x in slice.sent_lines if x not in target]
+            levels = [k for k, new in enumerate(slice.levels) if new != slice.sent_levels[k] and slice not in removals]
             part = 0.9 if sent < len(leaving) else self.URGENT_PART if sent < len(urgent) else 0.5
             if waiting + (lines + len(change) + len(levels)) * proxies > part * self.max_waiting:
                 break
             sent += 1
             lines += len(change) + len(levels)
             for k in levels:
-                out.admit(s.id, k, s.levels[k], self.RETRY)
+                out.admit(slice.id, k, slice.levels[k], self.RETRY)
             for server, weight in change:
-                out.line(s.id, server.id, weight)
-            s.sent_lines, s.urgent = target, s in removals and s.levels != s.sent_levels
+                out.line(slice.id, server.id, weight)
+            slice.sent_lines, slice.urgent = target, slice in removals and slice.levels != slice.sent_levels
             for k in levels:
-                s.sent_levels[k] = s.levels[k]
+                slice.sent_levels[k] = slice.levels[k]
         if sent or readmitted or withdrawn:
             self.receipt_mark = (self.receipt_mark + 1) % 65536
             out.receipt(self.receipt_mark)
--- a/knotwalk/state.py
+++ b/knotwalk/state.py
@@ -60,7 +60,7 @@
     "list_confirmed",
     "send_due_at",
     "unit_capacity",
-    "mean_capacity",
+    "avg_capacity",
     "has_new_input",
 )
 # Attributes stored in another form: rows of samples, lists of numbers, and references to servers.
@@ -79,7 +79,7 @@
     "settle_time",
     "total_slices",
     "list_on_request",
-    "one_owner",
+    "one_line",
     "cold_share",
     "cold_time",
     "message_overhead",
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -59,7 +59,7 @@
     conductor.listed(True, False, [("abcdefghij"[k], "east", "ready", 1.0, 0.0) for k in range(len(capacities))])
     for server, capacity in zip(conductor.servers.values(), capacities):
         server.capacity = capacity
-    conductor.mean_capacity = sum(capacities) / len(capacities) if capacities else 0.0
+    conductor.avg_capacity = sum(capacities) / len(capacities) if capacities else 0.0
     for k, demand in enumerate(demands):
         conductor.given(k)
         s, server = conductor.slices[k], conductor.servers[at[k]]
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -244,12 +244,12 @@
     conductor.listed(False, False, [("b", "east", "ready", 1.0, conductor.now - 5)])
     conductor.update_estimates()
     b = conductor.servers["b"]
-    assert b.unmeasured and 0.29 < b.full_capacity / conductor.mean_capacity < 0.31  # half of the certain 0.6
+    assert b.unmeasured and 0.29 < b.full_capacity / conductor.avg_capacity < 0.31  # half of the certain 0.6
     b.last_move_at = conductor.now
     for _ in range(6):  # full at a tenth of an average server's rate
         conductor.heard("b", "east", 1.0, 10, 0, 0.1, {"utilization": 1.0, "qps": 2.0})
         conductor.update_estimates()
-    assert not b.unmeasured and b.full_capacity < 0.3 * conductor.mean_capacity
+    assert not b.unmeasured and b.full_capacity < 0.3 * conductor.avg_capacity
 
 
 def test_reports_with_a_rate_count_while_shares_come_and_go():
@@ -305,7 +305,7 @@
     conductor = make_conductor(capacities=[0, 0], demands=[5, 5], at="aa")
     conductor.update_estimates()
     conductor.place_shares()
-    assert conductor.mean_capacity == 0 and places(conductor) == {0: ["a"], 1: ["a"]}
+    assert conductor.avg_capacity == 0 and places(conductor) == {0: ["a"], 1: ["a"]}
 
 
 def test_absurd_reports_count_as_fully_used():
