--- a/knotwalk/placement/capacity.py
+++ b/knotwalk/placement/capacity.py
@@ -38,7 +38,7 @@
 
 @dataclass
 class LoadReport:
-    """What is known of loads and of nodes in trouble, for one look at the placement."""
+    """What is known of loads and of faulty nodes, for one run of the placer."""
 
     demand: dict[str, dict[int, float]] = field(default_factory=dict)  # by service and slice, over the last seconds
     # By node: (running + waiting) / slots, a mean over the last seconds; a waiting request counts for at most half a
--- a/knotwalk/placement/placer.py
+++ b/knotwalk/placement/placer.py
@@ -10,9 +10,8 @@
 In the first layout of a service, and among targets nearly as good, nodes of the conductor's own zone come first:
 renewals are calls, and calls between zones cost money.
 
-Departure from what one might expect: an empty node at under half of the mean is filled by passes only where others are
-above k_p, as in the paper; moving keys costs their share of caches, and requests for them wait, so evenness alone is
-not worth it.
+Passes do not even out load for its own sake: an empty node, or one at under half of the mean, is filled only where
+others are above k_p, as in the paper. Each move loses the keys' caches and makes requests for them wait.
 """
 
 from __future__ import annotations
@@ -31,9 +30,9 @@
 PASS_PERIOD_S = 5.0  # between passes (the paper's 60 s are too long for load that changes within minutes)
 EMERGENCY_PAUSE_S = 2.0  # from a pass to one that a node above k_e starts: the last one must show its effect first
 EMERGENCY_UTILIZATION = 1.0  # the paper's k_e
-# Of reported demand before a service's slices are passed over: the shortest span reported, so any report will do. A
-# conductor that finds slices already laid out waits until capacity has been sampled as well: by slots alone fast nodes
-# look full, and what other conductors learned would be undone.
+# Reported demand that a service needs before passes move its slices: the shortest span reported, so any report will
+# do. A conductor that finds slices already laid out waits until capacity has been sampled as well: by slots alone fast
+# nodes look full, and moves that other conductors made by better estimates would be undone.
 MIN_DEMAND_S, MIN_DEMAND_LATE_S = 1.0, 2.5
 # A node first seen less than RAMP_S ago counts at this share of its capacity; not those of the first layout, where no
 # node has worked yet.
@@ -45,8 +44,8 @@
 IDLE_SLICE_SHARE = 0.05  # of the mean slice: the load that an idle slice counts as, so that idle ones spread too
 MOVE_TIMEOUT_S = 2.0  # until a proposed move that is not in the ledger counts as lost
 # Busy keys are close together: with each of three conductors laying out so many rounds, the busiest thirtieth of the
-# keys starts on eight nodes of 26 instead of one or two. Each round adds a run of slices, and so a call at each
-# renewal, per node.
+# keys starts on eight nodes of 26 instead of one or two. Each round adds a run of slices per node, and so one call to
+# each renewal.
 LAYOUT_ROUNDS = 3
 # A first layout begins with the nodes of the own zone, each of which gets its share of the whole service at once. The
 # rest of the own slices goes this much later to where other conductors left capacity: theirs are in the ledger by then.
