--- a/knotwalk/control_plane/replicated_state.py
+++ b/knotwalk/control_plane/replicated_state.py
@@ -25,8 +25,8 @@
 DONE = "done"
 VERSION_CONFLICT = "another version is in place"
 RESULT_BY_STANDING = {
-    ChangeStatus.TAKEN: DONE,
-    ChangeStatus.NOT_TAKEN: VERSION_CONFLICT,
+    ChangeStatus.APPLIED: DONE,
+    ChangeStatus.NOT_APPLIED: VERSION_CONFLICT,
     ChangeStatus.UNKNOWN: STATUS_UNKNOWN_MESSAGE,
 }
 
