--- a/knotwalk/cli/check.py
+++ b/knotwalk/cli/check.py
@@ -17,7 +17,7 @@
 
 
 class Mistakes(ExceptionGroup):
-    """What is wrong with a file: `exceptions` are SettingsError or Invalid, one a mistake."""
+    """What is wrong with a file: `exceptions` are SettingsError or InvalidConfigurationError, one a mistake."""
 
 
 def settings(raw: object) -> Settings:
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -189,7 +189,7 @@
             return {}
 
     async def read(self) -> NodeListing:
-        """Read the platform's list, all pages; PeerError or Unusable."""
+        """Read the platform's list, all pages; PeerError or InvalidPageError."""
         host, port = self.settings.platform.address
         listing, token = NodeListing(), ""
         while token is not None:
--- a/knotwalk/discovery/loads.py
+++ b/knotwalk/discovery/loads.py
@@ -12,11 +12,10 @@
 
 from knotwalk.discovery.outliers import OutlierDetection
 
-CALLER_TIMEOUT_S = (
-    3.0  # an edge counts as connected to this core for so long after its last call; it calls at least once a second
-)
+# An edge counts as connected to this core for so long after its last call; it calls at least once a second.
+CALLER_TIMEOUT_S = 3.0
 ROUNDING_RESIDUE = 1e-6  # rounding error: less than any count, and than the duration of any request
-WINDOW_S = 4.0  # covers some tens of requests for a slice of a node, and at least two reports of each edge
+WINDOW_S = 4.0  # covers some tens of requests for a slice of a node, and two reports of each edge
 
 
 def merge_report(total: dict, report: dict) -> None:
--- a/knotwalk/discovery/outliers.py
+++ b/knotwalk/discovery/outliers.py
@@ -120,7 +120,7 @@
         ejected: set[str] = set()
         for service, records in services.items():
             service_ejected = {id for id, record in records.items() if now < record.ejected_until}
-            capacity = int(MAX_EJECTED_FRACTION * sum(node.service == service for node in nodes.values())) - len(
+            remaining = int(MAX_EJECTED_FRACTION * sum(node.service == service for node in nodes.values())) - len(
                 service_ejected
             )
             baseline_rate = self._baseline_rate(records.values())
@@ -130,7 +130,7 @@
                 if id not in service_ejected
                 and (p_value := self._p_value(record, baseline_rate)) < MAX_FALSE_POSITIVE_RATE
             ]
-            for _, id in sorted(candidates)[: max(0, capacity)]:
+            for _, id in sorted(candidates)[: max(0, remaining)]:
                 self._eject(now, records[id])
                 service_ejected.add(id)
             ejected |= service_ejected
--- a/knotwalk/discovery/view_publisher.py
+++ b/knotwalk/discovery/view_publisher.py
@@ -19,8 +19,8 @@
 MAX_KEPT_CHANGES = 32
 # Number of node lists for which the changes since then are known; as above, a rollout brings one list a second.
 MAX_KEPT_NODE_LISTS = 32
-# A node is sent again once its warm-up ends this much later than last sent. The list's value is up to one poll of 1.5 s
-# old, so smaller differences mean nothing.
+# A node is sent again once its warm-up ends this much later than last sent. The list's value is up to one heartbeat
+# (1.5 s) old, so smaller differences mean nothing.
 MIN_COLD_CHANGE_S = 2.0
 
 
--- a/knotwalk/edge/caller.py
+++ b/knotwalk/edge/caller.py
@@ -1,4 +1,4 @@
-"""An edge's calls to a core: JSON over HTTP/1.1 on httptools, with the interface of `runtime.http_client.Caller.json`.
+"""An edge's calls to a core: JSON over HTTP/1.1 on httptools, with the interface of `http_client.HttpClient.json`.
 
 An edge makes one call at a time, and starts and memory are priced: aiohttp was over half of what an edge imports.
 """
--- a/tests/simulation/judges.py
+++ b/tests/simulation/judges.py
@@ -10,8 +10,9 @@
 from tests.simulation.loop import VirtualLoop
 from tests.simulation.register import Register
 
-# Seconds that a fresh core's answer may be behind what was acknowledged: a core holds itself fresh for FRESH from when
-# it asked, and the leader that answered it was proven PROOF before; clocks drift, and the answer itself takes its way.
+# Seconds that a fresh core's answer may be behind what was acknowledged: a core holds itself fresh for
+# MAX_LEADER_SILENCE_S from when it asked, and the leader that answered it was proven PROOF before; clocks drift, and
+# the answer itself takes its way.
 BEHIND = 1.2 + 0.35 + 0.1
 
 
--- a/tests/simulation/wire.py
+++ b/tests/simulation/wire.py
@@ -183,7 +183,7 @@
 
 
 class Caller:
-    """In place of `runtime.http_client.Caller` and `edge.caller.Caller`: the same interface, over the world's wire."""
+    """In place of `http_client.HttpClient` and `edge.caller.Caller`: the same interface, over the world's wire."""
 
     def __init__(self, wire: Wire, resets: bool = False):
         self.wire, self.resets = wire, resets
--- a/tests/system/test_deploy.py
+++ b/tests/system/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file: roles that exist, system packages by Debian's names, libraries pinned."""
+"""The deploy file: roles exist, system packages have Debian's names, and libraries are pinned."""
 
 import importlib.util
 import pathlib
@@ -13,7 +13,7 @@
 
 
 class DeployTest(unittest.TestCase):
-    def test_packages_are_debian_names_and_hold_what_the_build_line_calls(self):
+    def test_packages_have_debian_names_and_include_what_the_build_calls(self):
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         self.assertTrue({"python3", "python3-pip"} <= set(deploy["packages"]))
         self.assertEqual(len(set(deploy["packages"])), len(deploy["packages"]))
--- a/tests/system/test_outliers.py
+++ b/tests/system/test_outliers.py
@@ -1,4 +1,4 @@
-"""Nodes that ail: found by all edges together, few wrongly, never too many, let back by trial; what follows from it."""
+"""Outlier detection by the reports of all edges: true and false positives, bounds, the way back, and its effects."""
 
 import random
 import unittest
@@ -18,8 +18,8 @@
 from tests.system.test_placement import Fleet
 
 
-class Met:
-    """A service's nodes as `edges` edges meet them: `rate` tries a second at each node, bad by `chances`."""
+class ReportingEdges:
+    """A service's nodes as `edges` edges see them: `rate` attempts a second at each, bad with probability `chances`."""
 
     def __init__(self, nodes=20, edges=58, rate=8.0, seed=1):
         self.random, self.edges, self.rate, self.now = random.Random(seed), edges, rate, 0.0
@@ -27,104 +27,106 @@
         self.chances = dict.fromkeys(self.nodes, 0.0)
         self.loads, self.full = LoadReports(), set()
 
-    def report(self, telling):
-        """What one edge tells of a second: few tries at few nodes."""
-        raw = {"nodes": {}, "bad": {}}
+    def report(self, reports_load):
+        """One edge's report of a second: few attempts at few nodes. With `reports_load`, responses report loads."""
+        report = {"nodes": {}, "bad": {}}
         for id in self.nodes:
             mean = self.rate / self.edges
             tries = sum(self.random.random() < mean / 4 for _ in range(4))
             bad = sum(self.random.random() < self.chances[id] for _ in range(tries))
-            if tries and telling:  # lost answers tell no load
-                raw["nodes"][id] = [(tries - bad) * (3 if id in self.full else 1), tries - bad, 2]
-                raw["bad"] |= {id: [bad, bad]} if bad else {}
+            if tries and reports_load:  # lost responses report no load
+                report["nodes"][id] = [(tries - bad) * (3 if id in self.full else 1), tries - bad, 2]
+                report["bad"] |= {id: [bad, bad]} if bad else {}
             elif tries:
-                raw["nodes"][id] = [0, 0, 2, tries - bad, bad, 0, 0.1 * (tries - bad)]
-                raw["bad"] |= {id: [bad, 0]} if bad else {}
-        return raw
+                report["nodes"][id] = [0, 0, 2, tries - bad, bad, 0, 0.1 * (tries - bad)]
+                report["bad"] |= {id: [bad, 0]} if bad else {}
+        return report
 
-    def seconds(self, count, telling=True):
-        """Time passes; yields who rests, after each second's judgement."""
+    def seconds(self, count, reports_load=True):
+        """Let time pass; yields the ejected nodes after each second's evaluation."""
         for _ in range(count):
             for _ in range(self.edges):
                 self.now += 1.0 / self.edges
-                self.loads.add_report(self.now, self.report(telling), True)
+                self.loads.add_report(self.now, self.report(reports_load), True)
             yield self.loads.outlier_detection.evaluate(self.now, self.nodes)
 
 
-class AilingTest(unittest.TestCase):
-    def test_a_node_that_fails_half_its_tries_is_found_in_seconds_and_no_other(self):
-        for telling in (True, False):
+class DetectionTest(unittest.TestCase):
+    def test_only_a_node_that_fails_half_its_attempts_is_ejected_within_seconds(self):
+        for reports_load in (True, False):
             for seed in range(5):
-                met = Met(seed=seed)
-                self.assertEqual(set().union(*met.seconds(5, telling)), set())
-                met.chances["n3"] = 0.5
-                self.assertEqual(set().union(*met.seconds(5, telling)), {"n3"}, (telling, seed))
-
-    def test_lost_answers_at_half_of_all_nodes_make_few_ail(self):
-        """One in twenty lost at every second node of 200: wrong judgements stay under one in a thousand."""
-        met, wrong = Met(200, edges=8), 0
-        met.chances |= {f"n{n}": 0.05 for n in range(0, 200, 2)}
+                cluster = ReportingEdges(seed=seed)
+                self.assertEqual(set().union(*cluster.seconds(5, reports_load)), set())
+                cluster.chances["n3"] = 0.5
+                self.assertEqual(set().union(*cluster.seconds(5, reports_load)), {"n3"}, (reports_load, seed))
+
+    def test_lost_responses_at_half_of_all_nodes_cause_few_false_positives(self):
+        """With one attempt in twenty lost at every second node of 200, false positives stay below one in a thousand."""
+        cluster, false_positives = ReportingEdges(200, edges=8), 0
+        cluster.chances |= {f"n{n}": 0.05 for n in range(0, 200, 2)}
         before = frozenset()
-        for rests in met.seconds(100):
-            wrong += len(rests - before)
-            before = rests
-        self.assertLess(wrong, 0.001 * 200 * 100)
-
-    def test_where_all_fail_alike_none_ails_and_where_many_do_the_rest_stays(self):
-        met = Met()
-        met.chances = dict.fromkeys(met.nodes, 0.5)
-        self.assertEqual(set().union(*met.seconds(6)), set())
-        met = Met()
-        met.chances |= {f"n{n}": 0.9 for n in range(9)}
-        found = list(met.seconds(6))
-        self.assertEqual(max(len(rests) for rests in found), MAX_EJECTED_FRACTION * 20)
-        self.assertLessEqual(set().union(*found), {f"n{n}" for n in range(9)})
-
-    def test_a_full_node_that_resets_connections_does_not_ail(self):
-        met = Met()
-        met.chances["n3"] = 0.5
+        for ejected in cluster.seconds(100):
+            false_positives += len(ejected - before)
+            before = ejected
+        self.assertLess(false_positives, 0.001 * 200 * 100)
+
+    def test_no_node_is_ejected_if_all_fail_alike_and_a_bounded_share_if_many_do(self):
+        cluster = ReportingEdges()
+        cluster.chances = dict.fromkeys(cluster.nodes, 0.5)
+        self.assertEqual(set().union(*cluster.seconds(6)), set())
+        cluster = ReportingEdges()
+        cluster.chances |= {f"n{n}": 0.9 for n in range(9)}
+        ejected = list(cluster.seconds(6))
+        self.assertEqual(max(len(nodes) for nodes in ejected), MAX_EJECTED_FRACTION * 20)
+        self.assertLessEqual(set().union(*ejected), {f"n{n}" for n in range(9)})
+
+    def test_a_full_node_that_resets_connections_is_no_outlier(self):
+        cluster = ReportingEdges()
+        cluster.chances["n3"] = 0.5
         for full in (True, False):
-            met.full = {"n3"} if full else set()
-            self.assertEqual(set().union(*met.seconds(5)), set() if full else {"n3"})
-
-    def test_back_by_trial_and_a_longer_rest_each_time(self):
-        met = Met()
-        met.chances["n3"] = 1.0
-        record, rests = None, []
-        for _ in met.seconds(60):
-            record = met.loads.outlier_detection.records["n3"]
-            rests += (
-                [record.ejection_s] if record.ejection_s and record.ejected_until == met.now + record.ejection_s else []
+            cluster.full = {"n3"} if full else set()
+            self.assertEqual(set().union(*cluster.seconds(5)), set() if full else {"n3"})
+
+    def test_each_repeated_ejection_is_longer(self):
+        cluster = ReportingEdges()
+        cluster.chances["n3"] = 1.0
+        record, ejections = None, []
+        for _ in cluster.seconds(60):
+            record = cluster.loads.outlier_detection.records["n3"]
+            ejections += (
+                [record.ejection_s]
+                if record.ejection_s and record.ejected_until == cluster.now + record.ejection_s
+                else []
             )
-        self.assertEqual(rests, [FIRST_EJECTION_S, 2 * FIRST_EJECTION_S] + [MAX_EJECTION_S] * (len(rests) - 2))
-        self.assertGreaterEqual(len(rests), 4)
-        met.chances["n3"] = 0.0
-        self.assertEqual(list(met.seconds(int(MAX_EJECTION_S + EJECTION_RESET_S)))[-1], set())
-        met.chances["n3"] = 1.0
-        list(met.seconds(4))
-        self.assertEqual(record.ejection_s, FIRST_EJECTION_S)  # it was well for long
-
-    def test_what_another_core_was_told_leads_to_the_same(self):
-        met, other = Met(), LoadReports()
-        met.chances["n3"] = 0.7
-        for _ in met.seconds(4):
-            other.add_report(met.now, met.loads.take_unsent(met.now), False)
-        self.assertEqual(other.outlier_detection.evaluate(met.now, met.nodes), {"n3"})
-        self.assertEqual(met.loads.window_sums(met.now + WINDOW_S + 1)[0].get("bad", {}), {})
-
-    def test_a_node_that_ended_is_forgotten(self):
-        ailing, node = OutlierDetection(), Node("a", "s", ("10.0.0.1", 1), "z", 2)
+        self.assertEqual(ejections, [FIRST_EJECTION_S, 2 * FIRST_EJECTION_S] + [MAX_EJECTION_S] * (len(ejections) - 2))
+        self.assertGreaterEqual(len(ejections), 4)
+        cluster.chances["n3"] = 0.0
+        self.assertEqual(list(cluster.seconds(int(MAX_EJECTION_S + EJECTION_RESET_S)))[-1], set())
+        cluster.chances["n3"] = 1.0
+        list(cluster.seconds(4))
+        self.assertEqual(record.ejection_s, FIRST_EJECTION_S)  # it had been well for long enough to start again
+
+    def test_a_core_with_reports_from_another_core_decides_alike(self):
+        cluster, other = ReportingEdges(), LoadReports()
+        cluster.chances["n3"] = 0.7
+        for _ in cluster.seconds(4):
+            other.add_report(cluster.now, cluster.loads.take_unsent(cluster.now), False)
+        self.assertEqual(other.outlier_detection.evaluate(cluster.now, cluster.nodes), {"n3"})
+        self.assertEqual(cluster.loads.window_sums(cluster.now + WINDOW_S + 1)[0].get("bad", {}), {})
+
+    def test_a_removed_node_is_forgotten(self):
+        detection, node = OutlierDetection(), Node("a", "s", ("10.0.0.1", 1), "z", 2)
         others = {f"n{n}": Node(f"n{n}", "s", ("10.0.0.1", n), "z", 2) for n in range(8)}
-        ailing.add_report(0.0, {"bad": {"a": [9, 9]}, "nodes": {id: [5, 5, 2] for id in others}})
-        self.assertEqual(ailing.evaluate(0.1, others | {"a": node}), {"a"})
-        self.assertEqual(ailing.evaluate(0.2, others), set())
-        self.assertNotIn("a", ailing.records)
+        detection.add_report(0.0, {"bad": {"a": [9, 9]}, "nodes": {id: [5, 5, 2] for id in others}})
+        self.assertEqual(detection.evaluate(0.1, others | {"a": node}), {"a"})
+        self.assertEqual(detection.evaluate(0.2, others), set())
+        self.assertNotIn("a", detection.records)
 
 
-class MindedTest(unittest.TestCase):
-    """What is done about it."""
+class EffectTest(unittest.TestCase):
+    """The effect of a node being an outlier."""
 
-    def test_keys_leave_an_ailing_node_where_the_rest_has_room(self):
+    def test_an_outlier_loses_its_keys_if_the_other_nodes_have_capacity(self):
         for load, emptied in ((0.6, True), (0.95, False)):
             fleet = Fleet(8, capacities=dict.fromkeys((f"n{n}" for n in range(8)), 64 / load))
             fleet.run(30.0)
@@ -132,28 +134,28 @@
             fleet.step()
             self.assertEqual(fleet.loads()["n3"] == 0.0, emptied, load)
 
-    def test_no_request_of_an_undivided_service_goes_there_while_there_are_others(self):
+    def test_an_outlier_gets_no_request_of_an_unsharded_service_while_there_are_others(self):
         nodes = [Node(f"n{n}", "s", ("10.0.0.1", n), "z", 2, is_outlier=n != 2) for n in range(4)]
-        luck = random.Random(1)
-        self.assertEqual({pick(nodes, 0.0, "z", luck).id for _ in range(50)}, {"n2"})
-        self.assertEqual({pick(nodes[:2], 0.0, "z", luck).id for _ in range(50)}, {"n0", "n1"})
+        chance = random.Random(1)
+        self.assertEqual({pick(nodes, 0.0, "z", chance).id for _ in range(50)}, {"n2"})
+        self.assertEqual({pick(nodes[:2], 0.0, "z", chance).id for _ in range(50)}, {"n0", "n1"})
 
-    def test_edges_go_by_the_core_that_they_heard_last(self):
+    def test_an_edge_uses_the_outliers_of_the_core_that_it_heard_last(self):
         first, second, view = ViewPublisher("one"), ViewPublisher("two"), ClusterView()
         nodes = {id: Node(id, "s", ("10.0.0.1", n), "z", 2) for n, id in enumerate("abc")}
-        for board in (first, second):
-            board.set_nodes((1, 1), nodes, True)
+        for publisher in (first, second):
+            publisher.set_nodes((1, 1), nodes, True)
 
-        def hear(board):
-            if message := board.changes_since(view.positions(), 0.0):
+        def outliers_after_update(publisher):
+            if message := publisher.changes_since(view.positions(), 0.0):
                 view.apply(0.0, message)
             return {id for id, node in view.nodes.items() if node.is_outlier}
 
-        self.assertEqual(hear(first), set())
+        self.assertEqual(outliers_after_update(first), set())
         self.assertTrue(first.set_outliers(frozenset("ad")))
         self.assertFalse(first.set_outliers(frozenset("ad")))
-        self.assertEqual(hear(first), {"a"})
+        self.assertEqual(outliers_after_update(first), {"a"})
         first.set_nodes((1, 2), nodes | {"d": Node("d", "s", ("10.0.0.1", 9), "z", 2)}, True)
-        self.assertEqual(hear(first), {"a", "d"})  # it was held ailing before the list had it
-        self.assertEqual(hear(second), set())  # which has not judged anybody
-        self.assertEqual(hear(first), {"a", "d"})
+        self.assertEqual(outliers_after_update(first), {"a", "d"})  # it was an outlier before the list contained it
+        self.assertEqual(outliers_after_update(second), set())  # this core has not evaluated any node
+        self.assertEqual(outliers_after_update(first), {"a", "d"})
