--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -195,7 +195,7 @@
             return {}
 
     async def read(self) -> NodeListing:
-        """Read all pages of the platform's list; PeerError or Unusable."""
+        """Read all pages of the platform's list; PeerError or InvalidPageError."""
         host, port = self.settings.platform.address
         listing, token = NodeListing(), ""
         while token is not None:
