--- a/benchmarks/allowance.py
+++ b/benchmarks/allowance.py
@@ -100,11 +100,11 @@
         """A new leader each ten seconds or so, a core replaced each ten, cut off each five."""
         world, chance = self.world, self.chance
         if chance.random() < STEP / 10:
-            world.lead_anew()
+            world.replace_leader()
             self.leaderless = world.now + 1.0
         if chance.random() < STEP / 10:
             k = chance.randrange(len(world.cores))
-            world.replaced(k)
+            world.replace_core(k)
             self.waiting[world.cores[k].id] = []
         if chance.random() < STEP / 5:
             self.cut[chance.choice(world.cores).id] = world.now + chance.uniform(0.5, 4.0)
@@ -153,7 +153,7 @@
     def look(self, tenant: str) -> None:
         """The window that ends now against the rule."""
         counter, now = self.world.counter, self.world.now
-        over, most = counter.over(now, tenant), counter.most(tenant, now, now)
+        over, most = counter.excess(now, tenant), counter.max_allowed(tenant, now, now)
         allowed = RATES[tenant] * counter.quota_bounds.window + max(1.0, RATES[tenant])
         self.found["over"] += over > 0
         ratio = (over + most - allowed) / (most - allowed)
--- a/tests/system/operations_case.py
+++ b/tests/system/operations_case.py
@@ -18,7 +18,7 @@
 
 
 class NeverRefused:
-    """Refusals without any; notes what is told."""
+    """An edge's local refusals that never refuse; records the refusals that it is told of."""
 
     def __init__(self):
         self.noted = []
@@ -31,17 +31,17 @@
 
 
 class Edge:
-    """A front with operations; `now` may be moved ahead by a test."""
+    """An edge's client port with operations; a restart makes another incarnation."""
 
     def __init__(self, cores, order):
         self.cores, self.order = cores, order
-        self.lives = 0
+        self.incarnations = 0
 
     async def start(self, seen, contracts=("keys",)):
-        self.lives += 1
+        self.incarnations += 1
         self.front = await front(seen, active_contracts=list(contracts))
         self.calls = AdmissionCalls(
-            "e", f"{id(self)}.{self.lives}", lambda: self.order, clock, 60.0, lambda: self.front.counts
+            "e", f"{id(self)}.{self.incarnations}", lambda: self.order, clock, 60.0, lambda: self.front.counts
         )
         self.cores.living.add(self.calls.life)
         self.calls.lanes = [self.cores, self.cores]
@@ -54,7 +54,7 @@
         return self
 
     def _carry(self, exchange):
-        """The key and the tenant as a client sent them, where the head's reader does not tell them."""
+        """Take key and tenant from the headers as sent, since these requests don't pass the tenant check."""
         if found := KEY.search(exchange.head):
             exchange.operation = found[1].decode()
         found = TENANT.search(exchange.head)
@@ -70,11 +70,11 @@
 
 
 class OperationsCase(EdgeCase):
-    """Two edges, each with a core that it prefers."""
+    """Two edges, each of which prefers another core."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        patched = mock.patch("knotwalk.control_plane.admissions.CLAIM_WAIT_S", 5.0)  # a machine may be busy
+        patched = mock.patch("knotwalk.control_plane.admissions.CLAIM_WAIT_S", 5.0)  # the test machine may be busy
         patched.start()
         self.addCleanup(patched.stop)
         self.edges = []
@@ -111,13 +111,13 @@
         client.ask(path, id, method="POST", headers=headers, body=b"x", **fields)
         return client
 
-    async def told(self):
-        """All ends are with the cores, all claims that are to be given back are."""
+    async def reported(self):
+        """Wait until the cores have all reports of ended runs, and all pending releases are done."""
         await wait_for(lambda: all(not edge.calls.ends.waiting for edge in self.edges))
         await wait_for(lambda: all(task.done() for task in self.cores.group.releasing))
 
     def holding(self):
-        """Make the first node hold its next request: what ends the holding."""
+        """Have the first node hold its next request; returns the event that lets it answer."""
         go = asyncio.Event()
 
         async def act(request, writer):
--- a/tests/system/quota_world.py
+++ b/tests/system/quota_world.py
@@ -1,7 +1,7 @@
-"""Core machines and a leader that share tenants' limits, in one program without a wire; a plain counter is the truth.
+"""Core machines and a leader that share tenants' limits, in one process without a network, and a counter as reference.
 
-Nothing sleeps: time is the world's. The counter knows when requests were let pass and what was in force, nothing of
-buckets and holdings."""
+Nothing sleeps: time is the world's. The counter knows when requests passed and which limits were in force, and nothing
+of buckets and holdings."""
 
 from bisect import bisect_left
 from collections import defaultdict
@@ -15,71 +15,71 @@
 
 
 @dataclass
-class InForce:
-    """A limit from `since` on."""
+class LimitPeriod:
+    """A limit that was in force from `since` on."""
 
     since: float
     rate: float
     burst: float
 
-    def most(self, quota_bounds):
-        """What the rule allows in a window."""
+    def max_allowed(self, quota_bounds):
+        """The most requests that may run in a window."""
         return (self.rate * quota_bounds.window + self.burst) * (1 + quota_bounds.overage) + quota_bounds.slack
 
 
 class Counter:
-    """What was let pass, by tenant; the rule is looked at for each window that ends with a request."""
+    """The requests that passed, by tenant; the limit is checked for each window that ends with a request."""
 
     def __init__(self, quota_bounds):
         self.quota_bounds = quota_bounds
         self.passed = defaultdict(list)
         self.in_force = defaultdict(list)
 
-    def limited(self, now, tenant, rate, burst):
-        self.in_force[tenant].append(InForce(now, rate, burst))
+    def record_limit(self, now, tenant, rate, burst):
+        self.in_force[tenant].append(LimitPeriod(now, rate, burst))
 
-    def most(self, tenant, start, end):
-        """The widest limit of a window: one that was lowered counts for a window more."""
-        lines, found = self.in_force[tenant], []
-        for line, following in zip(lines, [*lines[1:], None], strict=True):
+    def max_allowed(self, tenant, start, end):
+        """The widest limit of a window; a limit that was lowered counts for one window more."""
+        periods, allowed = self.in_force[tenant], []
+        for period, following in zip(periods, [*periods[1:], None], strict=True):
             until = following.since + self.quota_bounds.window if following else float("inf")
-            if line.since <= end and until >= start:
-                found.append(line.most(self.quota_bounds) if line.rate else float("inf"))
-        return max(found)
+            if period.since <= end and until >= start:
+                allowed.append(period.max_allowed(self.quota_bounds) if period.rate else float("inf"))
+        return max(allowed)
 
-    def over(self, now, tenant):
-        """By how much the window that ends now is over the rule; 0 or less is within it."""
+    def excess(self, now, tenant):
+        """By how many requests the window that ends now exceeds the limit; 0 or less is within it."""
         start = now - self.quota_bounds.window
         passed = self.passed[tenant]
-        return len(passed) - bisect_left(passed, start) - self.most(tenant, start, now)
+        return len(passed) - bisect_left(passed, start) - self.max_allowed(tenant, start, now)
 
 
 class Core:
-    """A core machine: its escrow, and the one call that may be under way."""
+    """A core machine: its escrow, and the one call that may be in progress."""
 
     def __init__(self, id, world, escrow=Escrow):
         self.id, self.world = id, world
         self.escrow = escrow(world.limit)
-        self.call = None  # (sent, wants)
-        self.reserved = 0  # tokens of requests that may yet not run
+        self.call = None  # (time sent, requests)
+        self.reserved = 0  # tokens of requests that may still not run
 
     def send(self):
-        """Begin a call; whether there was anything to ask for."""
-        wants = self.escrow.pending_requests(self.world.now)
-        self.call = (self.world.now, wants) if wants else None
-        return bool(wants)
+        """Begin a call; returns whether there was anything to request."""
+        requests = self.escrow.pending_requests(self.world.now)
+        self.call = (self.world.now, requests) if requests else None
+        return bool(requests)
 
     def deliver(self, lost=False):
-        """The leader answers the call; with `lost`, nobody hears it."""
-        sent, wants = self.call
+        """Have the leader answer the call; if `lost`, the answer does not arrive."""
+        sent, requests = self.call
         self.call = None
-        grants = self.world.leader.grant(self.world.now, self.id, wants)
+        grants = self.world.leader.grant(self.world.now, self.id, requests)
         if not lost:
             self.escrow.apply_grants(self.world.now, sent, grants)
         return grants
 
     def resolve(self, tenant, runs):
-        """A request whose token is reserved runs, or does not."""
+        """Run a request whose token is reserved, or give the token back."""
         self.reserved -= 1
         if not runs:
             self.escrow.give_back(self.world.now, tenant)
@@ -87,7 +87,8 @@
             self.world.counter.passed[tenant].append(self.world.now)
 
     def take(self, tenant, calls=3, open=False):
-        """A request comes; it waits for so many calls, each answered in the same instant. `open`: it may not run."""
+        """Take a token for a request, which waits for up to `calls` calls, each answered at once. If `open`, the token
+        stays reserved."""
         now = self.world.now
         taken = self.escrow.take(now, tenant)
         if taken is TakeResult.WAIT and calls:
@@ -109,7 +110,7 @@
 
 
 class World:
-    """Five core machines, a leader, tenants with limits."""
+    """Five core machines, a leader, and tenants with limits."""
 
     def __init__(self, quota_bounds=QUOTA_BOUNDS, buckets=Buckets, escrow=Escrow, now=0.0):
         self.quota_bounds, self.buckets, self.escrow, self.now = quota_bounds, buckets, escrow, now
@@ -123,23 +124,23 @@
 
     def set_limit(self, tenant, rate, burst):
         self.limits[tenant] = limit_of(rate, burst, self.quota_bounds)
-        self.counter.limited(self.now, tenant, rate, burst)
+        self.counter.record_limit(self.now, tenant, rate, burst)
 
-    def lead_anew(self):
-        """Another leads; the one before gives out nothing more."""
+    def replace_leader(self):
+        """Make another machine the leader; the previous one grants nothing more."""
         self.leader = self.buckets(self.now, self.limit)
 
-    def replaced(self, k):
-        """Another core in the place of `k`; the one before, cut off, may go on with what it holds."""
+    def replace_core(self, k):
+        """Replace core `k`; the previous one, cut off, may continue with the tokens that it holds."""
         before = self.cores[k]
         self.cores[k] = Core(f"{before.id}'", self, self.escrow)
         return before
 
-    def drained(self, tenant, most=10_000):
-        """All core machines take in turn until none has more; how many passed."""
+    def drain(self, tenant, max_rounds=10_000):
+        """Have all cores take tokens in turn until none gets one; returns how many requests passed."""
         before = len(self.counter.passed[tenant])
         left = list(self.cores)
-        while left and most:
+        while left and max_rounds:
             left = [core for core in left if core.take(tenant) is TakeResult.GRANTED]
-            most -= 1
+            max_rounds -= 1
         return len(self.counter.passed[tenant]) - before
--- a/tests/system/test_admission_calls.py
+++ b/tests/system/test_admission_calls.py
@@ -1,4 +1,4 @@
-"""An edge's calls for admission over the wire, and the parts of operations that decide without any."""
+"""An edge's admission calls over the network, and the pure functions that decide about operations."""
 
 import asyncio
 import contextlib
@@ -39,32 +39,37 @@
 
 
 class StepTest(unittest.TestCase):
-    def test_each_told_has_what_follows(self):
+    def test_each_response_leads_to_its_step(self):
         times = Patience(early=1.1, late=1.3, until=2.0)
         moments = (1.0, 1.2, 1.4, 2.0)
         waits = {
             (Admission.IN_PROGRESS, None): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
             (Admission.IN_PROGRESS, 1.0): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
             (Admission.IN_PROGRESS, 1.9): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
-            (Admission.UNAVAILABLE, 1.0): (Step.WAIT, Step.WAIT, Step.WAIT, Step.COME_BACK),  # an old word: no conflict
+            (Admission.UNAVAILABLE, 1.0): (
+                Step.WAIT,
+                Step.WAIT,
+                Step.WAIT,
+                Step.COME_BACK,
+            ),  # an old report: no conflict
             (Admission.UNAVAILABLE, 1.9): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
         }
-        hopeless = (Step.WAIT, Step.COME_BACK, Step.COME_BACK, Step.COME_BACK)
-        on_its_way = (Step.WAIT, Step.WAIT, Step.COME_BACK, Step.COME_BACK)
+        without_leader = (Step.WAIT, Step.COME_BACK, Step.COME_BACK, Step.COME_BACK)
+        pending = (Step.WAIT, Step.WAIT, Step.COME_BACK, Step.COME_BACK)
         for admission in Admission:
             for in_work_at in (None, 1.0, 1.9):
                 for wait in (0.0, 0.2):
                     with self.subTest(admission, in_work_at=in_work_at, wait=wait):
-                        told = AdmissionResponse(admission, wait)
-                        follows = tuple(step(told, in_work_at, now, times) for now in moments)
+                        response = AdmissionResponse(admission, wait)
+                        follows = tuple(step(response, in_work_at, now, times) for now in moments)
                         if (admission, in_work_at) == (Admission.UNAVAILABLE, None):
-                            self.assertEqual(follows, hopeless if wait else on_its_way)
+                            self.assertEqual(follows, without_leader if wait else pending)
                         elif admission in AT_ONCE:
                             self.assertEqual(set(follows), {AT_ONCE[admission]})
                         else:
                             self.assertEqual(follows, waits[admission, in_work_at])
 
-    def test_only_what_surely_never_ran_is_given_back(self):
+    def test_only_an_operation_that_certainly_did_not_run_is_released(self):
         whole, streamed = Answer(End.ANSWERED), Answer(End.ANSWERED)
         whole.status, whole.body, streamed.whole = 200, b"x", False
         for move in Move:
@@ -82,7 +87,7 @@
 
 
 class UntoldEndsTest(unittest.TestCase):
-    def test_an_end_is_due_again_later_and_later_until_its_window_is_over(self):
+    def test_an_end_is_reported_again_with_backoff_until_its_window_is_over(self):
         ends, end, due = UntoldEnds(60.0), OperationEnd(OPERATION, "a1", Ending.ANSWERED, KEPT), []
         ends.add(0.0, "core", end, 0.0)
         for now in range(0, 6100):
@@ -93,14 +98,14 @@
         self.assertLess(due[-1], 60.0)
         self.assertEqual((len(ends.waiting), ends.size), (0, 0))
 
-    def test_an_end_goes_with_a_call_that_is_made_anyway_or_by_itself_when_it_is_due(self):
+    def test_an_end_travels_with_an_earlier_call_or_on_its_own_when_due(self):
         ends, end = UntoldEnds(60.0), OperationEnd(OPERATION, "a1", Ending.ANSWERED, KEPT)
         ends.add(0.0, "core", end, 0.25)
         self.assertEqual((ends.due(0.1), ends.ready(0.1, "another")), ([], []))
         self.assertEqual([one.end for one in ends.ready(0.1, "core")], [end])
         self.assertEqual([one.end for one in ends.due(0.25)], [end])
         ends.sent(0.1, "core", [end])
-        self.assertEqual((ends.due(0.3), ends.ready(0.3, "core")), ([], []))  # it is on its way
+        self.assertEqual((ends.due(0.3), ends.ready(0.3, "core")), ([], []))  # it is being sent
         self.assertEqual([one.end for one in ends.due(0.6)], [end])
         ends.add(1.0, "core", end, 1.25)
         ends.hurry()
@@ -129,14 +134,14 @@
     def phase(self, now, holder=None):
         return self.answers.find(now, OPERATION, holder or self.holder).phase
 
-    def test_what_is_not_known_is_unknown(self):
+    def test_an_operation_without_a_record_is_unknown(self):
         self.assertIs(self.phase(0), Phase.UNKNOWN)
         self.answers.begin(0, OPERATION, self.holder)
         self.assertIs(self.phase(1), Phase.RUNNING)
         self.assertIs(self.phase(1, Holder("core", "life", "a2")), Phase.UNKNOWN)
         self.assertIs(self.phase(15.1), Phase.UNKNOWN)
 
-    def test_a_late_word_is_the_truth_and_the_first_one_stands(self):
+    def test_a_late_report_counts_and_the_first_answer_stands(self):
         self.answers.begin(0, OPERATION, self.holder)
         self.assertIs(self.phase(16), Phase.UNKNOWN)
         self.answers.end(17, OPERATION, self.holder, Ending.ANSWERED, KEPT)
@@ -148,7 +153,7 @@
         self.assertEqual(self.answers.find(19, OPERATION, self.holder).answer, KEPT)
         self.assertEqual((self.answers.size, size), (ENTRY_OVERHEAD_BYTES + size_of(KEPT),) * 2)
 
-    def test_who_has_ended_is_not_let_run(self):
+    def test_a_run_that_has_ended_is_not_started(self):
         for ending in Ending:
             with self.subTest(ending):
                 answers = Answers(20_000, 60.0)
@@ -156,7 +161,7 @@
                 self.assertFalse(answers.begin(1, OPERATION, self.holder))
                 self.assertTrue(answers.begin(1, OPERATION, Holder("core", "life", "a2")))
 
-    def test_a_word_of_one_who_was_followed_changes_nothing(self):
+    def test_a_report_on_a_replaced_holder_changes_nothing(self):
         later = Holder("core", "life", "a2")
         self.answers.begin(0, OPERATION, self.holder)
         self.answers.begin(1, OPERATION, later)
@@ -164,10 +169,10 @@
             self.answers.end(2, OPERATION, self.holder, ending, KEPT if ending is Ending.ANSWERED else None)
         self.assertIs(self.phase(3, later), Phase.RUNNING)
 
-    def test_the_holder_is_told_as_its_claim_names_it(self):
+    def test_the_holder_is_returned_as_its_claim_names_it(self):
         self.answers.begin(0, OPERATION, Holder("another", "life", "a1"))
-        found = self.answers.end(1, OPERATION, self.holder, Ending.NEVER_RAN)
-        self.assertEqual(found.core, "another")
+        holder = self.answers.end(1, OPERATION, self.holder, Ending.NEVER_RAN)
+        self.assertEqual(holder.core, "another")
 
     @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 3000), st.sampled_from(list(Ending))), max_size=60))
     def test_bytes_and_times_are_bounded(self, steps):
@@ -183,19 +188,19 @@
 
 
 class ProgramTest(unittest.TestCase):
-    """An edge's program as it is wired."""
+    """An edge's program, with its components wired as in production."""
 
     def edge(self, *contracts):
         listen = {"data_plane": "127.0.0.1:1", "readiness": "127.0.0.1:2"}
         found = {"node_name": "e", "zone": "a", "listen_addresses": listen, "seed_nodes": ["10.0.0.9:2"]}
         return Edge(parse(found | {"active_contracts": list(contracts)}))
 
-    def test_asks_are_made_where_a_part_of_the_rules_wants_them(self):
+    def test_admission_is_requested_only_under_the_contracts_that_need_it(self):
         for contracts, asks in (((), False), (("base", "own"), False), (("keys",), True), (("quota",), True)):
             with self.subTest(contracts):
                 self.assertEqual(self.edge(*contracts).front.operations is not None, asks)
 
-    def test_the_core_that_is_heard_is_asked_first_then_those_that_are_near_and_well(self):
+    def test_the_connected_core_is_asked_first_then_healthy_and_near_ones(self):
         edge = self.edge("keys")
         self.assertEqual(edge.cores(), [])
         edge.view.cores = ["far", "failed", "near", "heard"]
@@ -206,12 +211,12 @@
         edge.link.core = None
         self.assertEqual(edge.cores()[0], "near")
 
-    def test_two_lives_never_have_one_name(self):
+    def test_two_incarnations_never_share_an_id(self):
         self.assertNotEqual(*(self.edge("keys").admission_calls.life for _ in range(2)))
 
 
-class SeekingTest(unittest.IsolatedAsyncioTestCase):
-    """Claims that are not answered at once."""
+class PendingClaimTest(unittest.IsolatedAsyncioTestCase):
+    """Claims without an immediate outcome."""
 
     async def asyncSetUp(self):
         self.cores = Cores(clock, 1)
@@ -227,28 +232,28 @@
         return self.outcome
 
     async def ask(self):
-        (told,) = await self.admissions.admit(self.batch)
-        return told
+        (response,) = await self.admissions.admit(self.batch)
+        return response
 
-    async def test_who_asks_again_waits_for_the_same_claim(self):
+    async def test_a_repeated_request_waits_for_the_same_claim(self):
         self.assertEqual(await self.ask(), AdmissionResponse(Admission.UNAVAILABLE, 0.0))
         self.assertEqual(await self.ask(), AdmissionResponse(Admission.UNAVAILABLE, 0.0))
         self.answered.set()
-        await asyncio.sleep(0)  # it is answered while nobody asks
+        await asyncio.sleep(0)  # the claim is decided while no request waits for it
         self.assertEqual([(await self.ask()).admission for _ in range(2)], [Admission.RUN] * 2)
         self.assertEqual(len(self.claims), 1)
 
-    async def test_a_group_that_does_not_answer_is_told_of_until_it_does(self):
+    async def test_clients_are_told_to_retry_later_while_a_group_does_not_answer(self):
         with mock.patch("knotwalk.control_plane.admissions.STUCK_AFTER_S", 0.01):
             self.assertGreater((await self.ask()).retry_after, 0)
         self.assertGreater((await self.ask()).retry_after, 0)
         self.answered.set()
         self.assertIs((await self.ask()).admission, Admission.RUN)
         self.answered.clear()
-        self.batch.asks[0] = AdmissionRequest("t", OPERATION[:-1] + "x", "2")  # of the same part
+        self.batch.asks[0] = AdmissionRequest("t", OPERATION[:-1] + "x", "2")  # of the same partition
         self.assertEqual(await self.ask(), AdmissionResponse(Admission.UNAVAILABLE, 0.0))
 
-    async def test_an_allowance_is_late_while_others_have_theirs_and_else_not_to_be_had(self):
+    async def test_an_allowance_counts_as_late_while_others_get_theirs_and_else_as_unavailable(self):
         late = AdmissionResponse(Admission.UNAVAILABLE, 0.2)
         self.batch.asks[0] = AdmissionRequest("t", "", "1")
         limits = self.cores.limits
@@ -260,14 +265,14 @@
             self.admissions.last_allowance_at -= 1.0
             self.assertEqual(await self.ask(), late)
 
-    async def test_a_claim_without_an_outcome_is_asked_for_anew(self):
+    async def test_a_claim_without_an_outcome_is_requested_again(self):
         self.outcome = CLAIMS_UNAVAILABLE
         self.answered.set()
         for _ in range(3):
             self.assertGreater((await self.ask()).retry_after, 0)
         self.assertEqual(len(self.claims), 3)
 
-    async def test_a_claim_that_fails_in_whatever_way_is_asked_for_anew(self):
+    async def test_a_claim_that_raises_is_requested_again(self):
         self.answered.set()
         with mock.patch.object(self.cores.group, "claim", mock.AsyncMock(side_effect=OSError("no disk"))) as failing:
             for count in (1, 2):
@@ -278,11 +283,13 @@
 
 
 class WireTest(unittest.IsolatedAsyncioTestCase):
-    """Asks and ends between a real edge's caller and a real port."""
+    """Admission requests and reports of ends, between a real edge's caller and a real port."""
 
     async def asyncSetUp(self):
         for bound in ("edge.admission_calls.PATIENCE", "control_plane.admissions.CLAIM_WAIT_S"):
-            patched = mock.patch(f"knotwalk.{bound}", 60.0)  # a busy machine may stall a test for longer
+            patched = mock.patch(
+                f"knotwalk.{bound}", 60.0
+            )  # a busy machine may pause a test for longer than the usual time
             patched.start()
             self.addCleanup(patched.stop)
         self.cores = Cores(clock, 1)
@@ -309,7 +316,7 @@
     def ask(self, attempt, key="k"):
         return self.calls.ask(AdmissionRequest("t", operation_id("t", key), attempt), clock() + 60)
 
-    async def test_an_answer_comes_back_as_it_was_told(self):
+    async def test_a_stored_answer_round_trips(self):
         asked = await self.ask("a1")
         self.assertEqual((asked.told, asked.cores), (AdmissionResponse(Admission.RUN), tuple(self.known)))
         self.calls.end(asked.cores, OPERATION, "a1", Ending.ANSWERED, KEPT)
@@ -318,7 +325,7 @@
         asked = await self.ask("a2")
         self.assertEqual((asked.told.answer, asked.cores), (KEPT, ()))
 
-    async def test_asks_that_come_while_calls_are_under_way_go_together(self):
+    async def test_requests_that_arrive_during_calls_share_the_next_call(self):
         self.gate.clear()
         asks = [asyncio.ensure_future(self.ask(f"a{at}", str(at))) for at in range(2)]
         while len(self.batches) < 2:
@@ -330,14 +337,14 @@
             self.assertIs(asked.told.admission, Admission.RUN)
         self.assertEqual(sorted(len(batch.asks) for batch in self.batches), [1, 1, 10])
 
-    async def test_a_core_that_refuses_is_left_for_another(self):
+    async def test_a_core_that_refuses_is_avoided(self):
         self.known.insert(0, "127.0.0.1:9")
         for at in range(3):
             asked = await self.ask(f"a{at}", str(at))
             self.assertIs(asked.told.admission, Admission.RUN)
-        self.assertEqual(asked.cores, (self.known[1],))  # it was asked alone, the other is left for a while
+        self.assertEqual(asked.cores, (self.known[1],))  # only this one was asked; the other is avoided for a while
 
-    async def test_cores_that_refuse_are_not_called_without_a_pause(self):
+    async def test_refusing_cores_are_called_with_pauses(self):
         self.known = ["127.0.0.1:9", "127.0.0.1:10"]
         asked = await self.calls.ask(AdmissionRequest("t", OPERATION, "a1"), clock() + 0.3)
         self.assertIs(asked.told.admission, Admission.UNAVAILABLE)
@@ -353,7 +360,7 @@
         lane.keep_only("127.0.0.1:9")
         self.assertEqual((lane.kept, kept.transport.is_closing()), ({}, True))
 
-    async def test_a_lane_frees_its_descriptor_before_it_takes_another(self):
+    async def test_a_lane_closes_its_descriptor_before_it_opens_another(self):
         await self.ask("a1")
         lane = next(lane for lane in self.calls.lanes if lane.kept)
         self.calls.idle = [lane]
@@ -375,8 +382,8 @@
             await self.ask("a3")
         self.assertEqual(set(found), {-1})
 
-    async def told(self, ends, asks=0):
-        """The batches of a core by which these ends are told, and this many asks that come at the same time."""
+    async def reported(self, ends, asks=0):
+        """The batches that carry these ends to a core, along with as many concurrent admission requests."""
         for number, end in enumerate(ends):
             self.calls.end(tuple(self.known), OPERATION, f"e{number}", *end)
         asked = [asyncio.ensure_future(self.ask(f"a{number}", f"k{number}")) for number in range(asks)]
@@ -385,19 +392,19 @@
         await asyncio.gather(*asked)
         return self.batches
 
-    async def test_ends_of_a_call_are_bounded_in_bytes_and_asks_go_without_them(self):
+    async def test_the_ends_of_a_call_are_bounded_in_bytes_and_requests_travel_separately(self):
         large = Ending.ANSWERED, StoredAnswer(200, (), bytes(9000))
-        batches = await self.told([large] * 5 + [(Ending.ANSWERED, StoredAnswer(200, (), bytes(40_000)))], asks=3)
+        batches = await self.reported([large] * 5 + [(Ending.ANSWERED, StoredAnswer(200, (), bytes(40_000)))], asks=3)
         self.assertEqual(sum(len(batch.ends) for batch in batches), 6)
         for batch in batches:
             self.assertLess(len(json.dumps(batch.to_json())), 17_000 if len(batch.ends) > 1 else 54_000)
             self.assertFalse(batch.asks and batch.ends)
 
-    async def test_small_ends_go_with_asks(self):
-        batches = await self.told([(Ending.ANSWERED, KEPT), (Ending.UNKNOWN, None)], asks=1)
+    async def test_small_ends_travel_with_requests(self):
+        batches = await self.reported([(Ending.ANSWERED, KEPT), (Ending.UNKNOWN, None)], asks=1)
         self.assertEqual([(len(batch.asks), len(batch.ends)) for batch in batches], [(1, 2)])
 
-    async def test_large_ends_hold_one_lane_and_are_not_held_up_by_asks(self):
+    async def test_large_ends_take_one_lane_and_are_not_blocked_by_requests(self):
         self.gate.clear()
         for number in range(3):
             end = StoredAnswer(200, (), bytes(20_000))
@@ -412,7 +419,7 @@
         while self.calls.ends.waiting:
             await asyncio.sleep(0.001)
 
-    async def test_a_call_is_waited_for_as_long_as_its_bytes_are_on_their_way(self):
+    async def test_a_calls_timeout_allows_for_the_transfer_of_its_bytes(self):
         self.calls.link_mbps, waited = 2.0, []
         lane = mock.Mock(json=mock.AsyncMock(side_effect=lambda *given: waited.append(given[3]) or {"told": []}))
         with mock.patch.object(self.calls, "idle", [lane]):
@@ -421,10 +428,10 @@
                 await asyncio.sleep(0.001)
         self.assertGreater(waited[0] - self.calls.patience, 40_000 * 8 / 2e6)
 
-    async def test_an_answer_that_makes_no_sense_is_none(self):
-        for told in ({}, {"told": []}, {"told": [["walk", 0, None]]}, {"told": [["run", 0]]}, []):
-            with self.subTest(told):
-                lane = mock.Mock(json=mock.AsyncMock(return_value=told))
+    async def test_a_malformed_answer_counts_as_none(self):
+        for payload in ({}, {"told": []}, {"told": [["walk", 0, None]]}, {"told": [["run", 0]]}, []):
+            with self.subTest(payload):
+                lane = mock.Mock(json=mock.AsyncMock(return_value=payload))
                 with mock.patch.object(self.calls, "idle", [lane]):
                     ask = AdmissionRequest("t", OPERATION, "a1")
                     asked = await self.calls.ask(ask, clock() + 0.02)
--- a/tests/system/test_allowances.py
+++ b/tests/system/test_allowances.py
@@ -1,4 +1,4 @@
-"""The driver of tenants' limits between core machines, and the edge's refusals without an ask."""
+"""The driver of tenants' limits between core machines, and an edge's local refusals."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from knotwalk.runtime.settings import Settings, Tolerance
 from knotwalk.shared_state.messages import Admission
 
-PATIENCE = 5.0  # seconds: far above what a busy machine needs
+TIMEOUT_S = 5.0  # far above what a busy machine needs
 
 
 def configuration(**rates):
@@ -21,26 +21,26 @@
     return Configuration(1, {}, {}, Limits(), tenants=tenants)
 
 
-async def used(core, tenant, patience):
-    """A request's word; one that is let pass runs at once."""
-    told = await core.take(tenant, patience)
-    if told.admission is Admission.RUN:
+async def take_and_spend(core, tenant, timeout_s):
+    """Take a token for a request, which runs at once if it is admitted; the response."""
+    response = await core.take(tenant, timeout_s)
+    if response.admission is Admission.RUN:
         core.spend(tenant)
-    return told
+    return response
 
 
 class Cluster:
-    """Cores that share a configuration; calls reach the leader's real handler, or fail while it is cut off."""
+    """Cores with one configuration; calls reach the leader's real handler, or fail while it is cut off."""
 
     def __init__(self, count, **rates):
         self.state = SimpleNamespace(configuration=configuration(**rates), configuration_index=1)
         self.cut, self.is_proven, self.calls = False, True, 0
         self.members = {f"c{k}": f"host{k}" for k in range(count)}
-        self.cores = [self.made(k) for k in range(count)]
+        self.cores = [self.make_core(k) for k in range(count)]
         self.lead(0)
-        self.cores[0].buckets.leader_since -= 100.0  # it has led for long
+        self.cores[0].buckets.leader_since -= 100.0  # it has been the leader for long
 
-    def made(self, k):
+    def make_core(self, k):
         machine = SimpleNamespace(role="follower", leader="host0", members=self.members)
         consensus = SimpleNamespace(machine=machine, state=self.state)
         settings = Settings("n", tolerance=Tolerance(machines=2))
@@ -58,116 +58,118 @@
         if self.cut:
             raise PeerError(step, url, "cut off")
         core = self.cores[int(url.removeprefix("http://host").removesuffix("/allowances"))]
-        found = await core.handle_request(SimpleNamespace(body=json.dumps(body).encode(), headers={}))
-        if found.status != 200:
-            raise PeerError(step, url, f"status {found.status}")
-        return json.loads(found.body)
+        response = await core.handle_request(SimpleNamespace(body=json.dumps(body).encode(), headers={}))
+        if response.status != 200:
+            raise PeerError(step, url, f"status {response.status}")
+        return json.loads(response.body)
 
 
 class Drivers(unittest.IsolatedAsyncioTestCase):
-    def begun(self, count=5, **rates):
+    def start_cluster(self, count=5, **rates):
         cluster = Cluster(count, **rates)
         loop = asyncio.get_running_loop()
-        self.works = [loop.create_task(core.run_refills()) for core in cluster.cores]
-        self.addAsyncCleanup(self.ended)
+        self.tasks = [loop.create_task(core.run_refills()) for core in cluster.cores]
+        self.addAsyncCleanup(self.stop_tasks)
         return cluster
 
-    async def ended(self):
-        for work in self.works:
-            work.cancel()
-        await asyncio.gather(*self.works, return_exceptions=True)
+    async def stop_tasks(self):
+        for task in self.tasks:
+            task.cancel()
+        await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def test_requests_at_all_cores_in_one_instant_get_what_there_is_and_no_more(self):
-        cluster = self.begun(t=2.0)
-        most = cluster.cores[0].limits.of("t").capacity
+    async def test_concurrent_requests_at_all_cores_get_exactly_the_available_tokens(self):
+        cluster = self.start_cluster(t=2.0)
+        capacity = cluster.cores[0].limits.of("t").capacity
         begun = clock()
-        told = await asyncio.gather(*(used(core, "t", PATIENCE) for core in cluster.cores for _ in range(40)))
-        passed = [one.admission for one in told].count(Admission.RUN)
-        self.assertLessEqual(passed, most + 2.0 * (clock() - begun) + 1)
+        responses = await asyncio.gather(
+            *(take_and_spend(core, "t", TIMEOUT_S) for core in cluster.cores for _ in range(40))
+        )
+        passed = [one.admission for one in responses].count(Admission.RUN)
+        self.assertLessEqual(passed, capacity + 2.0 * (clock() - begun) + 1)
         self.assertGreaterEqual(passed, 4)  # the rate and its burst, at least
-        self.assertEqual({one.admission for one in told}, {Admission.RUN, Admission.OVER_LIMIT})
-        self.assertTrue(all(one.retry_after > 0 for one in told if one.admission is Admission.OVER_LIMIT))
-
-    async def test_an_end_in_the_instant_of_a_request_ends_the_asking(self):
-        """LOG in the soak: the asking outlived its cancellation, and called with a session that was closed."""
-        cluster = self.begun(t=20.0)
-        await asyncio.sleep(0.05)  # all wait by now
-        for core, work in zip(cluster.cores, self.works, strict=True):
+        self.assertEqual({one.admission for one in responses}, {Admission.RUN, Admission.OVER_LIMIT})
+        self.assertTrue(all(one.retry_after > 0 for one in responses if one.admission is Admission.OVER_LIMIT))
+
+    async def test_a_cancellation_at_the_moment_of_a_request_ends_the_refill_loop(self):
+        """Found by the soak test: the refill loop survived its cancellation and made a call on a closed session."""
+        cluster = self.start_cluster(t=20.0)
+        await asyncio.sleep(0.05)  # all loops wait by now
+        for core, task in zip(cluster.cores, self.tasks, strict=True):
             core._wake_event.set()
-            work.cancel()
-        ended, _ = await asyncio.wait(self.works, timeout=0.5)
-        self.assertEqual(len(ended), len(self.works))
+            task.cancel()
+        ended, _ = await asyncio.wait(self.tasks, timeout=0.5)
+        self.assertEqual(len(ended), len(self.tasks))
 
-    async def test_many_requests_go_together_and_what_is_held_needs_no_call(self):
-        cluster = self.begun(t=1000.0)
+    async def test_concurrent_requests_share_calls_and_held_tokens_need_none(self):
+        cluster = self.start_cluster(t=1000.0)
         core = cluster.cores[1]
-        await asyncio.gather(*(used(core, "t", PATIENCE) for _ in range(20)))
+        await asyncio.gather(*(take_and_spend(core, "t", TIMEOUT_S) for _ in range(20)))
         self.assertLess(cluster.calls, 10)
-        await used(core, "t", PATIENCE)
+        await take_and_spend(core, "t", TIMEOUT_S)
         self.assertGreater(core.outcome_counts["granted", "at once"], 0)
 
-    async def test_without_a_leader_it_is_unavailable_and_not_over_the_limit(self):
-        cluster = self.begun(t=20.0)
-        for trouble in ("cut", "not proven", "none"):
-            with self.subTest(trouble=trouble):
+    async def test_without_a_leader_requests_are_unavailable_and_not_over_the_limit(self):
+        cluster = self.start_cluster(t=20.0)
+        for fault in ("cut", "not proven", "none"):
+            with self.subTest(fault=fault):
                 core = cluster.cores[2]
                 core.escrow.holdings.clear()
-                cluster.cut, cluster.is_proven = trouble == "cut", trouble != "not proven"
-                core.consensus.machine.leader = None if trouble == "none" else "host0"
-                told = await used(core, "t", 0.1)
-                self.assertEqual(told.admission, Admission.UNAVAILABLE)
-                self.assertGreater(told.retry_after, 0)
-
-    async def test_a_leader_that_comes_back_serves_who_waits(self):
-        cluster = self.begun(t=20.0)
+                cluster.cut, cluster.is_proven = fault == "cut", fault != "not proven"
+                core.consensus.machine.leader = None if fault == "none" else "host0"
+                response = await take_and_spend(core, "t", 0.1)
+                self.assertEqual(response.admission, Admission.UNAVAILABLE)
+                self.assertGreater(response.retry_after, 0)
+
+    async def test_a_leader_that_returns_serves_waiting_requests(self):
+        cluster = self.start_cluster(t=20.0)
         cluster.cut = True
-        asked = asyncio.gather(*(used(cluster.cores[1], "t", PATIENCE) for _ in range(3)))
+        asked = asyncio.gather(*(take_and_spend(cluster.cores[1], "t", TIMEOUT_S) for _ in range(3)))
         await asyncio.sleep(0.1)
         cluster.cut = False
         self.assertEqual({one.admission for one in await asked}, {Admission.RUN})
 
     async def test_a_new_leader_serves_within_the_limit_soon(self):
-        cluster = self.begun(t=40.0)
-        await used(cluster.cores[1], "t", PATIENCE)
+        cluster = self.start_cluster(t=40.0)
+        await take_and_spend(cluster.cores[1], "t", TIMEOUT_S)
         cluster.lead(3)
-        told = await asyncio.gather(*(used(core, "t", PATIENCE) for core in cluster.cores))
-        self.assertEqual({one.admission for one in told}, {Admission.RUN})
+        responses = await asyncio.gather(*(take_and_spend(core, "t", TIMEOUT_S) for core in cluster.cores))
+        self.assertEqual({one.admission for one in responses}, {Admission.RUN})
 
-    async def test_a_core_that_is_no_member_gets_nothing(self):
-        cluster = self.begun(t=20.0)
+    async def test_a_core_that_is_not_a_member_gets_no_tokens(self):
+        cluster = self.start_cluster(t=20.0)
         del cluster.members["c4"]
-        self.assertEqual((await used(cluster.cores[4], "t", 0.1)).admission, Admission.UNAVAILABLE)
+        self.assertEqual((await take_and_spend(cluster.cores[4], "t", 0.1)).admission, Admission.UNAVAILABLE)
 
-    async def test_a_tenant_without_a_limit_runs(self):
-        cluster = self.begun(t=0.0)
-        self.assertEqual((await used(cluster.cores[1], "t", PATIENCE)).admission, Admission.RUN)
-        self.assertEqual((await used(cluster.cores[1], "unknown", PATIENCE)).admission, Admission.RUN)
+    async def test_requests_of_a_tenant_without_a_limit_run(self):
+        cluster = self.start_cluster(t=0.0)
+        self.assertEqual((await take_and_spend(cluster.cores[1], "t", TIMEOUT_S)).admission, Admission.RUN)
+        self.assertEqual((await take_and_spend(cluster.cores[1], "unknown", TIMEOUT_S)).admission, Admission.RUN)
 
     async def test_a_changed_limit_holds_at_the_leader_at_once(self):
-        cluster = self.begun(t=1000.0)
+        cluster = self.start_cluster(t=1000.0)
         cluster.state.configuration, cluster.state.configuration_index = configuration(t=0.5), 2
-        told = [(await used(cluster.cores[0], "t", PATIENCE)).admission for _ in range(200)]
-        self.assertLess(told.count(Admission.RUN), 30)
+        admissions = [(await take_and_spend(cluster.cores[0], "t", TIMEOUT_S)).admission for _ in range(200)]
+        self.assertLess(admissions.count(Admission.RUN), 30)
 
     async def test_refused_tenants_are_counted_by_name_and_names_are_bounded(self):
         names = [f"t{k}" for k in range(MAX_NAMED_TENANTS + 5)]
-        cluster = self.begun(**dict.fromkeys(names, 0.1))
+        cluster = self.start_cluster(**dict.fromkeys(names, 0.1))
         core = cluster.cores[0]
         for name in names:
-            await asyncio.gather(*(used(core, name, PATIENCE) for _ in range(60)))
+            await asyncio.gather(*(take_and_spend(core, name, TIMEOUT_S) for _ in range(60)))
         self.assertEqual(len(core.refusal_counts), MAX_NAMED_TENANTS + 1)
         self.assertGreater(core.refusal_counts[OTHER_TENANTS], 0)
         self.assertGreater(core.refusal_counts["t0"], 0)
 
 
 class EdgeRefusals(unittest.TestCase):
-    def test_only_tenants_with_a_limit_need_an_ask(self):
+    def test_only_tenants_with_a_limit_need_an_admission_request(self):
         found = configuration(a=1.0, b=0.0)
         self.assertTrue(needs_ask(found, "a"))
         self.assertFalse(needs_ask(found, "b"))
         self.assertFalse(needs_ask(found, "c"))
 
-    def test_one_tenant_is_refused_for_a_moment_and_no_other(self):
+    def test_only_the_refused_tenant_is_refused_for_a_moment(self):
         refusals = Refusals()
         refusals.note(10.0, "a", 1.0)
         self.assertAlmostEqual(refusals.refused(10.01, "a"), 0.99)
@@ -175,7 +177,7 @@
         self.assertEqual(refusals.refused(10.0 + REFUSE_FOR, "a"), 0.0)
         self.assertEqual(refusals.unasked, 1)
 
-    def test_what_has_passed_is_forgotten(self):
+    def test_expired_refusals_are_forgotten(self):
         refusals = Refusals()
         for k in range(3 * REMEMBERED):
             refusals.note(float(k), f"t{k}", 1.0)
--- a/tests/system/test_claims.py
+++ b/tests/system/test_claims.py
@@ -1,4 +1,4 @@
-"""The table of claims and the group's time, by themselves and against a plain model."""
+"""The claim table and the group clock, on their own and against a plain model."""
 
 import json
 import random
@@ -32,13 +32,13 @@
 
 
 class Log:
-    """A table fed with entries, in order."""
+    """A claim table and the entries applied to it, in order."""
 
     def __init__(self) -> None:
         self.table, self.entries = ClaimTable(), []
 
-    def put(self, now: float, *asked: Claim, hold: float = HOLD) -> list[ClaimResult]:
-        self.entries.append(json.loads(json.dumps(claims_command(now, hold, list(asked)))))
+    def put(self, now: float, *batch: Claim, hold: float = HOLD) -> list[ClaimResult]:
+        self.entries.append(json.loads(json.dumps(claims_command(now, hold, list(batch)))))
         return self.table.apply(len(self.entries), self.entries[-1])[0]
 
 
@@ -50,7 +50,7 @@
         again = replace(ONE, attempt="c")
         self.assertEqual(log.put(3.0, claim("k", again)), [HELD_BY_ONE])
 
-    def test_a_holder_that_asks_by_another_core_has_its_answer_kept_there(self):
+    def test_if_a_holder_asks_through_another_core_that_core_keeps_its_answer(self):
         log = Log()
         log.put(1.0, claim("k", ONE))
         elsewhere = replace(ONE, core="10.0.0.9:7660")
@@ -60,7 +60,7 @@
         log.put(3.0, claim("k", ONE, release=True))
         self.assertEqual(log.put(4.0, claim("k", elsewhere), claim("k", OTHER)), [UNAVAILABLE, GRANTED])
 
-    def test_a_release_by_the_holder_frees_and_by_another_does_not(self):
+    def test_only_the_holder_can_release_a_claim(self):
         log = Log()
         log.put(1.0, claim("k", ONE))
         log.put(2.0, claim("k", OTHER, release=True))
@@ -68,58 +68,58 @@
         log.put(4.0, claim("k", ONE, release=True))
         self.assertEqual(log.put(5.0, claim("k", replace(OTHER, attempt="c"))), [GRANTED])
 
-    def test_who_has_released_is_never_granted_again_whenever_the_release_came(self):
+    def test_a_holder_that_has_released_is_never_granted_again_in_any_order(self):
         log = Log()
-        log.put(1.0, claim("k", ONE, release=True))  # overtook the claim
+        log.put(1.0, claim("k", ONE, release=True))  # arrived before the claim
         self.assertEqual(log.put(2.0, claim("k", ONE)), [UNAVAILABLE])
         self.assertEqual(log.put(3.0, claim("k", OTHER)), [GRANTED])
-        log.put(4.0, claim("k", ONE, release=True))  # once more
+        log.put(4.0, claim("k", ONE, release=True))  # arrived twice
         self.assertEqual(log.put(5.0, claim("k", replace(ONE, attempt="c"))), [ClaimResult(Outcome.HELD, OTHER)])
 
-    def test_a_claim_holds_up_to_the_edge_of_its_time_and_not_past_it(self):
+    def test_a_claim_is_held_exactly_until_it_expires(self):
         log = Log()
         log.put(1.0, claim("k", ONE))
         self.assertEqual(log.put(1.0 + HOLD - 0.001, claim("k", OTHER)), [HELD_BY_ONE])
         self.assertEqual(log.put(1.0 + HOLD, claim("k", OTHER)), [GRANTED])
 
-    def test_asked_again_a_claim_holds_from_then_on(self):
+    def test_a_repeated_claim_is_held_from_its_repetition_on(self):
         log = Log()
         log.put(1.0, claim("k", ONE), claim("l", ONE))
         log.put(60.0, claim("k", ONE))
         self.assertEqual(log.put(1.0 + HOLD, claim("k", OTHER), claim("l", OTHER)), [HELD_BY_ONE, GRANTED])
 
-    def test_a_shorter_hold_later_on_ends_no_claim_sooner(self):
+    def test_a_shorter_hold_does_not_shorten_earlier_claims(self):
         log = Log()
         log.put(1.0, claim("k", ONE), hold=600.0)
         log.put(2.0, claim("l", ONE), hold=10.0)
         self.assertEqual(log.put(600.0, claim("k", OTHER), hold=10.0), [HELD_BY_ONE])
         self.assertEqual(log.put(601.0, claim("k", OTHER), claim("l", OTHER), hold=10.0), [GRANTED, GRANTED])
 
-    def test_time_never_goes_back(self):
+    def test_group_time_never_goes_back(self):
         log = Log()
         log.put(100.0, claim("k", ONE))
         log.put(50.0, claim("l", ONE))
         self.assertEqual(log.table.time, 100.0)
         self.assertEqual(log.put(100.0 + HOLD - 1, claim("l", OTHER)), [HELD_BY_ONE])
 
-    def test_a_full_table_takes_no_more_until_something_has_gone(self):
+    def test_a_full_table_accepts_no_claim_until_one_expires(self):
         with mock.patch.object(claims, "MAX_CLAIMS", 3):
             log = Log()
             self.assertEqual(log.put(0.0, *(claim(k, ONE) for k in "abcd")), [GRANTED] * 3 + [UNAVAILABLE])
             self.assertEqual(log.put(1.0, claim("a", ONE), claim("a", OTHER)), [GRANTED, HELD_BY_ONE])
             self.assertEqual(log.put(HOLD, claim("d", OTHER)), [GRANTED])
 
-    def test_entries_of_the_agreement_itself_change_nothing(self):
+    def test_entries_of_the_consensus_itself_change_nothing(self):
         table = ClaimTable()
         self.assertEqual(table.apply(1, {}), ([], None))
         self.assertEqual((table.applied, table.time, len(table.claims)), (1, 0.0, 0))
 
-    def test_a_snapshot_of_a_later_program_is_refused(self):
+    def test_a_snapshot_of_a_later_format_is_refused(self):
         with self.assertRaises(ValueError):
             ClaimTable.from_dict({**ClaimTable().to_dict(), "format": claims.FORMAT + 1})
 
-    def test_memory_and_snapshot_of_a_minute_at_300_a_second(self):
-        """What the design note states: bytes of a claim in memory and in a snapshot."""
+    def test_memory_and_snapshot_size_of_a_minute_at_300_claims_per_second(self):
+        """The design note states these sizes of a claim in memory and in a snapshot."""
         count = 300 * int(HOLD)
         tracemalloc.start()
         try:
@@ -138,61 +138,64 @@
 
 
 class Model:
-    """The same by a plain list, gone through whole each time."""
+    """The same rules, over plain dicts that are searched in full each time."""
 
     def __init__(self) -> None:
         self.time, self.claims, self.released = 0.0, {}, {}
 
-    def put(self, now: float, asked: list[Claim], hold: float) -> list[ClaimResult]:
+    def put(self, now: float, batch: list[Claim], hold: float) -> list[ClaimResult]:
         self.time = max(self.time, now)
-        for found in (self.claims, self.released):
-            for key in [key for key, value in found.items() if value[0] <= self.time - hold]:
-                del found[key]
-        return [self.one(one) for one in asked]
-
-    def one(self, asked: Claim) -> ClaimResult:
-        has = self.claims.get(asked.operation, (0, None))[1]
-        same = has is not None and (has.incarnation, has.attempt) == (asked.holder.incarnation, asked.holder.attempt)
-        key = asked.operation, asked.holder.incarnation, asked.holder.attempt
-        if asked.release:
+        for records in (self.claims, self.released):
+            for key in [key for key, value in records.items() if value[0] <= self.time - hold]:
+                del records[key]
+        return [self._decide(request) for request in batch]
+
+    def _decide(self, request: Claim) -> ClaimResult:
+        has = self.claims.get(request.operation, (0, None))[1]
+        same = has is not None and (has.incarnation, has.attempt) == (
+            request.holder.incarnation,
+            request.holder.attempt,
+        )
+        key = request.operation, request.holder.incarnation, request.holder.attempt
+        if request.release:
             if same:
-                del self.claims[asked.operation]
+                del self.claims[request.operation]
             self.released.setdefault(key, (self.time,))
             return GRANTED
         if has is not None and not same:
             return ClaimResult(Outcome.HELD, has)
         if key in self.released:
             return UNAVAILABLE
-        self.claims[asked.operation] = self.time, asked.holder
+        self.claims[request.operation] = self.time, request.holder
         return GRANTED
 
 
-def forgets_release(table: ClaimTable, operation: str, holder_key: str, until: float) -> None:
-    """A mistake: frees for the holder, and remembers nothing of it."""
-    found = table.claims.get(operation)
-    if found is not None and found.holder_key == holder_key:
+def forget_releases(table: ClaimTable, operation: str, holder_key: str, until: float) -> None:
+    """A mistake: releases the claim, but does not remember the release."""
+    held = table.claims.get(operation)
+    if held is not None and held.holder_key == holder_key:
         del table.claims[operation]
 
 
-def frees_any(table: ClaimTable, operation: str, holder_key: str, until: float) -> None:
-    """A mistake: takes a release by whomever."""
+def accept_any_release(table: ClaimTable, operation: str, holder_key: str, until: float) -> None:
+    """A mistake: accepts a release by any holder."""
     table.claims.pop(operation, None)
 
 
 class RandomTest(unittest.TestCase):
-    def test_mistakes_of_releases_are_found_by_the_model(self):
-        for mistake in (forgets_release, frees_any):
+    def test_seeded_mistakes_in_releases_are_found_by_the_model(self):
+        for mistake in (forget_releases, accept_any_release):
             with mock.patch.object(ClaimTable, "_release", mistake), self.subTest(mistake.__name__):
-                found = RandomTest("test_it_says_what_a_plain_model_says_and_snapshots_and_replays_alike").run()
-                self.assertTrue(found.failures)
+                result = RandomTest("test_it_agrees_with_a_plain_model_and_after_snapshots_and_replays").run()
+                self.assertTrue(result.failures)
 
-    def test_it_says_what_a_plain_model_says_and_snapshots_and_replays_alike(self):
+    def test_it_agrees_with_a_plain_model_and_after_snapshots_and_replays(self):
         for seed in range(40):
             chance, log, model, now = random.Random(seed), Log(), Model(), 0.0
-            snapshot, at = ClaimTable().to_dict(), 0
+            snapshot, snapshot_index = ClaimTable().to_dict(), 0
             for _ in range(150):
                 now += chance.choice((0.0, 0.01, 1.0, 30.0))
-                asked = [
+                batch = [
                     claim(
                         chance.choice("abcdef"),
                         Holder(chance.choice("xy"), 'a "life" \n of more', chance.choice("pq r")),
@@ -201,19 +204,19 @@
                     for _ in range(chance.randrange(4))
                 ]
                 with self.subTest(seed=seed):
-                    told = log.put(now - chance.choice((0.0, 0.0, 5.0)), *asked)
-                    self.assertEqual(told, model.put(log.entries[-1]["now"], asked, HOLD))
+                    results = log.put(now - chance.choice((0.0, 0.0, 5.0)), *batch)
+                    self.assertEqual(results, model.put(log.entries[-1]["now"], batch, HOLD))
                 if chance.random() < 0.05:
-                    snapshot, at = json.loads(json.dumps(log.table.to_dict())), len(log.entries)
+                    snapshot, snapshot_index = json.loads(json.dumps(log.table.to_dict())), len(log.entries)
             again = ClaimTable.from_dict(snapshot)
-            for index, entry in enumerate(log.entries[at:], at + 1):
+            for index, entry in enumerate(log.entries[snapshot_index:], snapshot_index + 1):
                 again.apply(index, entry)
             self.assertEqual(again.to_dict(), log.table.to_dict())
             self.assertEqual(list(again.claims.items()), list(log.table.claims.items()))
 
 
 class PackingTest(unittest.TestCase):
-    def test_messages_come_out_as_they_went_in(self):
+    def test_packed_messages_round_trip(self):
         head = {"from": "1.2.3.4:7#founder", "at": "1.2.3.4:7", "to": "1.2.3.5:7#0f", "term": 3, "group": 1}
         append = {"prev": 4, "prev_term": 2, "entries": [[5, 3, "noop", {}]], "commit": 4, "stamp": 1.5, "round": 0}
         appended = {"ok": True, "match": 4, "have": 5, "stamp": 1.5, "round": 0}
@@ -235,7 +238,7 @@
 
 
 class ShortClaimTest(unittest.TestCase):
-    def test_claims_come_out_as_they_went_in(self):
+    def test_packed_claims_round_trip(self):
         texts = ["", "a", "~", "=", "~AP8", "0123456789abcdef", "0123456789ABCDEF", "abc", "00" * 16, 'a "b" \n']
         for text in texts:
             for release in (False, True):
@@ -243,36 +246,36 @@
                 with self.subTest(one):
                     self.assertEqual(unpack_claim(json.loads(json.dumps(pack_claim(one)))), one)
 
-    def test_of_a_usual_claim_less_than_80_bytes_go(self):
+    def test_a_usual_claim_takes_less_than_80_bytes(self):
         one = Claim(operation_id("t", "k"), Holder("10.0.0.1:7660", "5f0c2a91b7d3e846", "5f0c2a91b7d3e847"))
         self.assertLess(len(json.dumps(pack_claim(one), separators=(",", ":"))), 80)
 
 
 class GroupClockTest(unittest.TestCase):
-    def test_a_leader_counts_what_passed_since_its_own_entry_was_proposed(self):
+    def test_a_leader_counts_the_time_since_it_proposed_its_own_entry(self):
         table, group = ClaimTable(), GroupClock(1000.0)
         table.time = 7.0
         group.proposed(1000.0)
         group.applied(1000.008)
         self.assertAlmostEqual(group.time(table, 1002.0), 9.0, 2)
 
-    def test_of_an_entry_that_was_agreed_on_late_it_counts_a_bounded_part(self):
+    def test_of_the_time_to_commit_an_entry_a_bounded_part_counts(self):
         table, group = ClaimTable(), GroupClock(0.0)
         group.proposed(10.0)
         group.applied(40.0)
         self.assertAlmostEqual(group.time(table, 41.0), 1.0 + MAX_COUNTED_COMMIT_S, 2)
 
-    def test_a_new_leader_counts_from_when_it_leads(self):
+    def test_a_new_leader_counts_from_its_election(self):
         table, group = ClaimTable(), GroupClock(0.0)
         group.applied(10.0)
         group.restart(25.0)
         self.assertAlmostEqual(group.time(table, 26.0), 1.0, 2)
 
-    def test_it_never_counts_more_than_has_passed_over_changes_of_leaders(self):
+    def test_group_time_never_outruns_true_time_over_changes_of_leaders(self):
         for seed in range(200):
             chance = random.Random(seed)
             true, table, granted = 0.0, ClaimTable(), None
-            clocks = [GroupClock(100.0 * n) for n in range(3)]  # each machine's steady clock has its own beginning
+            clocks = [GroupClock(100.0 * n) for n in range(3)]  # each machine's monotonic clock starts elsewhere
             leader = 0
             for index in range(1, 60):
                 true += chance.choice((0.001, 0.5, 4.0))
--- a/tests/system/test_claims_simulation.py
+++ b/tests/system/test_claims_simulation.py
@@ -1,4 +1,4 @@
-"""A fixed set of walks with claimants, and the mistakes in the groups for claims that such walks must find."""
+"""A fixed set of simulated walks that claim operations, and the seeded mistakes in claim groups that they must find."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class WalksTest(unittest.TestCase):
-    def test_no_operation_is_granted_to_two_on_walks(self):
+    def test_no_operation_is_granted_to_two_holders_on_walks(self):
         for seed in range(WALKS):
             with self.subTest(seed=seed):
                 found = walk(seed)
@@ -27,11 +27,13 @@
                 found = find(mistake)
                 self.assertIsNotNone(found, f"not found in {mistake.within} walks")
                 self.assertNotRegex(found.broken[0], "TypeError|AttributeError|NameError")
-                self.assertRegex(found.broken[0], "granted|was committed")  # by the judge of claims, or of letters
+                self.assertRegex(
+                    found.broken[0], "granted|was committed"
+                )  # by the judge of claims, or of consensus messages
 
 
 class JudgeTest(unittest.TestCase):
-    """The judge by itself."""
+    """The judge of claims on its own."""
 
     def setUp(self):
         self.judge, self.loop = Judge(), VirtualLoop(0)
@@ -44,12 +46,12 @@
     def claim(self, holder):
         return Claim("o" * 32, Holder("core", "life", holder))
 
-    def test_two_holders_within_the_window_are_told(self):
+    def test_two_holders_within_the_window_are_reported(self):
         self.granted(1.0, "a")
         self.granted(4.9, "b")
         self.assertEqual(len(self.judge.broken), 1)
 
-    def test_a_second_holder_after_the_window_or_after_a_release_is_none(self):
+    def test_a_second_holder_after_the_window_or_a_release_is_allowed(self):
         self.granted(1.0, "a")
         self.granted(5.0, "b")
         self.claims.releases(self.claim("b"))
@@ -63,7 +65,7 @@
         self.granted(3.0, "b")
         self.assertEqual(len(self.judge.broken), 1)
 
-    def test_who_is_told_to_be_held_off_by_itself_is_told(self):
+    def test_a_holder_refused_because_of_its_own_claim_is_reported(self):
         one = self.claim("a")
         self.claims.answered(one, ClaimResult(Outcome.HELD, one.holder))
         self.assertEqual(len(self.judge.broken), 1)
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -1,4 +1,5 @@
-"""The core program's rooms wired together in one process: three agreements over a wire and disks in memory."""
+"""The core program's components in one process: three consensus drivers with a network and disks in memory, the link of
+an edge, the board, and the list poller."""
 
 import asyncio
 import gc
@@ -58,7 +59,7 @@
 
 
 class Wire:
-    """Calls between agreements, as they would come over a connection; who is cut off is not reached."""
+    """Calls between consensus drivers, encoded as on a connection; machines that are cut off can't be reached."""
 
     def __init__(self) -> None:
         self.ends: dict[str, ConsensusDriver] = {}
@@ -70,13 +71,13 @@
         address = url.split("/")[2]
         if address in self.cut:
             raise PeerError(step, address, "cut off")
-        found = self.ends[address].exchange(json.loads(json.dumps(body)))
-        self.answers += [(message["type"], found) for message in body]
-        return found
+        replies = self.ends[address].exchange(json.loads(json.dumps(body)))
+        self.answers += [(message["type"], replies) for message in body]
+        return replies
 
 
 class Disk:
-    """A store that keeps all at once."""
+    """A store whose writes succeed at once."""
 
     disk_mb = 0.02
 
@@ -84,7 +85,7 @@
         pass
 
 
-class AgreementCase(JumpingCase):
+class ConsensusCase(JumpingCase):
     clocks = (consensus_driver, control)
 
     async def asyncSetUp(self) -> None:
@@ -103,25 +104,26 @@
     async def until(self, met):
         async with asyncio.timeout(20):
             while not met():
-                await asyncio.sleep(0.001)  # a turn of the loop, so that timers come due; bounded above
+                await asyncio.sleep(0.001)  # lets timers of the loop come due; bounded by the timeout above
 
     async def leader(self) -> ConsensusDriver:
         await self.until(lambda: any(end.machine.settled for end in self.wire.ends.values()))
         return next(end for end in self.wire.ends.values() if end.machine.settled)
 
-    async def test_a_follower_answers_the_leaders_letters_with_the_call_itself(self):
-        """What an answer to messages holds is what commits wait for: left to the next heartbeat, each took 0.3 s."""
+    async def test_a_follower_replies_in_the_answer_to_the_leaders_call(self):
+        """Commits wait for the replies in the answer to a call. When replies waited for the next heartbeat, each commit
+        took 0.3 s."""
         leader = await self.leader()
         await leader.propose({"do": "shard", "services": ["s"]})
-        appends = [found for kind, found in self.wire.answers if kind == "append"]
-        self.assertTrue(appends)
-        self.assertTrue(any(message["type"] == "appended" for found in appends for message in found))
+        answers = [replies for kind, replies in self.wire.answers if kind == "append"]
+        self.assertTrue(answers)
+        self.assertTrue(any(message["type"] == "appended" for replies in answers for message in replies))
 
-    async def test_what_is_agreed_on_is_the_same_everywhere(self):
+    async def test_committed_commands_give_the_same_state_everywhere(self):
         leader = await self.leader()
         command = {"do": "configure", "base": 0, "version": 3, "digest": "d", "document": DOCUMENT}
         self.assertEqual(await leader.propose(command), "done")
-        self.assertEqual(await leader.propose(command), "done")  # the same call, agreed on twice
+        self.assertEqual(await leader.propose(command), "done")  # the same command, committed twice
         other = {**command, "version": 4, "digest": "e"}
         self.assertEqual(await leader.propose(other), "another version is in place")
         last = leader.machine.applied
@@ -130,8 +132,9 @@
         self.assertEqual(len(set(kept)), 1)
         self.assertEqual(leader.state.version, 3)
 
-    async def test_few_large_entries_are_put_down_whole_before_they_fill_the_disk(self):
-        """Compaction by count alone let some dozens of them fill it, and a full disk refuses what would make room."""
+    async def test_few_large_entries_lead_to_a_snapshot_before_they_fill_the_disk(self):
+        """With compaction by number of entries alone, some dozens of large ones filled the disk, and a full disk can't
+        take the snapshot that would free space."""
         leader = await self.leader()
         for _ in range(8):
             await leader.propose({"do": "nothing", "filler": "x" * 1000})
@@ -146,7 +149,7 @@
             await follower.current()
         await leader.current()
 
-    async def test_a_leader_cut_off_leads_no_more_and_the_others_go_on(self):
+    async def test_a_leader_that_is_cut_off_steps_down_and_the_others_continue(self):
         leader = await self.leader()
         own = next(at for at, end in self.wire.ends.items() if end is leader)
         self.wire.cut.add(own)
@@ -160,19 +163,20 @@
         await fresh.propose({"do": "shard", "services": ["s"]})
         await self.until(lambda: "s" in leader.state.ledger.slices)
 
-    async def test_an_operator_is_sent_only_to_a_leader_heard_since_it_called(self):
-        """One that was heard before the call may be gone by then: the caller would wait a second for it, and again."""
+    async def test_an_operator_is_redirected_only_to_a_leader_heard_since_its_call(self):
+        """A leader last heard before the call may be gone: the caller would wait a second for it, perhaps
+        repeatedly."""
         leader = await self.leader()
         own = leader.machine.address
         await self.until(lambda: all(end.machine.leader == own for end in self.wire.ends.values()))
         self.wire.cut.add(own)
         reach, leader.caller = leader.caller, Cut()
-        fellows = [end for end in self.wire.ends.values() if end is not leader]
-        found = await asyncio.gather(*(Control(end, 8).read(None) for end in (leader, *fellows)))
-        self.assertEqual(found[0].status, 503)  # it found out that it leads no more, and who does is not known there
-        for one in found[1:]:
+        others = [end for end in self.wire.ends.values() if end is not leader]
+        answers = await asyncio.gather(*(Control(end, 8).read(None) for end in (leader, *others)))
+        self.assertEqual(answers[0].status, 503)  # it has stepped down, and does not know the leader
+        for one in answers[1:]:
             self.assertNotEqual(one.headers.get("location"), f"http://{own.partition(':')[0]}:8/configuration")
-        await self.until(lambda: any(end.machine.settled for end in fellows))
+        await self.until(lambda: any(end.machine.settled for end in others))
         self.wire.cut.discard(own)
         leader.caller = reach
         fresh = await self.leader()
@@ -181,11 +185,11 @@
 
 
 class DamageCase(JumpingCase):
-    """Three machines with real files; what one of them reads back is not what it wrote."""
+    """Three machines with real files; one of them reads back other bytes than it wrote."""
 
     clocks = (consensus_driver,)
 
-    async def test_a_damaged_log_file_is_another_machine_which_the_others_take_in(self):
+    async def test_a_machine_with_a_damaged_log_file_rejoins_under_a_new_id(self):
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
         wire, founders, damage = Wire(), {f"{at}#founder": at for at in ADDRESSES}, []
@@ -200,12 +204,12 @@
             end.start()
             return end
 
-        async def until(what) -> None:
+        async def until(condition) -> None:
             for _ in range(1000):
-                if what():
+                if condition():
                     return
                 await asyncio.sleep(0.01)
-            self.fail("waited in vain")
+            self.fail("condition not met within 10 s")
 
         for at in ADDRESSES:
             start(at, True)
@@ -230,7 +234,7 @@
             )
             await until(lambda: damage == [at])
         self.assertFalse(victim.machine._may_stand())
-        wire.cut.add(at)  # an ended process answers nobody
+        wire.cut.add(at)  # a process that has ended answers no calls
         await victim.close()
         await asyncio.to_thread(victim.writer.shutdown)
         victim.store.close()
@@ -242,7 +246,7 @@
             self.assertLogs(level="WARNING"),
         ):
             open_store(Store(), str(folder / at), True, at, founders, mock.Mock(side_effect=[StopIteration]))
-        await asyncio.sleep(0.01)  # an end and a start aren't one moment: who answers at it is alive
+        await asyncio.sleep(0.01)  # time passes between the end of a process and its restart
         wire.cut.discard(at)
         with self.assertLogs(level="WARNING") as said:
             fresh = start(at, True)
@@ -268,7 +272,7 @@
 
 
 class LinkCase(unittest.IsolatedAsyncioTestCase):
-    async def test_a_core_that_fell_silent_is_not_asked_next_though_it_is_the_near_one(self):
+    async def test_a_core_that_stopped_answering_is_not_called_next_even_in_the_same_zone(self):
         asked: list[str] = []
         waits: list[float] = []
 
@@ -276,7 +280,7 @@
             async def json(self, method, url, body, patience, step):
                 asked.append(url.split("/")[2])
                 waits.append(body["wait"])
-                if len(asked) == 2:  # the near one, which has answered once
+                if len(asked) == 2:  # the core in the same zone, which has answered once
                     raise PeerError(step, url, "no answer")
                 if len(asked) == 3:
                     raise asyncio.CancelledError
@@ -292,10 +296,10 @@
             self.assertNotEqual(asked[1], asked[2])
             self.assertEqual(
                 waits, [FIRST_WAIT, WAIT, FIRST_WAIT]
-            )  # one that is not known to live is not waited for long
+            )  # a core that has not answered yet gets a short wait
 
-    async def test_a_core_that_never_gets_fresh_is_served_by_and_others_are_asked_all_the_while(self):
-        """What an edge that just started has from a core that just started is better than nothing, and no more."""
+    async def test_an_edge_uses_a_provisional_view_while_it_keeps_asking_other_cores(self):
+        """A provisional view lets a starting edge serve; it must not stop the edge from looking for a fresh core."""
         board = Board("b")
         board.set_config(5, DOCUMENT)
         nodes = {"x": Node("x", "s", ("10.0.1.1", 80), "z", 2)}
@@ -306,10 +310,10 @@
                 asked.append((url, body.get("bare", False)))
                 if len(asked) == 9:
                     raise asyncio.CancelledError
-                told = {"fresh": False, "zone": "z", "edges": 1}
+                answer = {"fresh": False, "zone": "z", "edges": 1}
                 if len(asked) == 1:
-                    return told | {"provisional": {"config": {"order": 5}, "nodes": {}}}  # not understood
-                return told | {"provisional": json.loads(json.dumps(board.provisional(nodes, 0.0)))}
+                    return answer | {"provisional": {"config": {"order": 5}, "nodes": {}}}  # malformed
+                return answer | {"provisional": json.loads(json.dumps(board.provisional(nodes, 0.0)))}
 
         link = Link("e", ClusterView(), Cores(), ADDRESSES, 1, "z", dict, lambda changed, edges: heard.append(edges))
         with (
@@ -327,7 +331,7 @@
 
 
 class ProvisionalCase(unittest.IsolatedAsyncioTestCase):
-    """What a core that only just started tells an edge that has nothing."""
+    """The answers of a core that just started to an edge that has no view."""
 
     async def asyncSetUp(self):
         self.calls, entry = (
@@ -367,25 +371,25 @@
         asked = json.dumps({"edge": "e", "epoch": "", "at": 0, "wait": 0.0, "bare": True} | more).encode()
         return json.loads((await self.peer_api.handle_cluster_view(SimpleNamespace(body=asked, headers={}))).body)
 
-    async def test_a_large_view_is_packed_for_an_edge_that_takes_it(self):
+    async def test_a_large_view_is_compressed_for_an_edge_that_accepts_it(self):
         self.board.set_config(5, DOCUMENT | {"filler": "x" * LEAST})
         asked = json.dumps({"edge": "e", "epoch": "", "at": 0, "wait": 0.0, "bare": True}).encode()
-        plain, found = [
+        plain, compressed = [
             await self.peer_api.handle_cluster_view(SimpleNamespace(body=asked, headers=headers))
             for headers in ({}, {"accept-encoding": "deflate"})
         ]
         self.assertNotIn("content-encoding", plain.headers)
-        self.assertEqual(found.headers["content-encoding"], "deflate")
-        self.assertEqual(unpack(found.body, 10 * LEAST), plain.body)
-        self.assertLess(len(found.body), len(plain.body) / 4)
+        self.assertEqual(compressed.headers["content-encoding"], "deflate")
+        self.assertEqual(unpack(compressed.body, 10 * LEAST), plain.body)
+        self.assertLess(len(compressed.body), len(plain.body) / 4)
 
-    async def test_only_a_bare_edge_is_told_and_only_before_a_leader_is_known(self):
+    async def test_only_an_edge_without_a_view_gets_a_provisional_one_and_only_before_a_leader_is_known(self):
         self.assertNotIn("provisional", await self.ask())
-        self.assertEqual(self.calls, 0)  # nothing on the disk: nothing is asked for
+        self.assertEqual(self.calls, 0)  # without a configuration on disk, the list is not read
         self.board.set_config(5, DOCUMENT)
-        told = await asyncio.gather(self.ask(), self.ask(), self.ask())
-        self.assertEqual(self.calls, 1)  # a platform's call for all
-        for one in told:
+        answers = await asyncio.gather(self.ask(), self.ask(), self.ask())
+        self.assertEqual(self.calls, 1)  # one call to the platform for all of them
+        for one in answers:
             self.assertFalse(one["fresh"])
             view = ClusterView()
             self.assertEqual(view.provide(0.0, one["provisional"]), {"config", "nodes"})
@@ -397,16 +401,16 @@
         self.assertNotIn("provisional", await self.ask())
         self.assertEqual(self.calls, 1)
 
-    async def test_a_list_that_cannot_be_read_is_none(self):
+    async def test_without_a_readable_list_there_is_no_provisional_view(self):
         self.board.set_config(5, DOCUMENT)
         self.platform.status = 429
         for _ in range(3):
             self.assertNotIn("provisional", await self.ask())
-        self.assertEqual(self.calls, 1)  # no more often than a leader would ask
+        self.assertEqual(self.calls, 1)  # no more often than a leader polls
 
 
 class BoardCase(unittest.TestCase):
-    """A cluster view never goes back, whichever of two boards it hears."""
+    """A cluster view never goes back, whichever of two boards its updates come from."""
 
     def nodes(self, *ids):
         return {id: Node(id, "s", ("10.0.1.1", 80 + n), "z", 2) for n, id in enumerate(ids)}
@@ -415,7 +419,7 @@
         message = board.since(json.loads(json.dumps(view.ask())), 0.0)
         return view.apply(0.0, json.loads(json.dumps(message))) if message else set()
 
-    def test_changes_only_and_never_back(self):
+    def test_only_changes_are_sent_and_a_view_never_goes_back(self):
         ahead, behind, view = Board("a"), Board("b"), ClusterView()
         for board in (ahead, behind):
             board.set_config(5, DOCUMENT)
@@ -427,7 +431,7 @@
         ahead.set_nodes((1, 2), self.nodes("x"))
         ahead.set_lines(8, "s", {2: ("x", True)})
         self.assertEqual(self.tell(ahead, view), {"config", "nodes", "lines"})
-        self.assertEqual(self.tell(behind, view), set())  # whole, but older in every topic
+        self.assertEqual(self.tell(behind, view), set())  # complete, but older in every topic
         self.assertEqual((view.configuration.version, set(view.nodes)), (4, {"x"}))
         self.assertEqual(view.shardings["s"].lines[2].owner, "x")
         behind.set_lines(11, "s", {1: ("", False), 2: ("x", True)})
@@ -437,7 +441,7 @@
         self.assertEqual(set(view.nodes), {"x", "z"})
 
     def change(self, board: Board, order: int) -> None:
-        """The next configuration, made as the log makes it: items not named stay the same objects."""
+        """Set the next configuration, built as from a log entry: items that are not named stay the same objects."""
         before = read_configuration(board.config[1])
         route = before.items["routes", "r"]
         route = route | {"specification": route["specification"] | {"timeout": f"{order}s"}}
@@ -446,7 +450,7 @@
             document(patched(before, {"config_version": f"r{before.version + 1}", "upsert": {"objects": [route]}})),
         )
 
-    def test_a_provisional_picture_is_replaced_by_any_fresh_one_and_never_follows_one(self):
+    def test_a_provisional_view_is_replaced_by_any_fresh_one_and_never_replaces_one(self):
         old, fresh, view = Board("a"), Board("b"), ClusterView()
         old.set_config(50, {**DOCUMENT, "config_version": "r9"})
         old.set_lines(51, "s", {0: ("x", True), 9: ("gone", True)})
@@ -454,16 +458,18 @@
         provisional = json.loads(json.dumps(old.provisional(self.nodes("x", "gone"), 0.0)))
         self.assertTrue(view.ask()["bare"])
         self.assertEqual(view.provide(0.0, provisional), {"config", "nodes", "lines"})
-        self.assertEqual(view.provide(0.0, provisional | {"nodes": {}}), set())  # one is enough
+        self.assertEqual(view.provide(0.0, provisional | {"nodes": {}}), set())  # the first one is enough
         self.assertEqual((view.whole, view.shardings["s"].lines[9].node.id), (True, "gone"))
         self.assertEqual(
             {k: v for k, v in view.ask().items() if k != "at"},
             {"epoch": "", "config": 50, "nodes": (-1, -1), "lines": -1, "provisional": True},
         )
-        fresh.set_config(5, DOCUMENT)  # behind, fresh by a leader of before: what is committed is not gone back from
+        fresh.set_config(5, DOCUMENT)  # fresh by a former leader, but older: a view does not go back
         self.assertEqual(self.tell(fresh, view), set())
         self.assertEqual((view.configuration.version, view.provisional), (9, True))
-        fresh.set_config(60, DOCUMENT | {"config_version": "r11"})  # a fresh core before its leader has read the list
+        fresh.set_config(
+            60, DOCUMENT | {"config_version": "r11"}
+        )  # a fresh core whose leader has not read the list yet
         fresh.set_lines(7, "s", {0: ("x", True), 1: ("y", True)})
         self.assertEqual(self.tell(fresh, view), {"config", "lines"})
         self.assertEqual((view.whole, view.provisional, set(view.nodes)), (True, True, {"x", "gone"}))
@@ -476,7 +482,7 @@
         self.assertEqual(view.provide(0.0, provisional), set())
         self.assertEqual(view.configuration.version, 11)
 
-    def test_changes_alone_or_the_whole_by_what_the_picture_has_whichever_board_it_heard(self):
+    def test_changes_or_the_whole_document_are_sent_by_what_the_view_has_from_any_board(self):
         one, two = Board("a"), Board("b")
         views = [ClusterView(), ClusterView(), ClusterView()]
         much = {
@@ -503,14 +509,14 @@
             self.tell(board, view)
             self.assertEqual(document(view.configuration), one.config[1])
             self.assertEqual(view.index.find("a.example", "/a/").timeout, 8.0)
-        two.set_config(9, json.loads(json.dumps(one.config[1])))  # came whole, as by a snapshot
+        two.set_config(9, json.loads(json.dumps(one.config[1])))  # set as a whole document, as from a snapshot
         for order in range(10, 300):
             self.change(one, order)
         self.assertLess(sum(size for _, _, size in one.changes), len(json.dumps(much)))
         for board, has in ((two, 5), (two, 8), (one, 8)):
             self.assertIn("document", board.since({"epoch": "", "at": 0, "config": has}, 0.0)["config"])
 
-    def test_a_change_that_fits_not_is_left_out_and_the_whole_is_asked_for(self):
+    def test_a_change_that_does_not_apply_is_skipped_and_the_document_requested(self):
         board, view = Board("a"), ClusterView()
         board.set_config(5, DOCUMENT)
         self.tell(board, view)
@@ -532,8 +538,9 @@
         self.assertEqual(self.tell(board, view), {"config"})
         self.assertEqual((view.fault, view.ask()["config"]), ("", 9))
 
-    def test_a_change_of_the_list_is_told_only_to_who_had_the_list_before(self):
-        """A cluster view ahead of a board took the board's next change onto another list: a gone node stayed."""
+    def test_a_change_of_the_list_is_sent_only_to_a_view_with_the_previous_list(self):
+        """A cluster view that was ahead of a board applied the board's next change to another list than the one it was
+        made for, so a node that was gone stayed in the view."""
         ahead, behind, view = Board("a"), Board("b"), ClusterView()
         for board, order, ids in ((ahead, (1, 1), "xy"), (behind, (1, 1), "xy"), (ahead, (1, 2), "xyz")):
             board.set_nodes(order, self.nodes(*ids))
@@ -545,12 +552,12 @@
         for turn, until, order in ((1, 0.0, 1), (2, 0.0, 1), (3, 3.0, 3), (4, 3.5, 3)):
             cold = self.nodes("x", "y")
             cold["x"].cold_until = until
-            behind.set_nodes((2, turn), cold, True)  # read again, the same: nobody need ask for it
+            behind.set_nodes((2, turn), cold, True)  # read again without a change: no need to request it
             self.assertEqual(behind.nodes_order, (2, order))
         for order, ids in (((1, 3), "xy"), ((2, 1), "xy"), ((2, 4), "x")):
             ahead.set_nodes(order, self.nodes(*ids))
-        found = ahead.since(view.ask(), 0.0)["nodes"]
-        self.assertEqual((found["full"], found["set"], found["gone"]), (False, {}, ["y"]))
+        update = ahead.since(view.ask(), 0.0)["nodes"]
+        self.assertEqual((update["full"], update["set"], update["gone"]), (False, {}, ["y"]))
 
     def test_a_long_gone_node_needs_no_tombstone(self):
         board, view = Board("a"), ClusterView()
@@ -564,8 +571,8 @@
 
 
 class ListCase(unittest.IsolatedAsyncioTestCase):
-    async def test_a_list_that_stays_has_no_new_order(self):
-        """Each order had the other cores ask for the whole list, twice a second: 0.6 of 15.7 MB between zones."""
+    async def test_an_unchanged_list_gets_no_new_order(self):
+        """Each new order made the other cores request the whole list, twice a second: 0.6 of 15.7 MB between zones."""
         states = ["ready", "ready", "draining", "draining"]
 
         class Platform:
@@ -601,13 +608,14 @@
             await list_poller.poll()
         self.assertEqual(
             (orders, list_poller.board.nodes_order), ([(3, 1), (3, 3)], (3, 3))
-        )  # the second was like the first
+        )  # the second reading equals the first
         self.assertTrue(list_poller.board.nodes["i-1"].draining)
 
-    async def test_a_reading_that_fails_when_its_callers_have_left_is_no_fault(self):
-        """An edge gives its call up before the list does; nobody is left to take the reading's error."""
-        faults, failing = [], asyncio.Event()
-        asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context["message"]))
+    async def test_a_failed_reading_whose_callers_have_left_is_not_an_unhandled_error(self):
+        """An edge's call times out before the reading of the list does, so nobody is left to handle the reading's
+        error."""
+        unhandled, failing = [], asyncio.Event()
+        asyncio.get_running_loop().set_exception_handler(lambda loop, context: unhandled.append(context["message"]))
 
         class Silent:
             async def send(self, *_):
@@ -616,29 +624,29 @@
 
         settings = SimpleNamespace(platform=SimpleNamespace(address=("h", 1)))
         list_poller = ListPoller(settings, SimpleNamespace(), Board("b"), Silent(), "me")
-        left, stays = (asyncio.ensure_future(list_poller.own_nodes()) for _ in range(2))
+        cancelled, kept = (asyncio.ensure_future(list_poller.own_nodes()) for _ in range(2))
         await asyncio.sleep(0)
-        left.cancel()
+        cancelled.cancel()
         failing.set()
-        self.assertEqual(await stays, {})
+        self.assertEqual(await kept, {})
         failing.clear()
         list_poller.own_read_at = float("-inf")
-        left = asyncio.ensure_future(list_poller.own_nodes())
+        cancelled = asyncio.ensure_future(list_poller.own_nodes())
         await asyncio.sleep(0)
-        left.cancel()
-        await asyncio.wait([left])
+        cancelled.cancel()
+        await asyncio.wait([cancelled])
         failing.set()
         await asyncio.wait([list_poller.own_read])
         list_poller.own_read = None
         gc.collect()
         await asyncio.sleep(0)
-        self.assertEqual(faults, [])
+        self.assertEqual(unhandled, [])
 
 
-class LanesCase(unittest.IsolatedAsyncioTestCase):
-    async def test_a_few_grants_at_once_to_a_node_and_none_begun_past_its_lease(self):
-        """A conductor that took slices over granted 118 runs to one node at once, which reset what was over its
-        bound."""
+class CallSlotsCase(unittest.IsolatedAsyncioTestCase):
+    async def test_grants_to_a_node_are_limited_in_number_and_none_begins_after_the_lease(self):
+        """A conductor that took slices over sent 118 grants to one node at once; the node reset the connections over
+        its limit."""
         begun, ends, now, free = [], [], [1.0], asyncio.Event()
 
         class Node:
@@ -649,29 +657,29 @@
 
         conductor = SliceManager("me", None, Board("b"), Loads(), Node(), LeasePace(), 1, None)
         conductor.keeper.answered = lambda at, order, status, *_: ends.append((order.fence, status))
-        lanes = MAX_CONCURRENT_CALLS["grant"]
+        slots = MAX_CONCURRENT_CALLS["grant"]
         orders = [
-            Grant("i-1", ("10.0.1.1", 80), 0, 31, n, 6.0, None, "s", (0,), 5.0 if n < lanes + 2 else 2.0)
-            for n in range(lanes + 4)
+            Grant("i-1", ("10.0.1.1", 80), 0, 31, n, 6.0, None, "s", (0,), 5.0 if n < slots + 2 else 2.0)
+            for n in range(slots + 4)
         ]
         with mock.patch("knotwalk.control_plane.slice_manager.clock", lambda: now[0]):
             calls = [asyncio.ensure_future(conductor._grant(order)) for order in orders]
             for _ in range(5):
                 await asyncio.sleep(0)
-            self.assertEqual(begun, list(range(lanes)))
+            self.assertEqual(begun, list(range(slots)))
             now[0] = 3.0
             free.set()
             await asyncio.gather(*calls)
             conductor.stop()
-        self.assertEqual(begun, list(range(lanes + 2)))
-        self.assertEqual([fence for fence, status in ends if status == UNSENT], [lanes + 2, lanes + 3])
+        self.assertEqual(begun, list(range(slots + 2)))
+        self.assertEqual([fence for fence, status in ends if status == UNSENT], [slots + 2, slots + 3])
 
 
 class LoadsCase(unittest.TestCase):
-    def test_sums_kept_up_are_those_of_the_window(self):
+    def test_incremental_sums_equal_those_of_the_window(self):
         chance, loads = random.Random(4), Loads()
         for step in range(400):
-            now = step / 10  # busy at first, then one report now and then
+            now = step / 10  # many reports at first, then one every three seconds
             for _ in range(chance.randrange(3) if step < 250 else step % 30 == 0):
                 row = [0, 0, 2, chance.randrange(3), 0, chance.randrange(2), chance.random()]
                 loads.add(
@@ -690,17 +698,17 @@
                 rows, wanted = found.get(topic, {}), plain.get(topic, {})
                 if topic == "demand":
                     rows, wanted = ({k: [n] for k, n in table.get("s", {}).items()} for table in (rows, wanted))
-                self.assertLessEqual(rows.keys(), wanted.keys())  # of rows that say nothing none is kept
+                self.assertLessEqual(rows.keys(), wanted.keys())  # rows without any counts are not kept
                 for id, row in wanted.items():
                     for a, b in zip(row, rows.get(id, [0, 0, row[2], 0, 0, 0, 0] if topic == "nodes" else [0])):
                         self.assertAlmostEqual(a, b)
 
-    def test_demand_that_begins_is_counted_over_the_time_since(self):
-        """Divided by all of the window, capacities were learned as a quarter of what they are in a service's first
-        seconds."""
+    def test_demand_that_just_began_is_averaged_over_the_time_since(self):
+        """When demand was divided by the whole window, capacities were estimated at a quarter of their value in a
+        service's first seconds."""
         loads = Loads()
         for step in range(96):
-            now, edge = step / 8, step % 8  # eight edges, a report a second each; 80 requests a second from 5.0
+            now, edge = step / 8, step % 8  # eight edges, each reports once a second; 80 requests/s from 5.0 on
             requests = max(0.0, min(1.0, now - 5.0)) * 10
             loads.add(now, {"demand": {"s": {"7": requests}} if requests else {}}, edge < 4)
             found, spans = loads.sums(now)
@@ -708,8 +716,9 @@
                 self.assertAlmostEqual(found["demand"]["s"]["7"] / spans["s"], 80, delta=16, msg=now)
         self.assertEqual(loads.sums(20.0)[1], {})
 
-    def test_a_lost_edge_is_forgotten_though_cores_tell_each_other_of_edges(self):
-        """The budget's slack is shared by the count: passed on and on, a lost edge kept its part for ever."""
+    def test_a_lost_edge_is_forgotten_although_cores_report_edges_to_each_other(self):
+        """The retry budget's slack is divided by the number of edges. When cores passed a lost edge on to each other,
+        it kept its share for ever."""
         one, two = Loads(), Loads()
         counts = []
         for second in range(30):
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -1,6 +1,7 @@
-"""Core machines that are cut off, frozen or come back with an old disk: what they answer, to whom, and for how long.
+"""Core machines that are cut off, frozen or restarted with an old disk: what they answer to operators and edges.
 
-The rooms of three core programs in one process, over a wire in memory with directions, in time that only jumps.
+The components of three core programs run in one process, in virtual time, over a network in memory whose directions
+can be blocked separately.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
 from tests.standins.jumps import Loop, clock
 from tests.system.test_control_plane import ADDRESSES, DOCUMENT
 
-CUT = 20.0  # seconds, as in the users' letter
+CUT_S = 20.0  # duration of a cut, as in the report that led to these tests
 INSTANCE = {
     "service": "s",
     "address": "10.0.1.1:80",
@@ -42,13 +43,13 @@
 
 
 class Inline:
-    """An executor that works at once, in the caller's thread."""
+    """An executor that runs work at once, in the caller's thread."""
 
     def submit(self, work, *given):
         done = Future()
         try:
             done.set_result(work(*given))
-        except Exception as error:  # as an executor does it
+        except Exception as error:  # stored in the future, as an executor does
             done.set_exception(error)
         return done
 
@@ -56,15 +57,15 @@
         pass
 
 
-class Forgets(dict):
-    """Keeps nothing."""
+class ForgetfulResults(dict):
+    """Results that are dropped at once."""
 
-    def __setitem__(self, index, said):
+    def __setitem__(self, index, result):
         pass
 
 
 class Disk:
-    """A store that keeps all at once."""
+    """A store whose writes succeed at once."""
 
     disk_mb = 64
 
@@ -73,7 +74,7 @@
 
 
 class Core:
-    """One core machine's rooms, wired as control_plane/__main__ does it."""
+    """One core machine's components, wired as in control_plane/__main__."""
 
     def __init__(self, world, at, saved, seed):
         self.world, self.at = world, at
@@ -109,7 +110,7 @@
     def leads(self):
         return self.consensus.machine.settled
 
-    # --- as its caller
+    # --- as the caller of its components
 
     async def json(self, method, url, body, patience, step):
         return await self.world.call(self, url, json.loads(json.dumps(body)), patience, step)
@@ -121,7 +122,7 @@
     # --- as a server
 
     async def serve(self, path, body):
-        """A call's answer, as far as this process runs; one computed before a freeze leaves after it."""
+        """Answer a call while the process runs; an answer computed before a freeze is sent after it."""
         await self.thawed.wait()
         handler = {
             "/consensus": self.peers.handle_consensus,
@@ -133,26 +134,27 @@
             "/proposal": self.peers.handle_proposal,
             "/loads": self.peers.handle_loads,
         }
-        found = await handler[path](SimpleNamespace(body=json.dumps(body).encode(), headers={}))
+        response = await handler[path](SimpleNamespace(body=json.dumps(body).encode(), headers={}))
         await self.thawed.wait()
-        return found
+        return response
 
-    async def operate(self, method, version=None, base=None, body=None):
-        """An operator's call straight to this machine: status, body or Location; None for what is given up."""
+    async def call_control(self, method, version=None, base=None, body=None):
+        """An operator's call to this machine: its status, and the Location or body; (0, None) if it times out."""
         if body is None:
             body = json.dumps(DOCUMENT | {"config_version": version}).encode()
         request = SimpleNamespace(method=method, body=body, headers={"if-match": base} if base else {})
         await self.thawed.wait()
         try:
             async with asyncio.timeout(8):
-                found = await (self.control.read if method == "GET" else self.control.change)(request)
+                response = await (self.control.read if method == "GET" else self.control.change)(request)
         except TimeoutError:
             return 0, None
         await self.thawed.wait()
-        return found.status, found.headers.get("location") or json.loads(found.body)
+        return response.status, response.headers.get("location") or json.loads(response.body)
 
     def freeze(self):
-        """Stand still: timers don't come, calls and answers wait. The works only look, and see their time gone by."""
+        """Freeze the process: its timers don't fire, calls and answers wait. Its periodic tasks begin again when
+        thawed."""
         self.thawed.clear()
         self.consensus.timer.cancel()
         for task in self.tasks:
@@ -171,18 +173,18 @@
 
 
 class World:
-    """Three cores and the links between them; `blocked` holds the directions in which nothing passes."""
+    """Three cores and the network between them; `blocked` holds (sender, receiver) pairs that can't communicate."""
 
     def __init__(self):
         self.blocked: set[tuple[str, str]] = set()
-        self.refuses = False  # a cut refuses at once instead of saying nothing
+        self.refuses = False  # a blocked call is refused at once instead of timing out
         self.cores: dict[str, Core] = {}
 
     async def start(self):
         founders = {f"{at}#founder": at for at in ADDRESSES}
         for n, at in enumerate(ADDRESSES):
             self.cores[at] = Core(self, at, Saved(f"{at}#founder", members=founders), n)
-        assert (await self.order("r3", "0"))[0] == 200
+        assert (await self.change_configuration("r3", "0"))[0] == 200
         await self.until(lambda: all(core.consensus.state.version == 3 for core in self.cores.values()))
         await self.until(lambda: all(core.peers.fresh_until > clock() for core in self.cores.values()))
 
@@ -192,21 +194,21 @@
                 await asyncio.sleep(0.01)
 
     async def call(self, sender, url, body, patience, step):
-        """A call between machines. What is lost on either way is given up after its patience, or refused at once."""
+        """A call between machines. If it or its answer is lost, it times out, or is refused at once."""
         address, _, path = url.removeprefix("http://").partition("/")
         mine = getattr(sender, "at", "edge")
         try:
             async with asyncio.timeout(patience):
                 await self.passes(mine, address)
-                found = await self.cores[address].serve(f"/{path}", body)
+                response = await self.cores[address].serve(f"/{path}", body)
                 await self.passes(address, mine)
                 if hasattr(sender, "thawed"):
                     await sender.thawed.wait()
         except (TimeoutError, ConnectionError) as error:
             raise PeerError(step, address, str(error)) from None
-        if found.status != 200:
-            raise PeerError(step, address, f"status {found.status}")
-        return json.loads(found.body)
+        if response.status != 200:
+            raise PeerError(step, address, f"status {response.status}")
+        return json.loads(response.body)
 
     async def passes(self, sender, receiver):
         await asyncio.sleep(0.001)
@@ -218,15 +220,15 @@
     def leader(self):
         return next((core for core in self.cores.values() if core.leads), None)
 
-    async def order(self, version, base, among=None):
-        """What an operator does: the same order to one after the other, until one answers clearly."""
+    async def change_configuration(self, version, base, among=None):
+        """Send a change to one core after the other until one gives a definite answer, as an operator's tool does."""
         for _ in range(200):
             for core in among or list(self.cores.values()):
-                status, told = await core.operate("PUT", version, base)
+                status, payload = await core.call_control("PUT", version, base)
                 if status in (200, 400, 412, 413):
-                    return status, told
+                    return status, payload
             await asyncio.sleep(0.05)
-        raise AssertionError("no clear answer")
+        raise AssertionError("no definite answer")
 
     def cut(self, at, shape):
         others = [one for one in ADDRESSES if one != at]
@@ -243,7 +245,7 @@
 
 
 @contextmanager
-def jumping(*modules):
+def virtual_time(*modules):
     with ExitStack() as stack:
         for module in modules or (consensus_driver, control, list_poller, peer_api, link):
             stack.enter_context(mock.patch.object(module, "clock", clock))
@@ -254,10 +256,10 @@
         yield
 
 
-def play(story):
-    """Play an async story in a world of its own, in time that jumps."""
+def run_story(story):
+    """Run an async test in a world of its own, in virtual time."""
 
-    async def played():
+    async def run():
         world = World()
         try:
             await world.start()
@@ -265,12 +267,12 @@
         finally:
             await world.end()
 
-    with jumping(), asyncio.Runner(loop_factory=Loop) as runner:
-        runner.run(played())
+    with virtual_time(), asyncio.Runner(loop_factory=Loop) as runner:
+        runner.run(run())
 
 
-# Every kind of call whose answer tells of agreed state: what it is, the answer of who knows r3, and of who knows r7.
-CALLS = {
+# Every kind of call whose answer depends on committed state: the call, and its answer by a core that knows r3 or r7.
+OPERATOR_CALLS = {
     "read": (("GET",), (200, "r3"), (200, "r7")),
     "stale": (("PUT", "r4", "0"), (412, "r3"), (412, "r7")),
     "not above": (("PUT", "r2", "r3"), (400, None), (412, "r7")),
@@ -281,41 +283,42 @@
 }
 
 
-def clear(found):
-    """An answer as CALLS has it, or None where it is no clear one."""
-    status, told = found
-    return (status, told.get("config_version")) if status in (200, 400, 404, 412, 413) else None
+def definite(answer):
+    """An answer in the form of OPERATOR_CALLS, or None if it is not a definite one."""
+    status, payload = answer
+    return (status, payload.get("config_version")) if status in (200, 400, 404, 412, 413) else None
 
 
 class OperatorCase(unittest.TestCase):
-    """What a cut off machine says to an operator."""
+    """What a machine that is cut off answers to an operator."""
 
     def probe(self, world, core, log):
-        """All kinds of calls at once; what came of each, with the time it was begun."""
+        """Make all kinds of calls at once; log the answer and the start time of each."""
 
         async def one(kind, begun):
-            log.append((kind, begun, clear(await core.operate(*CALLS[kind][0]))))
+            log.append((kind, begun, definite(await core.call_control(*OPERATOR_CALLS[kind][0]))))
 
-        return [asyncio.ensure_future(one(kind, clock())) for kind in CALLS]
+        return [asyncio.ensure_future(one(kind, clock())) for kind in OPERATOR_CALLS]
 
-    async def through(self, world, core, begin, end, log, others=None):
-        """Begin a trouble, take r7 at the others meanwhile, end it after CUT; when r7 was acknowledged."""
+    async def run_cut(self, world, core, begin, end, log, others=None):
+        """Begin a fault, have r7 committed by the others, and end the fault after CUT_S; returns when the fault began
+        and when r7 was acknowledged."""
         others = others or [one for one in world.cores.values() if one is not core]
         begin()
         start, calls = clock(), []
-        taken = asyncio.ensure_future(world.order("r7", "r3", others))
+        taken = asyncio.ensure_future(world.change_configuration("r7", "r3", others))
         acked = asyncio.ensure_future(self.ended(taken))
-        for after in (0.0, 0.05, 0.2, 0.4, 0.46, 0.7, 1.2, 2.0, 5.0, 12.0, CUT - 0.3):
+        for after in (0.0, 0.05, 0.2, 0.4, 0.46, 0.7, 1.2, 2.0, 5.0, 12.0, CUT_S - 0.3):
             await asyncio.sleep(max(0.0, start + after - clock()))
             calls += self.probe(world, core, log)
-        await asyncio.sleep(start + CUT - clock())
+        await asyncio.sleep(start + CUT_S - clock())
         end()
         calls += self.probe(world, core, log)
         await asyncio.gather(*calls)
         self.assertEqual((await taken)[0], 200)
         await world.until(lambda: core.consensus.state.version == 7)
-        status, told = await core.operate("GET")
-        self.assertTrue(status == 307 or (status, told["config_version"]) == (200, "r7"), (status, told))
+        status, payload = await core.call_control("GET")
+        self.assertTrue(status == 307 or (status, payload["config_version"]) == (200, "r7"), (status, payload))
         return start, await acked
 
     async def ended(self, task):
@@ -323,12 +326,12 @@
         return clock()
 
     def check(self, log, acked):
-        """Nothing old: who was asked after r7 was acknowledged answers by r7 or not clearly."""
-        for kind, begun, found in log:
-            allowed = CALLS[kind][2:] if begun > acked else CALLS[kind][1:]
-            self.assertIn(found, (None, *allowed), (kind, begun, acked))
+        """Check that no answer is stale: after r7 was acknowledged, calls get the answer of r7 or no definite one."""
+        for kind, begun, answer in log:
+            allowed = OPERATOR_CALLS[kind][2:] if begun > acked else OPERATOR_CALLS[kind][1:]
+            self.assertIn(answer, (None, *allowed), (kind, begun, acked))
 
-    def test_who_is_cut_from_the_majority_answers_nothing_clearly_and_redirects_to_no_one_but_another(self):
+    def test_a_core_cut_off_from_the_majority_gives_no_definite_answer(self):
         for shape in ("both ways", "hears only", "heard not"):
             for role in ("leader", "follower"):
                 for refuses in (False, True):
@@ -339,16 +342,16 @@
                             if role == "follower":
                                 core = next(one for one in world.cores.values() if one is not core)
                             world.refuses, log = refuses, []
-                            start, acked = await self.through(
+                            start, acked = await self.run_cut(
                                 world, core, lambda: world.cut(core.at, shape), world.blocked.clear, log
                             )
                             self.check(log, acked)
-                            during = [found for _, begun, found in log if begun < start + CUT - 0.3]
+                            during = [answer for _, begun, answer in log if begun < start + CUT_S - 0.3]
                             self.assertEqual(set(during), {None})
 
-                        play(story)
+                        run_story(story)
 
-    def test_who_is_cut_from_one_other_or_frozen_answers_nothing_old(self):
+    def test_a_core_cut_off_from_one_other_or_frozen_gives_no_stale_answer(self):
         for shape in ("one other", "frozen"):
             for role in ("leader", "follower"):
                 with self.subTest(shape=shape, role=role):
@@ -359,48 +362,50 @@
                             core = next(one for one in world.cores.values() if one is not core)
                         if shape == "frozen":
                             begin, end, among = core.freeze, core.thaw, None
-                        else:  # a leader still leads, since one of the others hears it
+                        else:  # a leader keeps leading, since one of the others hears it
                             begin, end = lambda: world.cut(core.at, shape), world.blocked.clear
                             among = list(world.cores.values())
-                        _, acked = await self.through(world, core, begin, end, log, among)
+                        _, acked = await self.run_cut(world, core, begin, end, log, among)
                         self.check(log, acked)
 
-                    play(story)
+                    run_story(story)
 
-    def test_a_follower_that_stood_still_sends_nobody_to_the_leader_of_before(self):
+    def test_a_follower_that_was_frozen_does_not_redirect_to_the_former_leader(self):
         async def story(world):
             before = world.leader()
             core = next(one for one in world.cores.values() if one is not before)
             core.freeze()
             world.cut(core.at, "both ways")
             await asyncio.sleep(5)
-            core.thawed.set()  # thawed, and no timer of its own has come yet
+            core.thawed.set()  # thawed, before any of its own timers has fired
             self.assertEqual(core.consensus.machine.leader, before.at)
-            self.assertEqual((await core.operate("GET"))[0], 503)
+            self.assertEqual((await core.call_control("GET"))[0], 503)
             core.thaw()
-            self.assertEqual(core.control.redirect(core.at).status, 503)  # sent to itself it would go round
+            self.assertEqual(core.control.redirect(core.at).status, 503)  # a redirection to itself would loop
 
-        play(story)
+        run_story(story)
 
-    def test_what_was_agreed_on_and_is_not_remembered_is_unknown(self):
+    def test_a_committed_entry_without_a_recorded_result_has_an_unknown_outcome(self):
         async def story(world):
             leader = world.leader()
-            leader.consensus.results = Forgets()
+            leader.consensus.results = ForgetfulResults()
             with self.assertRaises(OutcomeUnknownError):
                 await leader.consensus.propose({"do": "nothing"})
 
-        play(story)
+        run_story(story)
 
 
 class EdgeCase(unittest.TestCase):
-    """What a cut off machine says to edges, and how long they go by it."""
+    """What a machine that is cut off answers to edges, and for how long edges rely on it."""
 
     def edge(self, world, seeds, seed=1):
-        news = []
-        edge = Link("e", ClusterView(), world_caller(world), seeds, seed, "z", dict, lambda *told: news.append(told))
-        return edge, news
+        updates = []
+        edge = Link(
+            "e", ClusterView(), world_caller(world), seeds, seed, "z", dict, lambda *update: updates.append(update)
+        )
+        return edge, updates
 
-    def test_no_core_calls_itself_fresh_for_longer_than_its_leader_was_proven_and_fresh_after(self):
+    def test_a_core_is_fresh_for_a_bounded_time_after_its_leader_was_confirmed(self):
         for shape in ("both ways", "hears only", "heard not", "frozen"):
             for role in ("leader", "follower"):
                 with self.subTest(shape=shape, role=role):
@@ -411,24 +416,24 @@
                             core = next(one for one in world.cores.values() if one is not core)
                         core.freeze() if shape == "frozen" else world.cut(core.at, shape)
                         start, fresh = clock(), []
-                        asked = {"edge": "e", "epoch": core.board.epoch, "at": core.board.at, "wait": 1.0}
+                        request = {"edge": "e", "epoch": core.board.epoch, "at": core.board.at, "wait": 1.0}
                         while clock() < start + 5:
                             begun = clock()
-                            told = json.loads(
+                            answer = json.loads(
                                 (
                                     await core.peers.handle_cluster_view(
-                                        SimpleNamespace(body=json.dumps(asked), headers={})
+                                        SimpleNamespace(body=json.dumps(request), headers={})
                                     )
                                 ).body
                             )
-                            if told["fresh"]:
+                            if answer["fresh"]:
                                 fresh.append(clock() - start)
                             await asyncio.sleep(max(0.01, begun + 0.05 - clock()))
                         self.assertLess(max(fresh, default=0.0), PROOF + FRESH + 0.01)
 
-                    play(story)
+                    run_story(story)
 
-    def test_a_leader_gives_no_lease_on_answers_older_than_its_proof_though_it_has_not_stepped_down(self):
+    def test_a_leader_grants_no_lease_once_its_confirmation_is_too_old(self):
         async def story(world):
             leader = world.leader()
             me = leader.consensus.machine.me
@@ -440,10 +445,10 @@
             await asyncio.sleep(0.02)
             self.assertEqual((leader.consensus.machine.role, leader.poller.grant_lease(me)), ("leader", None))
 
-        play(story)
+        run_story(story)
 
-    def alone(self, world, at):
-        """`at` starts anew with its disk, cut off from the other cores but not from edges."""
+    def restart_isolated(self, world, at):
+        """Restart core `at` with its disk, cut off from the other cores but not from edges."""
         machine = world.cores[at].consensus.machine
         saved = Saved(
             machine.me,
@@ -455,62 +460,63 @@
         )
         return Core(world, at, saved, 9)
 
-    async def behind(self, world):
-        """A machine that starts with an old disk, alone, while the others hold r7 and lead."""
+    async def isolated_core(self, world):
+        """Restart a core with an old disk, isolated, while the others have r7 and a leader; returns it and the
+        others."""
         core = next(one for one in world.cores.values() if not one.leads)
         world.cut(core.at, "both ways")
         await core.end()
         others = [one for one in world.cores.values() if one is not core]
-        self.assertEqual((await world.order("r7", "r3", others))[0], 200)
-        world.cores[core.at] = self.alone(world, core.at)
+        self.assertEqual((await world.change_configuration("r7", "r3", others))[0], 200)
+        world.cores[core.at] = self.restart_isolated(world, core.at)
         return world.cores[core.at], others
 
-    def test_one_that_came_back_alone_answers_no_operator_clearly(self):
+    def test_a_core_restarted_alone_gives_operators_no_definite_answer(self):
         async def story(world):
-            core, _ = await self.behind(world)
+            core, _ = await self.isolated_core(world)
             for after in (0.0, 0.5, 2.0, 6.0):
                 await asyncio.sleep(after)
-                found = await asyncio.gather(*(core.operate(*call) for call, *_ in CALLS.values()))
-                self.assertEqual([status for status, _ in found], [503] * len(CALLS))
+                found = await asyncio.gather(*(core.call_control(*call) for call, *_ in OPERATOR_CALLS.values()))
+                self.assertEqual([status for status, _ in found], [503] * len(OPERATOR_CALLS))
 
-        play(story)
+        run_story(story)
 
-    def test_an_edge_that_starts_at_one_that_is_alone_goes_by_it_until_it_has_asked_the_others(self):
+    def test_an_edge_uses_an_isolated_cores_view_only_until_it_reaches_the_others(self):
         for seed in range(6):
             for silent in (0, 1):
                 with self.subTest(seed=seed, silent=silent):
 
                     async def story(world):
-                        core, others = await self.behind(world)
-                        if silent:  # one more core that answers nobody but its fellow
+                        core, others = await self.isolated_core(world)
+                        if silent:  # another core is unreachable for edges
                             follower = next(one for one in others if not one.leads)
                             world.blocked |= {("edge", follower.at)}
-                        edge, news = self.edge(world, [core.at], seed)  # its seeds name that one alone
+                        edge, _ = self.edge(world, [core.at], seed)  # its seeds name only that core
                         start = clock()
                         task = asyncio.ensure_future(edge.run())
                         await world.until(lambda: edge.view.configuration is not None)
                         self.assertEqual((edge.view.configuration.version, edge.view.provisional), (3, True))
                         await world.until(lambda: edge.view.configuration.version == 7)
-                        self.assertLess(clock() - start, 2.5)  # before a machine counts as in touch
+                        self.assertLess(clock() - start, 2.5)  # before a restarted core may become fresh
                         self.assertFalse(edge.view.provisional)
                         task.cancel()
 
-                    play(story)
+                    run_story(story)
 
-    def test_a_core_alone_for_long_or_left_out_or_that_hears_of_a_leader_gives_no_picture(self):
+    def test_a_core_isolated_for_long_or_removed_or_that_knows_a_leader_gives_no_provisional_view(self):
         async def story(world):
-            core, _ = await self.behind(world)
-            wanted = json.dumps(ClusterView().ask() | {"edge": "e", "wait": 0.0}).encode()
-            asked = SimpleNamespace(body=wanted, headers={})
+            core, _ = await self.isolated_core(world)
+            body = json.dumps(ClusterView().ask() | {"edge": "e", "wait": 0.0}).encode()
+            request = SimpleNamespace(body=body, headers={})
 
-            async def given():
-                return "provisional" in json.loads((await core.peers.handle_cluster_view(asked)).body)
+            async def has_provisional():
+                return "provisional" in json.loads((await core.peers.handle_cluster_view(request)).body)
 
-            self.assertTrue(await given())
+            self.assertTrue(await has_provisional())
             with mock.patch.object(core.consensus.machine, "role", "outsider"):
-                self.assertFalse(await given())
+                self.assertFalse(await has_provisional())
             with mock.patch.object(core.consensus.machine, "_hint", "10.0.0.2:7"):
-                self.assertFalse(await given())
+                self.assertFalse(await has_provisional())
             reading = asyncio.Event()
 
             async def slow():
@@ -518,17 +524,17 @@
                 return {"i-1": list_node()}
 
             with mock.patch.object(core.poller, "own_nodes", slow):
-                call = asyncio.ensure_future(given())
+                call = asyncio.ensure_future(has_provisional())
                 await asyncio.sleep(0.1)
                 with mock.patch.object(core.consensus.machine, "_hint", "10.0.0.2:7"):
-                    reading.set()  # the list came, and meanwhile a leader was heard of
+                    reading.set()  # the list was read, and a leader became known meanwhile
                     self.assertFalse(await call)
             await asyncio.sleep(PROVISIONAL_PERIOD_S)
-            self.assertFalse(await given())
+            self.assertFalse(await has_provisional())
 
-        play(story)
+        run_story(story)
 
-    def test_of_two_that_just_started_the_newer_disk_counts_and_no_older_one_after_it(self):
+    def test_of_two_provisional_views_the_newer_one_counts(self):
         old, new = Board("a"), Board("b")
         old.set_config(5, DOCUMENT)
         new.set_config(9, DOCUMENT | {"config_version": "r7"})
@@ -541,30 +547,30 @@
         view.provide(0.0, first)
         self.assertEqual(view.configuration.version, 7)
         old.set_nodes((1, 1), nodes)
-        view.apply(0.0, json.loads(json.dumps(old.since(view.ask(), 0.0))))  # fresh by a leader of before, for a moment
+        view.apply(0.0, json.loads(json.dumps(old.since(view.ask(), 0.0))))  # fresh by a former leader, for a moment
         self.assertEqual((view.configuration.version, view.provisional, "provisional" in view.ask()), (7, False, False))
 
 
 class LeaseCase(unittest.TestCase):
-    """A leader's decisions on leases, of which each waits for a commit."""
+    """A leader's decisions on leases, each of which waits for a commit."""
 
-    def test_what_was_decided_before_a_commit_is_asked_again_after_it(self):
+    def test_decisions_on_leases_are_checked_again_after_each_commit(self):
         async def story(world):
             leader = world.leader()
             await leader.consensus.propose({"do": "shard", "services": ["s", "t"]})
-            poller, given = leader.poller, []
+            poller, proposed = leader.poller, []
             a, b, c = (core.consensus.machine.me for core in world.cores.values())
             for task in leader.tasks:
                 task.cancel()
 
             async def give(service, before, to, runs):
-                given.append((before, to))
+                proposed.append((before, to))
                 happens()
                 return True
 
             slices = [SimpleNamespace(conductor=who, open=True, before=()) for who in [b] * 1024 + [c] * 1024]
             state = SimpleNamespace(ledger=SimpleNamespace(slices={"s": slices}))
-            for what, taken in (("nothing", 2), ("is back", 1), ("office lost", 1), ("office anew", 1)):
+            for what, taken in (("nothing", 2), ("is back", 1), ("leadership lost", 1), ("leadership regained", 1)):
                 with (
                     self.subTest(what=what),
                     mock.patch.object(ListPoller, "is_proven", True),
@@ -573,19 +579,19 @@
                 ):
                     poller.on_leadership(True)
                     tenure = poller.tenure
-                    tenure.since -= 10 * LEASE  # all that were not heard have surely ended
+                    tenure.since -= 10 * LEASE  # the leases of all conductors that were not heard have expired
                     tenure.asked(clock(), a)
                     happens = {
                         "nothing": lambda: None,
                         "is back": lambda: (tenure.asked(clock(), b), tenure.asked(clock(), c)),
-                        "office lost": lambda: poller.on_leadership(False),
-                        "office anew": lambda: poller.on_leadership(True),
+                        "leadership lost": lambda: poller.on_leadership(False),
+                        "leadership regained": lambda: poller.on_leadership(True),
                     }[what]
-                    given.clear()
+                    proposed.clear()
                     await poller.maintain_service(tenure, "s")
-                    self.assertEqual(len(given), taken)
+                    self.assertEqual(len(proposed), taken)
 
-        play(story)
+        run_story(story)
 
 
 def list_node():
@@ -593,7 +599,7 @@
 
 
 def world_caller(world):
-    """An edge's calls."""
+    """The caller of an edge."""
 
     class Caller:
         async def json(self, method, url, body, patience, step):
--- a/tests/system/test_freshness.py
+++ b/tests/system/test_freshness.py
@@ -11,7 +11,7 @@
 from knotwalk.leases.tenure import PROOF
 from tests.standins.jumps import clock
 from tests.system.test_control_plane import ADDRESSES
-from tests.system.test_cut_off import play, world_caller
+from tests.system.test_cut_off import run_story, world_caller
 
 REVOKE, CONFIG_APPLY = 5.0, 2.0  # seconds, as settings may have them
 LOOK = 0.02  # seconds between looks at an edge
@@ -95,7 +95,9 @@
             found["begun"] = clock()
             over = trouble(world, edge)
             await asyncio.sleep(0.3)
-            status, _ = await world.order("r7", "r3", [one for one in world.cores.values() if one.thawed.is_set()])
+            status, _ = await world.change_configuration(
+                "r7", "r3", [one for one in world.cores.values() if one.thawed.is_set()]
+            )
             self.assertEqual(status, 200)
             found["acked"] = clock()
             await asyncio.sleep(lasts)
@@ -106,7 +108,7 @@
             found["looks"], found["ages"] = edge.looks, edge.ages
             edge.end()
 
-        play(story)
+        run_story(story)
         return found
 
     def check(self, found, revoke=REVOKE):
--- a/tests/system/test_operations.py
+++ b/tests/system/test_operations.py
@@ -1,4 +1,5 @@
-"""Operations over several edges and cores: one run a key, the first answer for repeats, and true refusals."""
+"""Operations over several edges and cores: one run per key, the first answer for repeats, and refusals that mean that
+nothing ran."""
 
 import asyncio
 from unittest import mock
@@ -17,7 +18,7 @@
         self.nodes[0].script = [lambda request, writer: answer(request, b"first", extra="Color: red\r\n")]
         status, headers, body = await self.ask("a1")
         self.assertEqual((status, headers["attempt-id"], body), (200, "a1", b"first"))
-        await self.told()
+        await self.reported()
         for edge in (0, 1):
             again, second, bytes_ = await self.ask(f"a2{edge}", edge)
             self.assertEqual((again, bytes_), (200, b"first"))
@@ -25,7 +26,7 @@
             self.assertEqual((second["server-seal"], second["color"]), ("s", "red"))
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_repeat_elsewhere_waits_for_the_first_ones_answer(self):
+    async def test_a_repeat_at_another_edge_waits_for_the_first_answer(self):
         await self.begin()
         go = self.holding()
         first = await self.send("a1")
@@ -38,7 +39,7 @@
             self.assertEqual((status, headers["attempt-id"], body), (200, id, b"first"))
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_repeat_whose_time_ends_while_the_first_runs_is_a_conflict(self):
+    async def test_a_repeat_that_times_out_while_the_first_runs_gets_409(self):
         await self.begin()
         go = self.holding()
         first = await self.send("a1")
@@ -50,36 +51,36 @@
         self.assertEqual((await within(first.answer()))[0], 200)
         self.assertEqual(self.runs(), 1)
 
-    async def test_repeats_at_once_run_once(self):
+    async def test_concurrent_repeats_run_once(self):
         await self.begin()
         clients = [await self.send(f"a{at}", at % 2) for at in range(8)]
         for client in clients:
             self.assertEqual((await within(client.answer()))[0], 200)
         self.assertEqual(self.runs(), 1)
 
-    async def test_one_id_sent_twice_is_two_tries_of_one_operation(self):
+    async def test_two_requests_with_one_attempt_id_run_once(self):
         await self.begin()
         clients = [await self.send("same", at % 2) for at in range(4)]
         for client in clients:
             self.assertEqual((await within(client.answer()))[0], 200)
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_key_of_two_tenants_is_two_operations(self):
+    async def test_the_same_key_of_two_tenants_is_two_operations(self):
         await self.begin()
         for tenant, key in (("t", "k"), ("u", "k"), ("t", "l")):
             self.assertEqual((await self.ask(f"{tenant}{key}", 0, key, tenant))[0], 200)
         self.assertEqual(self.runs(), 3)
 
-    async def test_a_nodes_failure_is_the_answer_of_repeats_too(self):
+    async def test_repeats_get_a_nodes_failure_as_their_answer(self):
         await self.begin()
         self.nodes[0].script = [lambda request, writer: answer(request, b"bad", "500 Internal Server Error")]
         self.assertEqual((await self.ask("a1"))[0], 500)
-        await self.told()
+        await self.reported()
         status, headers, body = await self.ask("a2", 1)
         self.assertEqual((status, body, headers["attempt-id"]), (500, b"bad", "a2"))
         self.assertEqual(self.runs(), 1)
 
-    async def test_without_the_contract_a_keyed_request_is_one_that_must_not_be_repeated(self):
+    async def test_without_the_contract_a_keyed_request_is_treated_as_not_idempotent(self):
         await self.begin(contracts=("base",))
         self.edges[0].front.operations.needs_ask = lambda configuration, tenant: False
         self.nodes[0].script = [None]
@@ -89,16 +90,16 @@
 
 
 class UnknownTest(OperationsCase):
-    async def test_an_unknown_end_never_runs_again(self):
+    async def test_an_operation_with_an_unknown_end_never_runs_again(self):
         await self.begin()
         self.nodes[0].script = [None]
         self.assertEqual((await self.ask("a1"))[0], 502)
-        await self.told()
+        await self.reported()
         for edge in (0, 1):
             self.assertEqual((await self.ask(f"a2{edge}", edge))[0], 502)
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_service_with_a_record_is_offered_a_broken_off_run_again(self):
+    async def test_a_deduplicating_service_gets_an_aborted_run_again(self):
         await self.begin(nodes=2, deduplicates=True)
         for node in self.nodes:
             node.script = [None]
@@ -112,55 +113,55 @@
             self.assertIn((await self.ask("b1", key="other"))[0], (200, 502))
         self.assertLessEqual(self.runs(), 2)
 
-    async def test_a_node_that_answers_with_trouble_is_not_followed_by_another_run(self):
+    async def test_a_node_that_answers_with_an_error_is_not_followed_by_another_run(self):
         await self.begin(nodes=2, deduplicates=True)
         for node in self.nodes:
             node.script = [lambda request, writer: answer(request, b"bad", "500 Oops")]
         self.assertEqual((await self.ask("a1"))[0], 500)
         self.assertEqual(self.runs(), 1)
 
-    async def test_an_answer_over_the_bound_is_passed_on_and_fails_for_repeats(self):
+    async def test_an_oversized_answer_is_passed_on_but_not_stored_for_repeats(self):
         await self.begin()
         large = b"x" * 200_000
         self.nodes[0].script = [lambda request, writer: answer(request, large)]
         status, _, body = await self.ask("a1")
         self.assertEqual((status, body), (200, large))
-        await self.told()
+        await self.reported()
         self.assertEqual((await self.ask("a2", 1))[0], 502)
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_core_keeps_no_more_bytes_than_it_may(self):
+    async def test_a_core_bounds_the_bytes_of_stored_answers(self):
         await self.begin(most=40_000)
         body = b"x" * 10_000
         for at in range(8):
             self.nodes[0].script = [None] * at + [lambda request, writer: answer(request, body)]
             self.assertEqual((await self.ask(f"a{at}", key=f"k{at}"))[0], 200)
-        await self.told()
+        await self.reported()
         self.assertLessEqual(self.cores[0].answers.size, 40_000)
         self.assertEqual((await self.ask("b7", key="k7"))[0], 200)
         self.assertEqual((await self.ask("b0", key="k0"))[0], 502)
         self.assertEqual(self.runs(), 8)
 
-    async def test_the_answer_that_went_with_its_core_is_a_failure(self):
+    async def test_repeats_fail_once_the_answer_is_lost_with_its_core(self):
         await self.begin()
         self.assertEqual((await self.ask("a1"))[0], 200)
-        await self.told()
+        await self.reported()
         self.cores[0].restart()
         for edge in (0, 1):
             self.assertEqual((await self.ask(f"a2{edge}", edge))[0], 502)
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_core_that_can_not_be_asked_for_the_answer_lets_nobody_run(self):
+    async def test_nothing_runs_while_the_core_with_the_answer_is_unreachable(self):
         await self.begin(aim=2.0)
         self.assertEqual((await self.ask("a1"))[0], 200)
-        await self.told()
+        await self.reported()
         self.cores[0].dead = True
         status, headers, _ = await self.ask("a2", 1)
         self.assertEqual(status, 503)
         self.assertIn("retry-after", headers)
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_core_restarted_while_the_run_goes_on_learns_its_answer(self):
+    async def test_a_core_restarted_during_the_run_still_gets_its_answer(self):
         await self.begin()
         go = self.holding()
         first = await self.send("a1")
@@ -168,17 +169,19 @@
         self.cores[0].restart()
         go.set()
         self.assertEqual((await within(first.answer()))[0], 200)
-        await self.told()
+        await self.reported()
         self.assertEqual((await self.ask("a2", 1))[2], b"first")
 
-    async def test_another_life_of_the_edge_does_not_run_it_again(self):
+    async def test_a_restarted_edge_does_not_run_the_operation_again(self):
         await self.begin()
         go = self.holding()
         await self.send("a1")
         await wait_for(lambda: self.runs() == 1)
         await self.edges[0].end()
         self.edges[0] = await Edge(self.cores, self.edges[0].order).start(self.view)
-        with mock.patch("knotwalk.control_plane.admissions.EDGE_ALIVE_S", 0.0):  # its edge has long said nothing
+        with mock.patch(
+            "knotwalk.control_plane.admissions.EDGE_ALIVE_S", 0.0
+        ):  # as if its edge had not called for long
             self.assertEqual((await self.ask("a1", deadline=300))[0], 503)
             self.assertEqual((await self.ask("a2", 1, deadline=300))[0], 503)
         self.cores.longest = self.cores[0].answers.max_run_s = 0.0
@@ -187,7 +190,7 @@
         go.set()
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_claim_that_ended_by_itself_is_not_used_while_its_run_goes_on_here(self):
+    async def test_an_expired_claim_is_not_reused_while_its_run_goes_on(self):
         await self.begin()
         go = self.holding()
         first = await self.send("a1")
@@ -204,8 +207,8 @@
         self.assertEqual(self.runs(), 1)
 
 
-class GivenBackTest(OperationsCase):
-    async def test_a_run_that_never_was_is_free_for_a_repeat(self):
+class ReleaseTest(OperationsCase):
+    async def test_an_operation_that_never_ran_may_be_run_by_a_repeat(self):
         await self.begin()
         self.nodes[0].script = [SHED, SHED]
         status, headers, _ = await self.ask("a1")
@@ -214,20 +217,20 @@
         self.nodes[0].script = []
         status, _, _ = await self.ask("a2", 1)
         self.assertEqual(status, 200)
-        await self.told()
+        await self.reported()
         self.assertEqual(self.cores[0].admissions.ending_counts[Ending.NEVER_RAN], 1)
 
-    async def test_a_lost_answer_is_asked_for_again(self):
+    async def test_a_request_whose_admission_answer_is_lost_is_repeated(self):
         await self.begin()
         self.cores[0].lose_answers = 1
         self.assertEqual((await self.ask("a1", deadline=1000))[0], 200)
-        await self.told()
+        await self.reported()
         self.assertEqual(self.runs(), 1)
         for edge in (0, 1):
             self.assertEqual((await self.ask(f"a2{edge}", edge))[0], 200)
         self.assertEqual(self.runs(), 1)
 
-    async def test_lost_answers_to_the_end_give_a_true_refusal(self):
+    async def test_if_all_admission_answers_are_lost_the_request_is_refused_and_never_ran(self):
         await self.begin(aim=2.0)
         self.cores[0].lose_answers = self.cores[1].lose_answers = 1000
         status, headers, _ = await self.ask("a1")
@@ -237,26 +240,27 @@
         self.assertEqual((await self.ask("a2", 1))[0], 200)
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_refusal_comes_within_a_quarter_of_the_aim(self):
+    async def test_a_refusal_is_sent_well_within_the_latency_target(self):
         await self.begin(aim=0.8)
-        for trouble in ("no agreement", "silent cores", "dead cores"):
-            with self.subTest(trouble):
-                self.cores.group.down = trouble == "no agreement"
+        for fault in ("no agreement", "silent cores", "dead cores"):
+            with self.subTest(fault):
+                self.cores.group.down = fault == "no agreement"
                 for core in self.cores.all.values():
-                    core.pause = 5.0 if trouble == "silent cores" else 0.0
-                    core.dead = trouble == "dead cores"
+                    core.pause = 5.0 if fault == "silent cores" else 0.0
+                    core.dead = fault == "dead cores"
                 began = self.loop.time()
-                self.assertEqual((await self.ask(trouble.replace(" ", ""), key=trouble))[0], 503)
+                self.assertEqual((await self.ask(fault.replace(" ", ""), key=fault))[0], 503)
                 self.assertLess(self.loop.time() - began, 1.0)
         self.assertEqual(self.runs(), 0)
 
-    async def test_a_claim_that_comes_late_is_given_back(self):
-        """The edge gave up while the claim was under way: it must not stay taken, and the try must not run."""
+    async def test_a_claim_granted_too_late_is_released(self):
+        """The edge gave up before the claim was granted: the operation must be released, and the attempt must not
+        run."""
         await self.begin(aim=2.0)
         self.cores.group.pause = 1.5
         self.assertEqual((await self.ask("a1"))[0], 503)
         self.cores.group.pause = 0.0
-        await self.told()
+        await self.reported()
         await wait_for(lambda: all(task.done() for task in self.cores.group.claiming))
         self.assertEqual((await self.ask("a2", 1))[0], 200)
         self.assertEqual(self.runs(), 1)
@@ -264,33 +268,35 @@
     async def test_an_edge_frozen_between_claim_and_sending_sends_nothing(self):
         await self.begin()
         self.nodes[0].script = [lambda request, writer: answer(request, extra="Keep-Alive: timeout=60\r\n")]
-        self.assertEqual((await self.ask("a0", key="another"))[0], 200)  # its connection is kept: nothing to wait for
+        self.assertEqual(
+            (await self.ask("a0", key="another"))[0], 200
+        )  # its connection is kept open, so the next request needn't wait for one
         forwarder = self.edges[0].front.forwarder
         chosen = forwarder._node
 
         async def frozen(exchange, *rest):
             node = await chosen(exchange, *rest)
-            exchange.until = forwarder.clock() - 1  # the deadline passed while the process stood still
+            exchange.until = forwarder.clock() - 1  # as if the deadline had passed while the process was paused
             return node
 
         with mock.patch.object(forwarder, "_node", frozen):
             self.assertEqual((await self.ask("a1"))[0], 503)
-        await self.told()
+        await self.reported()
         self.assertEqual(self.runs(), 1)
         self.assertEqual((await self.ask("a2", 1))[0], 200)
         self.assertEqual(self.runs(), 2)
 
-    async def test_a_claim_is_not_used_long_after_it_was_asked_for(self):
+    async def test_a_claim_is_not_used_long_after_its_request(self):
         await self.begin()
         with mock.patch("knotwalk.edge.operations.SEND_WITHIN", -1.0):
             self.assertEqual((await self.ask("a1"))[0], 503)
-        await self.told()
+        await self.reported()
         self.assertEqual((await self.ask("a2", 1))[0], 200)
         self.assertEqual(self.runs(), 1)
 
 
 class ClientLeavesTest(OperationsCase):
-    async def test_the_run_goes_on_and_its_answer_is_kept(self):
+    async def test_the_run_continues_and_its_answer_is_stored(self):
         await self.begin()
         go = self.holding()
         first = await self.send("a1")
@@ -303,7 +309,7 @@
         self.assertEqual((await within(second.answer()))[2], b"first")
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_run_that_breaks_off_once_its_client_has_left_is_unknown(self):
+    async def test_a_run_aborted_after_its_client_left_is_unknown(self):
         await self.begin()
         go = asyncio.Event()
 
@@ -318,11 +324,11 @@
         await asyncio.sleep(0.05)
         go.set()
         await wait_for(lambda: not self.edges[0].front.open)
-        await self.told()
+        await self.reported()
         self.assertEqual((await self.ask("a2", 1))[0], 502)
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_repeat_whose_client_has_left_waits_no_more(self):
+    async def test_a_repeat_stops_waiting_when_its_client_leaves(self):
         await self.begin()
         go = self.holding()
         await self.send("a1")
@@ -335,7 +341,7 @@
         self.assertLess(self.loop.time() - began, 1.0)
         go.set()
 
-    async def test_a_client_that_leaves_before_the_run_frees_its_key(self):
+    async def test_a_client_that_leaves_before_the_run_releases_its_key(self):
         await self.begin()
         self.cores[0].pause = 0.1
         first = await self.send("a1")
@@ -343,13 +349,13 @@
         first.reset()
         await wait_for(lambda: not self.edges[0].front.open)
         self.cores[0].pause = 0.0
-        await self.told()
+        await self.reported()
         self.assertEqual(self.runs(), 0)
         self.assertEqual((await self.ask("a2", 1))[0], 200)
 
 
 class LimitTest(OperationsCase):
-    async def test_over_the_limit_is_told_at_once_and_noted(self):
+    async def test_a_request_over_the_limit_is_refused_at_once_and_remembered(self):
         await self.begin()
         self.cores.limits.left["t"] = 1
         self.assertEqual((await self.ask("a1", path="/i/x", key=""))[0], 200)
@@ -362,24 +368,24 @@
         await self.begin()
         self.cores.limits.left["t"] = 1
         self.assertEqual((await self.ask("a1"))[0], 200)
-        await self.told()
+        await self.reported()
         self.assertEqual((await self.ask("a2"))[0], 200)
         self.assertEqual((await self.ask("a3", key="other"))[0], 429)
         self.assertEqual(self.runs(), 1)
 
-    async def test_a_claim_begun_while_the_limit_was_asked_for_is_given_back(self):
+    async def test_a_claim_begun_during_the_limit_check_is_released_when_over_the_limit(self):
         await self.begin()
         self.cores.limits.left["t"] = 0
         self.cores.limits.pause = 0.03
         self.assertEqual((await self.ask("a1"))[0], 429)
         self.cores.limits.left["t"] = 1
         self.assertEqual((await self.ask("a2", 1))[0], 200)
-        await self.told()
+        await self.reported()
         self.assertEqual(self.cores.limits.left["t"], 0)
-        self.assertEqual((await self.ask("a3"))[0], 200)  # a repeat, which needs no allowance
+        self.assertEqual((await self.ask("a3"))[0], 200)  # a repeat, which needs no token
         self.assertEqual(self.runs(), 1)
 
-    async def test_over_the_limit_at_once_claims_nothing(self):
+    async def test_an_immediate_over_limit_makes_no_claim(self):
         await self.begin()
         self.cores.limits.left["t"] = 0
         self.assertEqual((await self.ask("a1"))[0], 429)
@@ -396,7 +402,7 @@
         self.assertEqual((await self.ask("a2"))[0], 200)
         self.assertEqual(self.runs(), 1)
 
-    async def test_an_attempt_takes_one_token_however_often_it_asks(self):
+    async def test_an_attempt_takes_one_token_however_often_it_repeats_its_request(self):
         await self.begin(aim=4.0)
         self.cores.limits.left["t"] = 1
         self.cores.group.down = True
@@ -406,7 +412,7 @@
         self.assertEqual((await within(asked.answer()))[0], 200)
         self.assertEqual((self.cores.limits.left["t"], self.cores.limits.spent["t"]), (0, 1))
 
-    async def test_a_repeat_that_waits_for_the_first_takes_no_token(self):
+    async def test_a_repeat_that_waits_for_the_first_attempt_takes_no_token(self):
         await self.begin(aim=4.0)
         self.cores.limits.left["t"] = 2
         go = self.holding()
@@ -419,7 +425,7 @@
         self.assertEqual([(await within(one.answer()))[2] for one in (first, repeat)], [b"first"] * 2)
         self.assertEqual((self.cores.limits.left["t"], self.cores.limits.spent["t"]), (1, 1))
 
-    async def test_a_tenant_that_is_refused_is_not_asked_for(self):
+    async def test_a_locally_refused_tenant_causes_no_admission_request(self):
         await self.begin()
         with mock.patch.object(self.edges[0].refusals, "refused", lambda now, tenant: 0.3):
             status, headers, _ = await self.ask("a1")
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -1,4 +1,5 @@
-"""Orders sent again and orders that race: none is refused that was taken, or taken twice, however late it comes."""
+"""Configuration changes that are repeated or race: however late one arrives, it is not rejected if it was taken before,
+and not taken twice."""
 
 import asyncio
 import itertools
@@ -9,7 +10,7 @@
 
 from hypothesis import given, settings, strategies as some
 
-from knotwalk.configuration import history as memory
+from knotwalk.configuration import history as history_module
 from knotwalk.configuration.control import History, judge
 from knotwalk.configuration.history import REMEMBERED, REMEMBERED_BEFORE, Standing, mark
 from knotwalk.configuration.read import document, version_text
@@ -25,23 +26,23 @@
 
 
 def body(version, health="/h", method="PUT"):
-    """An order's body; `health` tells contents apart."""
+    """The body of a change; `health` makes contents differ."""
     services = [{"object_kind": "services", "metadata": {"name": "s"}, "specification": {"health_check": health}}]
     objects = {"objects": [*services, *DOCUMENT["objects"][1:]]}
     return {"config_version": version_text(version)} | (objects if method == "PUT" else {"upsert": objects})
 
 
-def command(base, version, health="/h"):
-    """The order as it stands in the log."""
+def configure_command(base, version, health="/h"):
+    """The change as a log entry."""
     verdict = judge(None, History(), "PUT", "0", json.dumps(body(version, health)).encode())
     digest = f"{base} {version} {health}"
     return {"do": "configure", "base": base, "version": version, "digest": digest, "document": verdict.document}
 
 
-class Remembering(unittest.TestCase):
-    def test_a_version_tells_only_from_the_floor_on(self):
+class HistoryTest(unittest.TestCase):
+    def test_a_version_decides_only_from_the_floor_on(self):
         history = History()
-        with mock.patch.object(memory, "REMEMBERED", 3):
+        with mock.patch.object(history_module, "REMEMBERED", 3):
             for version in (2, 5, 9, 14, 15):
                 history.note(version, str(version))
         history = History.from_dict(json.loads(json.dumps(history.to_dict())))
@@ -57,10 +58,10 @@
         ):
             self.assertEqual(history.standing(base, version, digest), standing, digest)
 
-    def test_hundreds_of_changes_and_restarts_later_a_repeat_is_known(self):
+    def test_a_repeat_is_recognized_after_hundreds_of_changes_and_restarts(self):
         state, repeats = ReplicatedState(), []
         for number in range(1, 700):
-            repeats.append(command(2 * number - 2, 2 * number))
+            repeats.append(configure_command(2 * number - 2, 2 * number))
             self.assertEqual(state.apply(number, repeats[-1])[0], DONE)
             if number % 97 == 0:
                 state = ReplicatedState.from_dict(json.loads(json.dumps(state.to_dict())))
@@ -69,7 +70,7 @@
             self.assertNotEqual(state.apply(number, repeat | {"digest": "lost its race"})[0], DONE)
         self.assertEqual(state.version, 1398)
 
-    def test_a_week_of_changes_is_bounded_in_memory_and_in_a_snapshot(self):
+    def test_the_history_is_bounded_in_memory_and_in_a_snapshot(self):
         history = History()
         for version in range(3, 7 * (REMEMBERED + 500), 7):
             history.note(version, str(version))
@@ -77,11 +78,11 @@
         self.assertLessEqual(len(history.taken) * history.taken.itemsize + len(history.marks), 24 * REMEMBERED)
         self.assertLess(len(json.dumps(history.to_dict(), separators=(",", ":"))), 25 * REMEMBERED)
 
-    def test_snapshots_of_earlier_formats_are_read_and_guess_nothing(self):
+    def test_snapshots_of_earlier_formats_are_read_without_guessing(self):
         for first, count, floor in ((1, REMEMBERED_BEFORE - 1, 0), (40, REMEMBERED_BEFORE, 40)):
             versions = range(first, first + count)
             old = ReplicatedState()
-            old.apply(9, command(0, versions[-1]))
+            old.apply(9, configure_command(0, versions[-1]))
             raw = old.to_dict() | {"format": 3, "history": {version_text(one): f"{one:064x}" for one in versions}}
             state = ReplicatedState.from_dict(json.loads(json.dumps(raw)))
             self.assertEqual(state.history.floor, floor)
@@ -91,10 +92,10 @@
             again = ReplicatedState.from_dict(json.loads(json.dumps(state.to_dict())))
             self.assertEqual(again.to_dict(), state.to_dict())
         self.assertEqual(state.history.standing(38, 39, "dropped, or never taken"), Standing.UNKNOWN)
-        late = state.apply(10, command(38, 39))[0]
+        late = state.apply(10, configure_command(38, 39))[0]
         self.assertEqual((late, state.version), (control.UNKNOWN, versions[-1]))
 
-    def test_a_history_that_does_not_fit_together_is_not_read(self):
+    def test_an_inconsistent_history_is_not_read(self):
         history = History()
         history.note(3, "d")
         with self.assertRaises(ValueError):
@@ -105,56 +106,56 @@
 
 
 class Core:
-    """One agreed log, members that apply it with memories of different reach, and a plain model of what was taken."""
+    """One log, members that apply it with histories of different length, and a plain model of the changes taken."""
 
     def __init__(self, reaches):
         self.reaches, self.states = reaches, [ReplicatedState() for _ in reaches]
         self.pending, self.applied, self.version = [], 0, 0
-        self.taken, self.order_of, self.refused = [], {}, []
+        self.taken, self.order_of, self.rejected = [], {}, []
 
-    def send(self, member, order, spelling):
-        """The answer of a member that leads; an order to be agreed on is left pending, and None is the answer."""
-        method, base, version, health = order
+    def send(self, member, change, spelling):
+        """The answer of a member as the leader; None if the change is left pending, to be committed."""
+        method, base, version, health = change
         text = json.dumps(body(version, health, method), indent=len(spelling))
         state = self.states[member]
         verdict = judge(state.configuration, state.history, method, spelling.format(base), text.encode())
         if verdict.status == 200 and not verdict.same:
-            made = {"do": "configure", "base": base, "version": version, "digest": verdict.digest}
-            self.pending.append((order, made | {"document": verdict.document}))
+            entry = {"do": "configure", "base": base, "version": version, "digest": verdict.digest}
+            self.pending.append((change, entry | {"document": verdict.document}))
             return None
         return verdict.status
 
     def apply(self):
-        """Commit the oldest that is pending: (order, what members said)."""
-        order, entry = self.pending.pop(0)
-        _, base, version, _ = order
+        """Commit the oldest pending change; returns it and the members' results."""
+        change, entry = self.pending.pop(0)
+        _, base, version, _ = change
         if base == self.version:
-            self.taken.append(order)
+            self.taken.append(change)
             self.version = version
         self.applied += 1
-        said = []
+        results = []
         for reach, state in zip(self.reaches, self.states, strict=True):
-            with mock.patch.object(memory, "REMEMBERED", reach):
-                said.append(state.apply(self.applied, entry)[0])
-        return order, said
+            with mock.patch.object(history_module, "REMEMBERED", reach):
+                results.append(state.apply(self.applied, entry)[0])
+        return change, results
 
     def restart(self, member):
         raw = json.loads(json.dumps(self.states[member].to_dict()))
         self.states[member] = ReplicatedState.from_dict(raw)
 
 
-ORDERS = some.tuples(
+CHANGES = some.tuples(
     some.sampled_from(["PUT", "PATCH"]), some.integers(-3, 1), some.integers(-1, 3), some.sampled_from("ab")
 )
 STEPS = some.one_of(
-    some.tuples(some.just("new"), some.integers(0, 2), ORDERS),
+    some.tuples(some.just("new"), some.integers(0, 2), CHANGES),
     some.tuples(some.just("again"), some.integers(0, 2), some.integers(0, 60)),
     some.tuples(some.sampled_from(["apply", "restart", "lose"]), some.integers(0, 2), some.none()),
 )
 
 
-class Sequences(unittest.TestCase):
-    """Any orders, sent again at any time to any member, before and after their entries are in force or lost."""
+class SequenceTest(unittest.TestCase):
+    """Any changes, repeated at any time to any member, before and after their entries are in force or lost."""
 
     @given(some.lists(STEPS, max_size=60))
     @settings(max_examples=300, deadline=None, database=None)
@@ -166,54 +167,54 @@
                 method, back, up, health = more
                 base = core.version + back if core.version + back in (0, *(one[2] for one in core.taken)) else 0
                 sent.append((method, base, max(base + up, 0), "/" + health))
-                self.judged(core, member, sent[-1], next(spellings))
+                self.send_and_check(core, member, sent[-1], next(spellings))
             elif what == "again" and sent:
-                self.judged(core, member, sent[more % len(sent)], next(spellings))
+                self.send_and_check(core, member, sent[more % len(sent)], next(spellings))
             elif what == "apply" and core.pending:
-                self.applied(core)
+                self.apply_and_check(core)
             elif what == "restart":
                 core.restart(member)
-            elif what == "lose":  # another leads, whose log lacks what is pending
+            elif what == "lose":  # another member leads, whose log lacks the pending entries
                 core.pending.clear()
         while core.pending:
-            self.applied(core)
-        self.assertFalse(set(core.refused) & set(core.taken))
+            self.apply_and_check(core)
+        self.assertFalse(set(core.rejected) & set(core.taken))
         self.assertEqual(len({one[1] for one in core.taken}), len(core.taken))
         for state in core.states:
             self.assertEqual(state.version, core.version)
             self.assertEqual(*(document(one.configuration) for one in (state, core.states[0]) if one.configuration)
                              if core.taken else (1, 1))  # fmt: skip
-        for member, order in itertools.product(range(3), core.taken):
-            self.judged(core, member, order, "{}")
+        for member, change in itertools.product(range(3), core.taken):
+            self.send_and_check(core, member, change, "{}")
 
-    def remembered(self, core, member, order):
-        """Whether a member has to know, by the plain model."""
+    def remembered(self, core, member, change):
+        """Whether, by the plain model, a member must remember the change."""
         kept = [one[2] for one in core.taken][-core.reaches[member] :]
-        return len(core.taken) <= core.reaches[member] or order[2] >= kept[0]
+        return len(core.taken) <= core.reaches[member] or change[2] >= kept[0]
 
-    def judged(self, core, member, order, spelling):
-        status = core.send(member, order, spelling)
-        if order in core.taken:
-            self.assertEqual(status, 200 if self.remembered(core, member, order) else 503)
+    def send_and_check(self, core, member, change, spelling):
+        status = core.send(member, change, spelling)
+        if change in core.taken:
+            self.assertEqual(status, 200 if self.remembered(core, member, change) else 503)
         elif status == 503:
-            self.assertFalse(self.remembered(core, member, order))
+            self.assertFalse(self.remembered(core, member, change))
         elif status is not None:
             self.assertIn(status, (400, 412))
-            core.refused.append(order)
+            core.rejected.append(change)
 
-    def applied(self, core):
-        order, said = core.apply()
-        for member, one in enumerate(said):
-            if order in core.taken:
-                self.assertIn(one, (DONE,) if self.remembered(core, member, order) else (control.UNKNOWN,))
+    def apply_and_check(self, core):
+        change, results = core.apply()
+        for member, result in enumerate(results):
+            if change in core.taken:
+                self.assertIn(result, (DONE,) if self.remembered(core, member, change) else (control.UNKNOWN,))
             else:
-                self.assertNotEqual(one, DONE)
-        if said[-1] != DONE:
-            core.refused.append(order)
+                self.assertNotEqual(result, DONE)
+        if results[-1] != DONE:
+            core.rejected.append(change)
 
 
 class Lossy(Wire):
-    """A wire that also loses the answers of some."""
+    """A wire that also loses the answers of some machines."""
 
     def __init__(self):
         super().__init__()
@@ -227,20 +228,20 @@
 
 
 class Disk(cluster.Disk):
-    """A disk in memory that keeps each write at once and hands all back to the next life."""
+    """A disk in memory that persists each write at once, for the next incarnation to read."""
 
     disk_mb = 50.0
 
 
 class Forgetful(dict):
-    """Results that are gone before anybody asks."""
+    """Results that are dropped before anybody reads them."""
 
-    def __setitem__(self, index, said):
+    def __setitem__(self, index, result):
         pass
 
 
-class Operators(JumpingCase):
-    """Operators at the control ports of three machines, which lose answers, leaders and power."""
+class OperatorTest(JumpingCase):
+    """OperatorTest that call the control ports of three machines, which lose answers, leaders and power."""
 
     clocks = (consensus_driver, control)
 
@@ -268,13 +269,13 @@
             end.start()
 
     async def leads(self, *, other_than=None):
-        """The address of a leader in touch with the rest."""
+        """The address of a leader that a majority confirms."""
         async with asyncio.timeout(20):
             while True:
                 for at, end in self.wire.ends.items():
                     if end.machine.settled and at != other_than:
                         return at
-                await asyncio.sleep(0.001)  # a turn of the loop, so that timers come due; bounded above
+                await asyncio.sleep(0.001)  # lets timers of the loop come due; bounded by the timeout above
 
     async def send(self, at, base, version, health="/h", method="PUT"):
         request = SimpleNamespace(
@@ -285,7 +286,7 @@
         return await self.ports[at].change(request)
 
     async def clear(self, base, version, health="/h", method="PUT"):
-        """The status of the first clear answer, asked of whoever leads."""
+        """The status of the first definite answer of whichever machine leads."""
         async with asyncio.timeout(20):
             while (answer := await self.send(await self.leads(), base, version, health, method)).status in (307, 503):
                 await asyncio.sleep(0.001)  # as above
@@ -297,17 +298,17 @@
                 await asyncio.sleep(0.001)  # as above
 
     async def unanswered(self, base, version, reached=0):
-        """Send an order whose leader is cut off once it was judged; its entry comes to as many of the others. The
-        leader, which the others can't reach any more."""
+        """Send a change to a leader that is cut off once it has checked it; the entry reaches `reached` other machines.
+        Returns that leader, which the others can no longer reach."""
         propose, led = ConsensusDriver.propose, []
 
-        async def cut_off(end, order, patience):
+        async def cut_off(end, change, patience):
             at = next(one for one, other in self.wire.ends.items() if other is end)
             led.append(at)
             others = [one for one in ADDRESSES if one != at]
             self.wire.mute, self.wire.cut = set(others[:reached]), {at, *others[reached:]}
             try:
-                return await propose(end, order, 0.02)
+                return await propose(end, change, 0.02)
             finally:
                 index = end.machine.log.last
                 await self.until(lambda: all(self.wire.ends[one].machine.log.last == index for one in others[:reached]))
@@ -318,7 +319,7 @@
         self.assertEqual((answer.status, answer.headers["Retry-After"]), (503, "0.3"))
         return led[-1]
 
-    async def test_one_of_two_wins_and_both_are_told_the_same_ever_after(self):
+    async def test_one_of_two_racing_changes_wins_and_repeats_get_the_same_answers(self):
         first = await self.leads()
         answers = await asyncio.gather(*(self.send(first, 0, 5, health) for health in ("/a", "/b")))
         self.assertEqual(sorted(one.status for one in answers), [200, 412])
@@ -331,28 +332,28 @@
             self.assertEqual([await self.clear(0, 5, one) for one in (winner, loser, winner)], [200, 412, 200])
             for end in self.wire.ends.values():
                 end.machine.compact(end.machine.applied, end.state.to_dict())
-            await self.stop()  # all at once; the disks stay
+            await self.stop()  # all machines at once; the disks stay
             self.restart()
 
-    async def test_an_entry_that_waits_for_a_majority_counts_once(self):
+    async def test_an_entry_that_waits_for_a_majority_is_applied_once(self):
         for rival_first in (False, True):
             base = self.wire.ends[await self.leads()].state.version
             await self.unanswered(base, base + 2)
             self.wire.cut.clear()
-            orders = [self.clear(base, base + 2), self.clear(base, base + 2, "/rival")]
-            found = await asyncio.gather(*(orders[::-1] if rival_first else orders))
+            changes = [self.clear(base, base + 2), self.clear(base, base + 2, "/rival")]
+            found = await asyncio.gather(*(changes[::-1] if rival_first else changes))
             self.assertEqual(found, [412, 200] if rival_first else [200, 412])
             self.assertEqual(self.wire.ends[await self.leads()].state.version, base + 2)
 
-    async def test_an_order_of_a_leader_that_was_lost(self):
-        """Its entry is on no other disk, or on one: whoever leads next knows which by the time that it answers."""
+    async def test_a_change_whose_leader_is_lost(self):
+        """The entry is on no other disk, or on one: the next leader knows which by the time that it answers."""
         for reached in (0, 1):
             base = self.wire.ends[await self.leads()].state.version
             old = await self.unanswered(base, base + 2, reached)
             self.wire.mute, self.wire.cut, self.wire.ends[old].caller = set(), {old}, Cut()
             new = await self.leads(other_than=old)
-            order, rival = (base, base + 2), (base, base + 2, "/rival")
-            first, second = (order, rival) if reached else (rival, order)
+            change, rival = (base, base + 2), (base, base + 2, "/rival")
+            first, second = (change, rival) if reached else (rival, change)
             turns = (second, first, second) if reached else (first, second)
             found = [(await self.send(new, *one)).status for one in turns]
             self.assertEqual(found, [412, 200, 412] if reached else [200, 412], reached)
@@ -360,8 +361,8 @@
             self.wire.cut.clear()
             self.assertEqual([await self.clear(*first), await self.clear(*second)], [200, 412])
 
-    async def test_what_cannot_be_told_is_neither_confirmed_nor_refused(self):
-        with mock.patch.object(memory, "REMEMBERED", 2):
+    async def test_a_change_too_old_to_be_known_is_neither_confirmed_nor_rejected(self):
+        with mock.patch.object(history_module, "REMEMBERED", 2):
             for number in range(4):
                 self.assertEqual(await self.clear(number, number + 1), 200)
             answer = await self.send(await self.leads(), 0, 1)
@@ -369,17 +370,17 @@
         self.assertIn("too old", json.loads(answer.body)["error"])
         self.assertEqual([await self.clear(2, 3), await self.clear(2, 3, "/rival")], [200, 412])
 
-    async def test_nothing_is_told_before_the_state_is_known_to_be_the_newest(self):
+    async def test_no_definite_answer_is_given_before_the_state_is_known_to_be_current(self):
         self.assertEqual(await self.clear(0, 3), 200)
         at = await self.leads()
         with mock.patch.object(ConsensusDriver, "current", side_effect=OutcomeUnknownError):
-            for order in ((0, 3), (0, 3, "/rival"), (3, 2), (3, 4, "no slash")):
-                self.assertEqual((await self.send(at, *order)).status, 503)
+            for change in ((0, 3), (0, 3, "/rival"), (3, 2), (3, 4, "no slash")):
+                self.assertEqual((await self.send(at, *change)).status, 503)
         with mock.patch.object(ConsensusDriver, "propose", return_value=control.UNKNOWN):
             self.assertEqual((await self.send(at, 3, 4)).status, 503)
 
-    async def test_an_outcome_that_is_not_known_is_not_called_done(self):
+    async def test_an_unknown_outcome_is_not_reported_as_done(self):
         end = self.wire.ends[await self.leads()]
         end.results = Forgetful()
         with self.assertRaises(OutcomeUnknownError):
-            await end.propose(command(0, 3))
+            await end.propose(configure_command(0, 3))
--- a/tests/system/test_peer_lanes.py
+++ b/tests/system/test_peer_lanes.py
@@ -1,4 +1,4 @@
-"""Messages between core machines: how their lanes end."""
+"""Messages between core machines: closing their lanes."""
 
 import asyncio
 import unittest
@@ -7,21 +7,22 @@
 
 
 class NoCaller:
-    """Notes calls; none comes back."""
+    """Records calls; none returns."""
 
     def __init__(self):
         self.calls = []
 
-    async def json(self, *asked):
-        self.calls.append(asked)
+    async def json(self, *call):
+        self.calls.append(call)
         await asyncio.Event().wait()
 
 
 class CloseTest(unittest.TestCase):
-    def test_what_is_posted_after_the_end_is_not_sent_on_a_closed_session(self):
-        """A group that ended after the lanes posted once more; nobody waited for the call, and its error was logged."""
+    def test_messages_after_close_are_not_sent(self):
+        """A group that was closed after its lanes sent one more message; nobody awaited the call, so its error was
+        logged as unhandled."""
 
-        async def told():
+        async def run():
             caller = NoCaller()
             lanes = PeerLanes(caller, "/p", "step", lambda answers: None)
             lanes.send("one", {"type": "vote"})
@@ -31,7 +32,7 @@
             await asyncio.sleep(0)
             return len(caller.calls), [task for task in lanes.tasks if not task.cancelling()]
 
-        self.assertEqual(asyncio.run(told()), (1, []))
+        self.assertEqual(asyncio.run(run()), (1, []))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_quota.py
+++ b/tests/system/test_quota.py
@@ -1,4 +1,4 @@
-"""Limits of tenants over all machines: the leader's buckets, what core machines hold, the bound of both together."""
+"""Limits of tenants over all machines: the leader's buckets, the cores' holdings, and the bound on both together."""
 
 import random
 import unittest
@@ -21,7 +21,7 @@
 from tests.system.quota_world import QUOTA_BOUNDS, World
 
 
-def filled(rate=20.0, burst=20.0, quota_bounds=QUOTA_BOUNDS, **more):
+def full_bucket_world(rate=20.0, burst=20.0, quota_bounds=QUOTA_BOUNDS, **more):
     """A world with one tenant whose bucket is full."""
     world = World(quota_bounds, **more)
     world.set_limit("t", rate, burst)
@@ -29,17 +29,17 @@
     return world
 
 
-class HardCases(unittest.TestCase):
-    def test_the_last_unit_asked_for_by_all_in_the_same_instant(self):
-        world = filled()
+class EdgeCases(unittest.TestCase):
+    def test_of_all_cores_asking_at_once_for_the_last_token_one_gets_it(self):
+        world = full_bucket_world()
         world.leader.grant(world.now, "c0", [AllowanceRequest("t", 0, 0)])
         world.leader.buckets["t"].level = 1.0
         taken = [core.take("t") for core in world.cores]
         self.assertEqual(taken.count(TakeResult.GRANTED), 1)
         self.assertEqual(taken.count(TakeResult.OVER_LIMIT), 4)
 
-    def test_a_core_frozen_past_the_end_of_its_part_uses_nothing_of_it(self):
-        world = filled()
+    def test_a_core_frozen_past_the_expiry_of_its_tokens_uses_none(self):
+        world = full_bucket_world()
         core = world.cores[0]
         core.take("t")
         held = core.escrow.holdings["t"].held
@@ -47,15 +47,15 @@
         world.now += world.limit("t").valid_for_s
         self.assertEqual(core.escrow.take(world.now, "t"), TakeResult.WAIT)
 
-    def test_the_bound_is_kept_at_its_edge_with_parts_outstanding_and_a_new_leader(self):
-        """All hold all that they may, one was just replaced, the bucket is full: then a window of a storm, with the
-        leader lost in its midst."""
+    def test_the_bound_holds_with_all_tokens_outstanding_and_a_new_leader(self):
+        """All cores hold the most they may, one was just replaced, and the bucket is full. Then more requests than the
+        limit come for a window, during which the leader is lost."""
         for rate, burst in ((20.0, 20.0), (160.0, 160.0), (0.5, 0.0), (3.0, 200.0)):
             for lost_after, quiet in ((None, 0.0), (0.0, 0.0), (2.5, 0.0), (None, 1.7), (0.0, 2.9)):
                 with self.subTest(rate=rate, burst=burst, lost_after=lost_after, quiet=quiet):
-                    world = filled(rate, burst)
+                    world = full_bucket_world(rate, burst)
                     limit = world.limit("t")
-                    before = world.replaced(0)
+                    before = world.replace_core(0)
                     holders = [before, *world.cores]
                     for core in holders:
                         grants = world.leader.grant(world.now, core.id, [AllowanceRequest("t", 1000, 0)])
@@ -69,30 +69,30 @@
                     begun, passed = world.now, 0
                     while world.now < begun + QUOTA_BOUNDS.window:
                         if lost_after is not None and world.now - begun >= lost_after:
-                            world.lead_anew()
+                            world.replace_leader()
                             lost_after = None
-                        passed += world.drained("t")
-                        self.assertLessEqual(world.counter.over(world.now, "t"), 0)
+                        passed += world.drain("t")
+                        self.assertLessEqual(world.counter.excess(world.now, "t"), 0)
                         world.now += 0.05
                     spendable = limit.capacity + limit.rate * QUOTA_BOUNDS.window
                     if world.leader.leader_since < begun:
                         self.assertGreaterEqual(passed, spendable - limit.rate * 0.3 - 2)
 
-    def test_a_limit_lowered_below_what_is_out_holds_after_a_window(self):
-        world = filled(160.0, 160.0)
+    def test_a_limit_lowered_below_the_outstanding_tokens_holds_after_a_window(self):
+        world = full_bucket_world(160.0, 160.0)
         for core in world.cores:
             core.take("t")
-        world.drained("t")
+        world.drain("t")
         world.set_limit("t", 2.0, 0.0)
         begun = world.now
         while world.now < begun + 3 * QUOTA_BOUNDS.window:
-            world.drained("t")
-            self.assertLessEqual(world.counter.over(world.now, "t"), 0)
+            world.drain("t")
+            self.assertLessEqual(world.counter.excess(world.now, "t"), 0)
             world.now += 0.05
         self.assertGreater(len(world.counter.passed["t"]), 0)
 
-    def test_no_part_that_was_given_before_a_limit_was_lowered_is_prolonged(self):
-        world = filled(1000.0, 1000.0)
+    def test_tokens_granted_before_a_limit_was_lowered_are_not_renewed(self):
+        world = full_bucket_world(1000.0, 1000.0)
         core = world.cores[0]
         core.escrow.apply_grants(
             world.now, world.now, world.leader.grant(world.now, "c0", [AllowanceRequest("t", 50, 0)])
@@ -104,7 +104,7 @@
         core.escrow.apply_grants(world.now, world.now, [grant])
         self.assertEqual(core.escrow.holdings["t"].expires_at, ends)
 
-    def test_of_many_tenants_only_the_busy_ones_take_memory(self):
+    def test_only_active_tenants_take_memory(self):
         world = World()
         limit = limit_of(5.0, 5.0, QUOTA_BOUNDS)
         world.limit = lambda tenant: limit
@@ -123,7 +123,7 @@
         self.assertLessEqual(len(world.leader.buckets), 50)
         self.assertLessEqual(len(core.escrow.holdings), 50)
 
-    def test_a_tenant_of_less_than_one_request_a_second_is_served_wherever_it_asks(self):
+    def test_a_tenant_with_less_than_one_request_per_second_is_served_at_any_core(self):
         world = World()
         world.set_limit("t", 0.5, 1.0)
         world.now = 100.0
@@ -131,35 +131,35 @@
             self.assertEqual(world.cores[k % 5].take("t"), TakeResult.GRANTED)
             world.now += 2.0
 
-    def test_no_limit_is_told_for_a_time_and_a_new_limit_holds_after_it(self):
+    def test_unlimited_is_cached_briefly_and_a_new_limit_holds_afterwards(self):
         world = World()
         core = world.cores[0]
         self.assertEqual(core.take("t"), TakeResult.UNLIMITED)
         world.set_limit("t", 1.0, 0.0)
         self.assertEqual(core.take("t"), TakeResult.UNLIMITED)
         world.now += 2.0
-        found = [core.take("t") for _ in range(100)]
-        self.assertLess(found.count(TakeResult.GRANTED), 30)
-        self.assertNotIn(TakeResult.UNLIMITED, found)
+        taken = [core.take("t") for _ in range(100)]
+        self.assertLess(taken.count(TakeResult.GRANTED), 30)
+        self.assertNotIn(TakeResult.UNLIMITED, taken)
 
-    def test_after_empty_nothing_is_asked_for_a_moment(self):
-        world = filled()
-        world.drained("t")
+    def test_after_the_limit_is_reached_the_leader_is_not_asked_for_a_moment(self):
+        world = full_bucket_world()
+        world.drain("t")
         core = world.cores[0]
         self.assertEqual(core.escrow.take(world.now, "t"), TakeResult.OVER_LIMIT)
         self.assertEqual(core.escrow.pending_requests(world.now), [])
         world.now += LIMIT_REACHED_PAUSE_S
         self.assertEqual(core.take("t"), TakeResult.GRANTED)
 
-    def test_a_new_leader_does_not_call_a_limit_reached_because_it_has_just_begun(self):
-        world = filled()
-        world.lead_anew()
+    def test_a_new_leader_does_not_report_a_limit_as_reached_before_its_bucket_filled(self):
+        world = full_bucket_world()
+        world.replace_leader()
         self.assertEqual(world.cores[0].take("t"), TakeResult.WAIT)
         world.now += 0.5
         self.assertEqual(world.cores[0].take("t"), TakeResult.GRANTED)
 
-    def test_what_is_held_by_those_who_use_it_no_more_goes_back(self):
-        world = filled()
+    def test_tokens_of_an_idle_tenant_are_given_back(self):
+        world = full_bucket_world()
         core = world.cores[0]
         core.take("t")
         self.assertGreater(core.escrow.holdings["t"].held, 0)
@@ -172,22 +172,22 @@
         self.assertNotIn("t", core.escrow.holdings)
         self.assertEqual(world.leader.buckets["t"].holdings, {})
 
-    def test_without_room_for_a_token_each_a_core_still_gets_one(self):
+    def test_without_capacity_for_a_token_per_core_each_core_still_gets_one(self):
         limit = limit_of(0.2, 0.0, QuotaBounds(5.0, 0.0, 0.0, 5))
         self.assertEqual((limit.max_per_core, limit.capacity), (1, 0.0))
 
 
 class SteadyUse(unittest.TestCase):
-    """Tenants within their limits: each request passes, and nearly none waits for a call between zones."""
+    """Tenants within their limits: every request passes, and hardly any waits for a call to the leader."""
 
-    def played(self, seed, rates, share_of_limit, seconds=40.0, step=0.005, warm_up=5.0):
+    def simulate(self, seed, rates, share_of_limit, seconds=40.0, step=0.005, warm_up=5.0):
         chance = random.Random(seed)
         world = World()
         for tenant, rate in rates.items():
             world.set_limit(tenant, rate, max(1.0, rate))
         world.now = 50.0
-        own = dict.fromkeys(rates, 0.0)  # the truth: a bucket of the rate and its burst
-        found = {taken: 0 for taken in TakeResult}
+        own = dict.fromkeys(rates, 0.0)  # reference: a token bucket with the rate and its burst
+        counts = {taken: 0 for taken in TakeResult}
         while world.now < 50.0 + seconds:
             world.now += step
             for core in world.cores:
@@ -202,31 +202,31 @@
                     core = chance.choice(world.cores)
                     taken = core.take(tenant, calls=0)
                     if world.now >= 50.0 + warm_up or taken is TakeResult.OVER_LIMIT:
-                        found[taken] += 1
+                        counts[taken] += 1
                     if taken is TakeResult.WAIT:
                         self.assertIn(core.take(tenant), (TakeResult.GRANTED,))
-                self.assertLessEqual(world.counter.over(world.now, tenant), 0)
-        return found
+                self.assertLessEqual(world.counter.excess(world.now, tenant), 0)
+        return counts
 
-    def test_nobody_below_the_limit_is_refused(self):
+    def test_no_tenant_below_its_limit_is_refused(self):
         for seed in range(6):
             with self.subTest(seed=seed):
                 for rate in (0.7, 3.0, 20.0, 160.0):
-                    found = self.played(seed, {"t": rate}, 1 / 1.6, seconds=60.0 if rate < 20.0 else 20.0)
-                    self.assertEqual(found[TakeResult.OVER_LIMIT], 0)
-                    self.assertGreater(found[TakeResult.GRANTED], 0)
+                    counts = self.simulate(seed, {"t": rate}, 1 / 1.6, seconds=60.0 if rate < 20.0 else 20.0)
+                    self.assertEqual(counts[TakeResult.OVER_LIMIT], 0)
+                    self.assertGreater(counts[TakeResult.GRANTED], 0)
                     if rate > 1.0:
-                        self.assertLess(found[TakeResult.WAIT], 0.05 * sum(found.values()) + 1)
+                        self.assertLess(counts[TakeResult.WAIT], 0.05 * sum(counts.values()) + 1)
 
-    def test_nobody_at_the_very_limit_is_refused(self):
+    def test_no_tenant_exactly_at_its_limit_is_refused(self):
         for seed in range(3):
             with self.subTest(seed=seed):
-                found = self.played(seed, {"a": 0.7, "b": 3.0, "c": 20.0}, 3.0)
-                self.assertEqual(found[TakeResult.OVER_LIMIT], 0)
+                counts = self.simulate(seed, {"a": 0.7, "b": 3.0, "c": 20.0}, 3.0)
+                self.assertEqual(counts[TakeResult.OVER_LIMIT], 0)
 
 
 class Quotas(RuleBasedStateMachine):
-    """Any order of storms, lost answers, new leaders, replaced cores, changed limits and tokens given back."""
+    """Bursts, lost answers, new leaders, replaced cores, changed limits and returned tokens, in any order."""
 
     buckets, escrow = Buckets, Escrow
 
@@ -250,7 +250,7 @@
     @rule(steps=some.sampled_from([1, 4, 25]))
     def storm(self, steps):
         for _ in range(steps):
-            self.world.drained("t")
+            self.world.drain("t")
             self.within_the_rule()
             self.world.now += 0.2
 
@@ -274,13 +274,13 @@
 
     @rule()
     def leader_lost(self):
-        self.world.lead_anew()
+        self.world.replace_leader()
 
     @precondition(lambda self: self.world.now - self.replaced_at > 4.0)
     @rule(k=some.integers(0, 4))
     def core_replaced(self, k):
         self.replaced_at = self.world.now
-        self.gone = [self.world.replaced(k)]
+        self.gone = [self.world.replace_core(k)]
 
     @rule()
     def cut_off_core_goes_on(self):
@@ -292,7 +292,7 @@
 
     @rule(k=some.integers(0, 4), count=some.sampled_from([1, 5, 30]))
     def asked(self, k, count):
-        """Requests take tokens, and may yet not run."""
+        """Take tokens for requests that may still not run."""
         for _ in range(count):
             self.world.cores[k].take("t", open=True)
 
@@ -309,11 +309,11 @@
     @invariant()
     def within_the_rule(self):
         if hasattr(self, "world"):
-            over = self.world.counter.over(self.world.now, "t")
+            over = self.world.counter.excess(self.world.now, "t")
             assert over <= 0, f"{over:g} over"
 
 
-PACE = settings(
+PROFILE = settings(
     max_examples=60,
     stateful_step_count=30,
     deadline=None,
@@ -323,17 +323,19 @@
 )
 
 
-FINDS = settings(PACE, max_examples=300, phases=[Phase.generate])  # a mistake need only be found, not made small
+MISTAKE_PROFILE = settings(
+    PROFILE, max_examples=300, phases=[Phase.generate]
+)  # a mistake need only be found; its example needn't be shrunk
 
 
-class StartsFull(Buckets):
+class StartWithFullBucket(Buckets):
     def _bucket(self, now, tenant, limit):
         if tenant not in self.buckets:
             self.buckets[tenant] = Bucket(limit, limit.capacity, now)
         return super()._bucket(now, tenant, limit)
 
 
-class GivesForNothing(Buckets):
+class GrantWithoutTaking(Buckets):
     def _take(self, now, core, request, bucket):
         before = bucket.level
         granted = super()._take(now, core, request, bucket)
@@ -341,33 +343,33 @@
         return granted
 
 
-class KnowsNoShares(Buckets):
+class IgnorePerCoreMaximum(Buckets):
     def _take(self, now, core, request, bucket):
         granted = max(0, min(request.requested, int(bucket.level)))
         bucket.level -= granted
         return granted
 
 
-class FillsWhereOthersHold(Buckets):
+class FillIgnoringHoldings(Buckets):
     def _grant_one(self, now, core, request):
         if request.tenant in self.buckets:
             self.buckets[request.tenant].hold(now, core, request.unused)
         return super()._grant_one(now, core, request)
 
 
-class FillsForEver(Buckets):
+class FillWithoutCapacity(Buckets):
     def __init__(self, since, limit_of):
         super().__init__(since, lambda tenant: replace(limit_of(tenant), capacity=1e9))
 
 
-class TakesBackTwice(Buckets):
+class CountReturnedTokensTwice(Buckets):
     def _grant_one(self, now, core, request):
         if request.requested < 0:
             super()._grant_one(now, core, request)
         return super()._grant_one(now, core, request)
 
 
-class KeepsAllThatIsGivenBack(Escrow):
+class KeepAllReturnedTokens(Escrow):
     def give_back(self, now, tenant):
         holding = self.holdings.get(tenant)
         if holding is not None:
@@ -375,7 +377,7 @@
         return True
 
 
-class HoldsForEver(Escrow):
+class NeverExpire(Escrow):
     def retry_take(self, now, tenant):
         if tenant in self.holdings and self.holdings[tenant].held > 0:
             self.holdings[tenant].expires_at = float("inf")
@@ -383,39 +385,39 @@
 
 
 class StateMachines(unittest.TestCase):
-    def run_with(self, pace, **parts):
-        run_state_machine_as_test(type("Quotas", (Quotas,), parts), settings=pace)
+    def run_with(self, profile, **attributes):
+        run_state_machine_as_test(type("Quotas", (Quotas,), attributes), settings=profile)
 
-    def test_the_rule_holds_in_any_order_of_events(self):
-        self.run_with(PACE)
+    def test_the_limit_holds_in_any_order_of_events(self):
+        self.run_with(PROFILE)
 
     def test_seeded_mistakes_are_found(self):
-        for mistake in (StartsFull, GivesForNothing, FillsForEver):
+        for mistake in (StartWithFullBucket, GrantWithoutTaking, FillWithoutCapacity):
             with self.subTest(mistake=mistake.__name__), self.assertRaises(AssertionError):
-                self.run_with(FINDS, buckets=mistake)
+                self.run_with(MISTAKE_PROFILE, buckets=mistake)
 
 
-def tokens_come_back_in_the_window_after(escrow):
-    """A window's storm never ran, after all; what is over in the one behind it."""
-    world = filled(100.0, 100.0, escrow=escrow)
+def tokens_returned_in_the_next_window(escrow):
+    """The excess in a window, after all tokens taken in the window before it are given back."""
+    world = full_bucket_world(100.0, 100.0, escrow=escrow)
     passed = world.counter.passed["t"]
     while world.now < 1000.0 + QUOTA_BOUNDS.window:
-        world.drained("t")
+        world.drain("t")
         world.now += 0.05
     for at in passed:
         world.cores[hash(at) % 5].escrow.give_back(world.now, "t")
     passed.clear()
     begun, worst = world.now, 0.0
     while world.now < begun + QUOTA_BOUNDS.window:
-        world.drained("t")
-        worst = max(worst, world.counter.over(world.now, "t"))
+        world.drain("t")
+        worst = max(worst, world.counter.excess(world.now, "t"))
         world.now += 0.05
     return worst
 
 
-def a_limit_is_lowered_while_all_are_frozen(escrow):
-    """All hold their shares of a large limit; thawed two windows after it was lowered, they use what they have."""
-    world = filled(1000.0, 1000.0, escrow=escrow)
+def limit_lowered_while_all_cores_are_frozen(escrow):
+    """The excess if all cores hold tokens of a large limit, and use them two windows after it was lowered."""
+    world = full_bucket_world(1000.0, 1000.0, escrow=escrow)
     for core in world.cores:
         core.escrow.apply_grants(
             world.now, world.now, world.leader.grant(world.now, core.id, [AllowanceRequest("t", 999, 0)])
@@ -425,12 +427,12 @@
     for core in world.cores:
         while core.take("t", calls=0) is TakeResult.GRANTED:
             pass
-    return world.counter.over(world.now, "t")
+    return world.counter.excess(world.now, "t")
 
 
-def parts_of_all_that_ask(buckets):
-    """How much more than their share, or than all may, core machines hold who ask for all that there is."""
-    world = filled(buckets=buckets)
+def holdings_of_greedy_cores(buckets):
+    """By how much cores that request all there is exceed the maximum for one core, or for all."""
+    world = full_bucket_world(buckets=buckets)
     limit, held = world.limit("t"), []
     for k in range(9):
         world.leader.grant(world.now, "", [AllowanceRequest("t", 0, 0)])
@@ -439,9 +441,9 @@
     return max(max(held) - limit.max_per_core, sum(held) - limit.max_outstanding)
 
 
-def a_storm_after_a_quiet_time(buckets):
-    """All hold their parts, untouched for a while, then use them and ask for more."""
-    world = filled(100.0, 0.0, buckets=buckets)
+def burst_after_a_quiet_time(buckets):
+    """The excess if all cores hold tokens unused for a while, then use them and request more."""
+    world = full_bucket_world(100.0, 0.0, buckets=buckets)
     for core in world.cores:
         grants = world.leader.grant(world.now, core.id, [AllowanceRequest("t", 1000, 0)])
         core.escrow.apply_grants(world.now, world.now, grants)
@@ -455,9 +457,9 @@
     return passed - world.limit("t").capacity
 
 
-def tokens_come_back_twice(buckets):
-    """How much more a bucket holds than it had before tokens went out and came back."""
-    world = filled(buckets=buckets)
+def tokens_returned_once(buckets):
+    """How many more tokens a bucket has after some were granted and given back than before."""
+    world = full_bucket_world(buckets=buckets)
     world.leader.grant(world.now, "c0", [AllowanceRequest("t", 0, 0)])
     world.leader.buckets["t"].level = 10.0
     granted = world.leader.grant(world.now, "c0", [AllowanceRequest("t", 2, 0)])[0].granted
@@ -465,18 +467,18 @@
     return world.leader.buckets["t"].level - 10.0
 
 
-class AimedPlays(unittest.TestCase):
-    """Plays that need one order of events, which drawn ones seldom come to: each stays within the rule, and finds the
-    mistake it is made for."""
+class ScenarioTest(unittest.TestCase):
+    """Scenarios that need one order of events, which random ones seldom reach: each stays within the limit, and exceeds
+    it with the mistake that it is made for."""
 
-    def test_within_the_rule_and_not_with_the_mistake(self):
-        for play, sound, mistake in (
-            (tokens_come_back_in_the_window_after, Escrow, KeepsAllThatIsGivenBack),
-            (a_limit_is_lowered_while_all_are_frozen, Escrow, HoldsForEver),
-            (parts_of_all_that_ask, Buckets, KnowsNoShares),
-            (a_storm_after_a_quiet_time, Buckets, FillsWhereOthersHold),
-            (tokens_come_back_twice, Buckets, TakesBackTwice),
+    def test_the_limit_holds_and_the_seeded_mistake_breaks_it(self):
+        for scenario, sound, mistake in (
+            (tokens_returned_in_the_next_window, Escrow, KeepAllReturnedTokens),
+            (limit_lowered_while_all_cores_are_frozen, Escrow, NeverExpire),
+            (holdings_of_greedy_cores, Buckets, IgnorePerCoreMaximum),
+            (burst_after_a_quiet_time, Buckets, FillIgnoringHoldings),
+            (tokens_returned_once, Buckets, CountReturnedTokensTwice),
         ):
-            with self.subTest(play=play.__name__):
-                self.assertLessEqual(play(sound), 0)
-                self.assertGreater(play(mistake), 0)
+            with self.subTest(scenario=scenario.__name__):
+                self.assertLessEqual(scenario(sound), 0)
+                self.assertGreater(scenario(mistake), 0)
--- a/tests/system/test_shared_walks.py
+++ b/tests/system/test_shared_walks.py
@@ -1,4 +1,4 @@
-"""Walks that look at tenants' keys and limits, and the mistakes in them that walks must find."""
+"""Simulated walks that check tenants' keys and limits, and the seeded mistakes that such walks must find."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class LimitedWalksTest(unittest.TestCase):
-    def test_no_limit_is_broken_and_requests_are_let_pass(self):
+    def test_no_limit_is_exceeded_and_requests_pass(self):
         for seed in range(WALKS):
             with self.subTest(seed=seed):
                 found = walk(seed, limited=True)
@@ -19,11 +19,11 @@
 
 
 class SharedMistakesTest(unittest.TestCase):
-    """Each mistake in the real code is found within its number of walks, by the judge of its point."""
+    """Each mistake seeded in the real code is found within its number of walks, by the judge that checks its point."""
 
     SAYS = {KEYS: "takes (keys|the key)", QUOTA: "let pass in a window"}
 
-    def test_mistakes_are_found(self):
+    def test_seeded_mistakes_are_found(self):
         for name, mistake in SHARED_MISTAKES.items():
             with self.subTest(name):
                 found = find(mistake, mistake.seeds())
