--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -22,7 +22,7 @@
 
 from sanic import HTTPResponse, Request
 
-from knotwalk.consensus.orders import Save
+from knotwalk.consensus.raft_types import Save
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane import claim_group, claim_groups
 from knotwalk.control_plane.claim_group import Home
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -24,7 +24,7 @@
 from knotwalk.configuration.index import Index, canonical_host
 from knotwalk.configuration.objects import Configuration, Route
 from knotwalk.configuration.read import read_configuration
-from knotwalk.consensus.orders import Entry, Save
+from knotwalk.consensus.raft_types import Entry, Save
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.replicated_state import ReplicatedState
 
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -34,14 +34,22 @@
 
 from benchmarks import added_time, configuration
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.orders import Answer, Apply, Entry, Pace, Role, Save, Send
+from knotwalk.consensus.raft_types import Answer, Apply, Entry, RaftSettings, RoleChange, Save, Send
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.replicated_state import ReplicatedState
 from knotwalk.discovery.view_types import SLICES, Node
-from knotwalk.leases.keeper import Keeper
+from knotwalk.leases.actions import Grant, GrantTiming, Propose, Release
+from knotwalk.leases.conductor_leases import (
+    CALL_MARGIN_S,
+    CLOCK_DRIFT,
+    LEADERSHIP_PROOF_S,
+    LEASE_REQUEST_INTERVAL_S,
+    LEASE_S,
+    ConductorLeases,
+    reassign,
+)
+from knotwalk.leases.grant_manager import GrantManager
 from knotwalk.leases.ledger import Ledger, ranges
-from knotwalk.leases.orders import Grant, Pace as KeysPace, Propose, Release
-from knotwalk.leases.tenure import ASK, DRIFT, LEASE, MARGIN, PROOF, Tenure, reassign
 from tests.simulation import crash_gap
 from tests.simulation.walk import measure
 from tests.system.cluster import Cluster, Violation, trouble
@@ -55,7 +63,7 @@
         founders = {f"{one}#founder": one for one in "abc"}
         stores = {one: Store() for one in "abc"}
         machines = {
-            one: Machine(stores[one].open(f"{folder}/{one}", True, one, founders), Pace(), 1, 0.0, -9.0)
+            one: Machine(stores[one].open(f"{folder}/{one}", True, one, founders), RaftSettings(), 1, 0.0, -9.0)
             for one in "abc"
         }
         answers: list[Answer] = []
@@ -65,12 +73,12 @@
             while busy:
                 busy = False
                 for name, machine in machines.items():
-                    orders, machine.orders = machine.orders, []
+                    orders, machine.actions = machine.actions, []
                     for order in orders:
                         busy = True
                         if isinstance(order, Save):
                             stores[name].write(order)
-                            machine.kept(now, order.number)
+                            machine.on_saved(now, order.number)
                         elif isinstance(order, Send):
                             machines[order.to_address].receive(now, json.loads(json.dumps(order.message)))
                         elif isinstance(order, Answer):
@@ -138,7 +146,9 @@
         assert leader is not None
         cluster.stop(leader.address)
         start = cluster.now
-        assert cluster.run(5, lambda: any(one.machine and one.machine.settled for one in cluster.nodes.values()))
+        assert cluster.run(
+            5, lambda: any(one.machine and one.machine.is_commit_current for one in cluster.nodes.values())
+        )
         took.append(cluster.now - start)
     return took
 
@@ -175,21 +185,21 @@
         super().__init__(seed)
 
     def start(self, address: str) -> None:
-        keeper = Keeper(address, KeysPace(), self.seed, self.now)
-        keeper.nodes(self.now, self.listed)
+        keeper = GrantManager(address, GrantTiming(), self.seed, self.now)
+        keeper.on_nodes_listed(self.now, self.listed)
         self.desks[address] = {"keeper": keeper, "ledger": Ledger(), "tenure": None, "asked": -9.0, "led": -9.0}
         super().start(address)
         self._work(address, self.nodes[address].life)
 
     def _order(self, node: Any, machine: Machine, order: Any) -> None:
         desk = self.desks[node.address]
-        if isinstance(order, Role):
-            desk["tenure"] = Tenure(self.now) if order.role == "leader" else None
+        if isinstance(order, RoleChange):
+            desk["tenure"] = ConductorLeases(self.now) if order.role == "leader" else None
         super()._order(node, machine, order)
         if isinstance(order, Apply):
             ledger = desk["ledger"]
             ledger.apply(order.entry.index, order.entry.body if order.entry.kind == "command" else {})
-            desk["keeper"].look(self.now, ledger, ledger.touched)
+            desk["keeper"].on_ledger(self.now, ledger, ledger.changed)
 
     def tell(self, address: str, command: dict) -> None:
         """Propose at the leader that a machine knows of."""
@@ -203,7 +213,7 @@
         machine, keeper, ledger, now = node.machine, desk["keeper"], desk["ledger"], self.now
         if machine is None or node.life != life:
             return
-        if now >= desk["asked"] + ASK and machine.leader is not None:
+        if now >= desk["asked"] + LEASE_REQUEST_INTERVAL_S and machine.leader is not None:
             desk["asked"], leader = now, machine.leader
             self._later(0.001, lambda: self._lease(leader, address, life, now))
         if now >= desk["led"] + 0.2 and self._proven(address):
@@ -221,7 +231,7 @@
                         )
                         self.tell(address, {"do": "lease", "from": before, "to": to, "slices": {"s": named}})
         new = [k for k, x in enumerate(ledger.slices.get("s", ())) if x.conductor == address and not x.owner]
-        if new and now < keeper.until:
+        if new and now < keeper.lease_until:
             self.tell(
                 address,
                 {
@@ -231,7 +241,7 @@
                 },
             )
         keeper.tick(now)
-        orders, keeper.orders = keeper.orders, []
+        orders, keeper.actions = keeper.actions, []
         for order in orders:
             if isinstance(order, Propose):
                 self.tell(address, order.command)
@@ -243,23 +253,23 @@
         node = self.nodes[address]
         return (
             node.machine is not None
-            and node.machine.settled
+            and node.machine.is_commit_current
             and self.desks[address]["tenure"] is not None
-            and self.now + node.offset - node.machine.majority_at < PROOF
+            and self.now + node.offset - node.machine.majority_acked_at < LEADERSHIP_PROOF_S
         )
 
     def _lease(self, leader: str, asking: str, life: int, sent: float) -> None:
         if self._proven(leader) and self.nodes[asking].life == life:
-            until = sent + self.desks[leader]["tenure"].asked(self.now, asking)
+            until = sent + self.desks[leader]["tenure"].renew(self.now, asking)
             last = self.nodes[leader].machine.log.last  # type: ignore[union-attr]
             keeper = self.desks[asking]["keeper"]
-            self._later(0.001, lambda: keeper.leased(self.now, until, last))
+            self._later(0.001, lambda: keeper.on_lease_proven(self.now, until, last))
 
     def _call(self, address: str, life: int, order: Grant | Release) -> None:
         for k in order.slices:
             self.held[k] = self.now + order.hold if isinstance(order, Grant) else 0.0
         if self.nodes[address].life == life:
-            self.desks[address]["keeper"].answered(self.now + 0.001, order, 200)
+            self.desks[address]["keeper"].on_call_ended(self.now + 0.001, order, 200)
 
     def served(self) -> bool:
         """Whether all keys are held."""
@@ -292,7 +302,7 @@
     found["commit_us"] = round(commit_us(200 if quick else 2000), 1)
     took = elections(30 if quick else 400)
     found["election_s"], found["election_most_s"] = round(statistics.median(took), 3), round(max(took), 3)
-    found["election_ticks"] = round(statistics.median(took) / Pace().heartbeat, 1)
+    found["election_ticks"] = round(statistics.median(took) / RaftSettings().heartbeat_interval, 1)
     opened = reopen_ms((250, 1000, 4000) if quick else (250, 1000, 4000, 16000), 3 if quick else 9)
     found["reopen_ms"] = opened
     (few, before), (many, after) = list(opened.items())[-2:]
@@ -318,11 +328,14 @@
     found |= told(6 if quick else 100)
     found["owner_overlaps"] = sum(len(World(seed).checker.broken) for seed in range(8 if quick else 200))
     seeds = range(3 if quick else 20)
-    least = Pace().election_low + LEASE * DRIFT + MARGIN + PROOF
+    least = RaftSettings().election_timeout_min + LEASE_S * CLOCK_DRIFT + CALL_MARGIN_S + LEADERSHIP_PROOF_S
     two = statistics.median([recovery(seed, 2) for seed in seeds])
     found["recovery_s"], found["recovery_ratio"] = round(two, 2), round(two / least, 2)
     whole = statistics.median([recovery(seed, 3) for seed in seeds])
-    found["recovery_all_s"], found["recovery_all_ratio"] = round(whole, 2), round(whole / Pace().election_low, 2)
+    found["recovery_all_s"], found["recovery_all_ratio"] = (
+        round(whole, 2),
+        round(whole / RaftSettings().election_timeout_min, 2),
+    )
     found |= crash_gap.measure(2 if quick else 20)
     print(json.dumps(found), flush=True)
     found |= asyncio.run(added_time.whole(4.0 if quick else 20.0))
--- a/knotwalk/cli/__main__.py
+++ b/knotwalk/cli/__main__.py
@@ -16,7 +16,7 @@
 from knotwalk.configuration.control import Unreadable, parsed
 from knotwalk.configuration.objects import Configuration, Limits
 from knotwalk.configuration.read import Invalid, document, read_configuration, version_number, version_text
-from knotwalk.consensus.store import StoreBroken
+from knotwalk.consensus.store import StoreError
 from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
 
@@ -147,7 +147,7 @@
         """
         try:
             told = past.export(data_dir, keys)
-        except (StoreBroken, ValueError, KeyError) as error:
+        except (StoreError, ValueError, KeyError) as error:
             end(2, trouble=str(error))
         if json:
             end(int(told["configuration"] is None), as_json(told))
--- a/knotwalk/consensus/leading.py
+++ b/knotwalk/consensus/leading.py
@@ -2,81 +2,93 @@
 
 from dataclasses import asdict
 
-from knotwalk.consensus.log import BATCH
+from knotwalk.consensus.log import MAX_BATCH_BYTES
 from knotwalk.consensus.machine_state import NEVER, MachineState, Peer
-from knotwalk.consensus.members import reached
-from knotwalk.consensus.orders import FOLLOWER, LEADER, Answer, Entry
-from knotwalk.consensus.snapshot_transfer import QUICK, SLOW, Blob, Outgoing, encode
+from knotwalk.consensus.membership_rules import majority_value
+from knotwalk.consensus.raft_types import FOLLOWER, LEADER, Answer, Entry
+from knotwalk.consensus.snapshot_transfer import FAST_ANSWER_S, SLOW_ANSWER_S, Blob, OutgoingTransfer, encode
 
-PIPE = 16  # messages under way to one follower: what a round trip of 3 ms holds; more wait and batch up
-LEAST_BATCH = 16 * 1024  # bytes of entries in one message where answers are slow: 65 ms on 2 Mbit/s, half a heartbeat
-STAYS = 3  # requests to be removed: who answers for so long without one has come back
+# entry messages to one follower without an answer; fits a round trip of 3 ms, further entries wait and are batched
+MAX_IN_FLIGHT = 16
+MIN_BATCH_BYTES = (
+    16 * 1024
+)  # entries in one message where answers are slow: 65 ms at 2 Mbit/s, half a heartbeat interval
+# a leaving member that answers for this many request intervals without asking to be removed has come back
+LEAVE_EXPIRY_REQUESTS = 3
 
 
 class Leading(MachineState):
-    """A leader's part of replication."""
+    """The replication of a leader."""
 
     def _sync_peers(self, now: float) -> None:
-        """Peers as the members say; who was left out is told so, for a while."""
-        for id, address in self._others():
+        """Make the peers match the members entry; a removed member stays as "departing" for a while, to learn of its
+        removal.
+        """
+        for id, address in self._other_members():
             if id not in self._peers:
-                self._peers[id] = Peer(id, address, 0, NEVER, now, next=self.log.last + 1)
+                self._peers[id] = Peer(id, address, 0, NEVER, now, next_index=self.log.last + 1)
             self._peers[id].kind = "voter"
         for peer in self._peers.values():
             if peer.kind == "voter" and peer.id not in self.members:
-                peer.kind, peer.until = "departing", now + 2.0
+                peer.kind, peer.remove_at = "departing", now + 2.0
 
-    def _beat(self, now: float) -> None:
-        """A heartbeat to all; what was not answered since the last is sent again."""
-        self._beat_at = now + self.pace.heartbeat
-        patience = 10 * self.pace.join
+    def _send_heartbeats(self, now: float) -> None:
+        """Send a heartbeat to all peers; entries that were not answered since the last one are sent again."""
+        self._heartbeat_at = now + self.settings.heartbeat_interval
+        learner_timeout = 10 * self.settings.join_interval
         for peer in list(self._peers.values()):
-            silent = now - max(peer.answered, peer.since) > patience
-            if peer.kind == "learner" and silent or peer.kind == "departing" and now > peer.until:
+            is_silent = now - max(peer.answered_at, peer.first_heard_at) > learner_timeout
+            if peer.kind == "learner" and is_silent or peer.kind == "departing" and now > peer.remove_at:
                 del self._peers[peer.id]
                 continue
-            if peer.under_way and not peer.moved:
-                peer.next, peer.probing = max(peer.have, peer.match) + 1, True
-                peer.under_way.clear()
-                self._shrink(peer)
-            peer.moved = False
-            self._feed(now, peer, True)
-
-    def _spread(self, now: float, force: bool = False) -> None:
+            if peer.in_flight and not peer.has_progressed:
+                peer.next_index, peer.is_probing = max(peer.received_index, peer.match_index) + 1, True
+                peer.in_flight.clear()
+                self._shrink_batch(peer)
+            peer.has_progressed = False
+            self._replicate_to(now, peer, True)
+
+    def _replicate(self, now: float, force: bool = False) -> None:
         for peer in self._peers.values():
-            self._feed(now, peer, force)
-        self._count(now)
+            self._replicate_to(now, peer, force)
+        self._commit_majority(now)
 
-    def _feed(self, now: float, peer: Peer, force: bool = False) -> None:
-        """Send a peer what it lacks, as far as the pipe holds; with `force` at least a heartbeat."""
-        if peer.next <= self.log.base:
+    def _replicate_to(self, now: float, peer: Peer, force: bool = False) -> None:
+        """Send a peer the entries that it lacks, as far as the limit of unanswered messages allows; with `force` at
+        least a heartbeat.
+        """
+        if peer.next_index <= self.log.base:
             if force:
                 self._send_entries(now, peer, self.log.base, [])
-            self._feed_part(now, peer, "snapshot")
+            self._send_part(now, peer, "snapshot")
             return
-        until = self.commit if peer.kind == "departing" else self.log.last
-        while force or self._may_send(peer, until):
-            entries = self.log.batch(peer.next, until, peer.batch) if self._may_send(peer, until) else []
-            peer.probe = peer.next - 1
-            self._send_entries(now, peer, peer.probe, entries)
+        last_index = self.commit if peer.kind == "departing" else self.log.last
+        while force or self._can_send(peer, last_index):
+            entries = (
+                self.log.batch(peer.next_index, last_index, peer.batch_bytes)
+                if self._can_send(peer, last_index)
+                else []
+            )
+            peer.probe_index = peer.next_index - 1
+            self._send_entries(now, peer, peer.probe_index, entries)
             if entries:
-                peer.under_way.append(entries[-1].index)
-                if not peer.probing:
-                    peer.next = entries[-1].index + 1
+                peer.in_flight.append(entries[-1].index)
+                if not peer.is_probing:
+                    peer.next_index = entries[-1].index + 1
             force = False
-        if peer.next <= until and self._long(peer) and not peer.probing and not peer.under_way:
-            self._feed_part(now, peer, "entries")
+        if peer.next_index <= last_index and self._is_oversized(peer) and not peer.is_probing and not peer.in_flight:
+            self._send_part(now, peer, "entries")
 
-    def _long(self, peer: Peer) -> bool:
+    def _is_oversized(self, peer: Peer) -> bool:
         """Whether the next entry is too long for one message to this peer."""
-        return self.log.size(peer.next) > peer.batch
+        return self.log.size(peer.next_index) > peer.batch_bytes
 
-    def _may_send(self, peer: Peer, until: int) -> bool:
-        """Whether there are entries for a message, and room for it on the way."""
-        if peer.next > until or self._long(peer):
+    def _can_send(self, peer: Peer, last_index: int) -> bool:
+        """Whether there are entries to send in one message, and fewer unanswered messages than allowed."""
+        if peer.next_index > last_index or self._is_oversized(peer):
             return False
-        pipe = 1 if peer.probing or peer.batch < BATCH else PIPE
-        return len(peer.under_way) < pipe
+        max_in_flight = 1 if peer.is_probing or peer.batch_bytes < MAX_BATCH_BYTES else MAX_IN_FLIGHT
+        return len(peer.in_flight) < max_in_flight
 
     def _send_entries(self, now: float, peer: Peer, prev: int, entries: list[Entry]) -> None:
         self._send(
@@ -88,61 +100,73 @@
             entries=[[one.index, one.term, one.kind, one.body] for one in entries],
             commit=self.commit,
             stamp=now,
-            round=self._round,
+            round=self._heartbeat_round,
         )
 
-    # ---- in parts
+    # ---- transfers in parts
 
-    def _feed_part(self, now: float, peer: Peer, kind: str) -> None:
-        """Send the next part of the snapshot, or of the next entry, unless one is under way."""
+    def _send_part(self, now: float, peer: Peer, kind: str) -> None:
+        """Send the next part of the snapshot or of the next entry, unless a part is still unanswered."""
         transfer = peer.transfer
-        if transfer is None or not self._useful(peer, transfer.blob, kind):
-            transfer = peer.transfer = Outgoing(self._blob(peer, kind))
-        part = transfer.next(now)
+        if transfer is None or not self._is_transfer_useful(peer, transfer.blob, kind):
+            transfer = peer.transfer = OutgoingTransfer(self._blob_for(peer, kind))
+        part = transfer.next_part(now)
         if part is not None:
-            self._send(peer.address, "part", peer.id, **asdict(part), commit=self.commit, stamp=now, round=self._round)
+            self._send(
+                peer.address,
+                "part",
+                peer.id,
+                **asdict(part),
+                commit=self.commit,
+                stamp=now,
+                round=self._heartbeat_round,
+            )
 
-    def _useful(self, peer: Peer, blob: Blob, kind: str) -> bool:
-        """Whether what is on its way still helps: the log goes on from a snapshot that was replaced meanwhile, too."""
-        return blob.kind == kind and (blob.index >= self.log.base if kind == "snapshot" else blob.first == peer.next)
+    def _is_transfer_useful(self, peer: Peer, blob: Blob, kind: str) -> bool:
+        """Whether a transfer still helps the peer. A snapshot that was replaced meanwhile does, as long as the log
+        continues from it.
+        """
+        return blob.kind == kind and (
+            blob.index >= self.log.base if kind == "snapshot" else blob.first == peer.next_index
+        )
 
-    def _blob(self, peer: Peer, kind: str) -> Blob:
-        """What a peer lacks, encoded once for all peers."""
-        index = self.snapshot[0] if kind == "snapshot" else peer.next
-        for blob in self._blobs:
+    def _blob_for(self, peer: Peer, kind: str) -> Blob:
+        """The encoded snapshot or entry that a peer lacks, encoded once for all peers."""
+        index = self.snapshot[0] if kind == "snapshot" else peer.next_index
+        for blob in self._encoded_blobs:
             if (blob.kind, blob.index) == (kind, index):
                 return blob
-        made = self._encoded_snapshot() if kind == "snapshot" else self._encoded_entry(index)
-        self._blobs = [*self._blobs[-1:], made]
-        return made
+        encoded = self._encode_snapshot() if kind == "snapshot" else self._encode_entry(index)
+        self._encoded_blobs = [*self._encoded_blobs[-1:], encoded]
+        return encoded
 
-    def _encoded_snapshot(self) -> Blob:
+    def _encode_snapshot(self) -> Blob:
         index, term, members, state = self.snapshot
         return encode("snapshot", 0, index, {"index": index, "index_term": term, "members": members, "state": state})
 
-    def _encoded_entry(self, index: int) -> Blob:
-        entry = self.log.at(index)
+    def _encode_entry(self, index: int) -> Blob:
+        entry = self.log.entry_at(index)
         line = [entry.index, entry.term, entry.kind, entry.body]
         content = {"prev": index - 1, "prev_term": self.log.term_at(index - 1), "entries": [line]}
         return encode("entries", index, index, content)
 
     def _on_taken(self, now: float, message: dict) -> None:
-        """A peer took a part: send the next."""
+        """Send the next part after a peer has taken one."""
         peer = self._peers.get(message["from"])
         if self.role != LEADER or message["term"] != self.term or peer is None or peer.transfer is None:
             return
-        if peer.transfer.taken(now, message["digest"], message["offset"], message["wanted"]):
-            self._feed(now, peer)
+        if peer.transfer.on_part_taken(now, message["digest"], message["offset"], message["wanted"]):
+            self._replicate_to(now, peer)
 
-    def _paced(self, now: float, peer: Peer, stamp: float) -> None:
-        """Size the messages of entries by how soon one was answered."""
-        if now - stamp < QUICK:
-            peer.batch = min(BATCH, 2 * peer.batch)
-        elif now - stamp > SLOW:
-            self._shrink(peer)
+    def _adjust_batch(self, now: float, peer: Peer, stamp: float) -> None:
+        """Adjust the size of entry messages to how fast one was answered."""
+        if now - stamp < FAST_ANSWER_S:
+            peer.batch_bytes = min(MAX_BATCH_BYTES, 2 * peer.batch_bytes)
+        elif now - stamp > SLOW_ANSWER_S:
+            self._shrink_batch(peer)
 
-    def _shrink(self, peer: Peer) -> None:
-        peer.batch = max(LEAST_BATCH, peer.batch // 2)
+    def _shrink_batch(self, peer: Peer) -> None:
+        peer.batch_bytes = max(MIN_BATCH_BYTES, peer.batch_bytes // 2)
 
     # ---- answers
 
@@ -153,36 +177,44 @@
         peer = self._peers.get(message["from"])
         if self.role != LEADER or message["term"] != self.term or peer is None or "stamp" not in message:
             return
-        peer.answered = max(peer.answered, message["stamp"])
-        peer.leaving &= peer.answered < peer.left_at + STAYS * self.pace.join  # else it is back
-        peer.round = max(peer.round, message["round"])
+        peer.answered_at = max(peer.answered_at, message["stamp"])
+        peer.leaving &= (
+            peer.answered_at < peer.leave_requested_at + LEAVE_EXPIRY_REQUESTS * self.settings.join_interval
+        )  # without further requests it has come back
+        peer.answered_round = max(peer.answered_round, message["round"])
         if message["ok"]:
-            peer.moved = True
-            peer.match = max(peer.match, message["match"])
-            peer.have = max(message["have"], peer.match)
-            if peer.under_way and peer.under_way[0] <= peer.have:
-                self._paced(now, peer, message["stamp"])
-            while peer.under_way and peer.under_way[0] <= peer.have:
-                peer.under_way.popleft()
-            if peer.probing and peer.have >= peer.probe:
-                peer.probing = False
-                peer.next = peer.have + 1
-                peer.under_way.clear()
-            peer.next = max(peer.next, peer.match + 1)
-            if peer.transfer is not None and peer.transfer.blob.index <= peer.have:
-                peer.next, peer.transfer = max(peer.next, peer.have + 1), None
-            self._count(now)
-        elif peer.next > self.log.base and message["prev"] == peer.probe and message["prev"] > peer.match:
-            peer.next = max(peer.match + 1, min(self._meeting(message), message["prev"]))
-            peer.have, peer.probing = peer.match, True
-            peer.under_way.clear()
-        self._feed(now, peer)
+            peer.has_progressed = True
+            peer.match_index = max(peer.match_index, message["match"])
+            peer.received_index = max(message["have"], peer.match_index)
+            if peer.in_flight and peer.in_flight[0] <= peer.received_index:
+                self._adjust_batch(now, peer, message["stamp"])
+            while peer.in_flight and peer.in_flight[0] <= peer.received_index:
+                peer.in_flight.popleft()
+            if peer.is_probing and peer.received_index >= peer.probe_index:
+                peer.is_probing = False
+                peer.next_index = peer.received_index + 1
+                peer.in_flight.clear()
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
+            if peer.transfer is not None and peer.transfer.blob.index <= peer.received_index:
+                peer.next_index, peer.transfer = max(peer.next_index, peer.received_index + 1), None
+            self._commit_majority(now)
+        elif (
+            peer.next_index > self.log.base
+            and message["prev"] == peer.probe_index
+            and message["prev"] > peer.match_index
+        ):
+            peer.next_index = max(peer.match_index + 1, min(self._next_probe_index(message), message["prev"]))
+            peer.received_index, peer.is_probing = peer.match_index, True
+            peer.in_flight.clear()
+        self._replicate_to(now, peer)
         self._serve_reads(now)
         self._change_members(now)
-        self._hand_over(now)
+        self._hand_over_leadership(now)
 
-    def _meeting(self, message: dict) -> int:
-        """The entry to try next after a refusal: past the last of the conflicting term here, or before it there."""
+    def _next_probe_index(self, message: dict) -> int:
+        """The entry to try next after a rejection: the one after our last of the conflicting term, or else the first
+        that conflicts.
+        """
         term, first = message["conflict_term"], message["conflict"]
         if term is not None:
             for index in range(min(message["prev"], self.log.last), max(self.log.base, first - 1), -1):
@@ -190,29 +222,37 @@
                     return index + 1
         return first
 
-    def _count(self, now: float) -> None:
-        """Commit what a majority has kept, if of this term: an older entry is committed by what follows it."""
-        index = int(reached([self._stored if id == self.me else self._peers[id].match for id in self.members]))
+    def _commit_majority(self, now: float) -> None:
+        """Commit what a majority has stored if it is of this term; older entries are committed by an entry that follows
+        them.
+        """
+        index = int(
+            majority_value(
+                [self._stored_index if id == self.me else self._peers[id].match_index for id in self.members]
+            )
+        )
         if index > self.commit and self.log.term_at(index) == self.term:
-            self._advance(index)
+            self._commit_through(index)
             for peer in self._peers.values():
-                self._feed(now, peer, self.pace.tells_commits)
+                self._replicate_to(now, peer, self.settings.sends_commits_at_once)
             self._serve_reads(now)
 
     def _serve_reads(self, now: float) -> None:
-        """Answer the reads that are safe; begin one round of heartbeats for all that wait."""
+        """Answer the reads that are safe, and start one round of heartbeats for all that are queued."""
         if self.role != LEADER:
             return
         while True:
-            done = reached([self._round if id == self.me else self._peers[id].round for id in self.members])
-            for ticket, index, number in self._reads:
-                if number <= done and index <= self.applied:
-                    self.orders.append(Answer(ticket, "readable", self.applied))
-            self._reads = [one for one in self._reads if one[2] > done or one[1] > self.applied]
-            if self._reads or not self._queue or self.commit < self._first:
+            confirmed_round = majority_value(
+                [self._heartbeat_round if id == self.me else self._peers[id].answered_round for id in self.members]
+            )
+            for ticket, index, required_round in self._reads:
+                if required_round <= confirmed_round and index <= self.applied:
+                    self.actions.append(Answer(ticket, "readable", self.applied))
+            self._reads = [one for one in self._reads if one[2] > confirmed_round or one[1] > self.applied]
+            if self._reads or not self._queued_reads or self.commit < self._term_first_index:
                 return
-            self._round += 1
-            self._reads = [(ticket, self.commit, self._round) for ticket in self._queue]
-            self._queue = []
+            self._heartbeat_round += 1
+            self._reads = [(ticket, self.commit, self._heartbeat_round) for ticket in self._queued_reads]
+            self._queued_reads = []
             for peer in self._peers.values():
-                self._feed(now, peer, True)
+                self._replicate_to(now, peer, True)
--- a/knotwalk/consensus/machine_state.py
+++ b/knotwalk/consensus/machine_state.py
@@ -1,13 +1,13 @@
-"""The state of one machine of the consensus, its one change of role, and what all its parts use. Pure."""
+"""The state of one Raft state machine, its only change of role, and what all parts of the protocol use. Pure."""
 
 import random
 from collections import deque
 from dataclasses import dataclass, field
 from typing import Any
 
-from knotwalk.consensus.log import BATCH, Log
-from knotwalk.consensus.members import Standing, reached
-from knotwalk.consensus.orders import (
+from knotwalk.consensus.log import MAX_BATCH_BYTES, Log
+from knotwalk.consensus.membership_rules import PeerProgress, majority_value
+from knotwalk.consensus.raft_types import (
     CANDIDATE,
     FOLLOWER,
     LEADER,
@@ -15,56 +15,61 @@
     Answer,
     Apply,
     Entry,
-    Pace,
-    Role,
+    RaftSettings,
+    RoleChange,
     Save,
-    Saved,
     Send,
+    StoredState,
 )
-from knotwalk.consensus.snapshot_transfer import Blob, Incoming, Outgoing
-
-FROZEN = 0.3  # seconds without a call after which unread messages are given a chance before an election:
-#                         twice a heartbeat, three times the stall of a batch scheduled process
-ON_TIME = 0.02  # seconds past `wake` in which a call was not held up: a loop's timers come within some ms
-BACK_OFF = 5  # doublings of a round of votes that fails: 3 to 10 s, for disks that take a second a write
+from knotwalk.consensus.snapshot_transfer import Blob, IncomingTransfer, OutgoingTransfer
+
+# After so long without a call, unread messages are handled before an election starts. Twice a heartbeat interval, and
+# three times the stall of a process under batch scheduling.
+STALL_S = 0.3
+# A call at most this long after `wake_at` counts as on time: the timers of an event loop fire some milliseconds late.
+TIMER_SLACK_S = 0.02
+# Back-off of elections that fail: up to 3 to 10 s, for disks that take a second per write.
+MAX_BACKOFF_DOUBLINGS = 5
 NEVER = float("-inf")
 
 
 @dataclass
-class Peer(Standing):
-    """How far another machine is, to the leader."""
+class Peer(PeerProgress):
+    """A leader's view of another machine."""
 
     kind: str = "voter"  # voter, learner, departing
-    next: int = 1  # the entry to send next
-    have: int = 0  # received there, though perhaps not kept
-    probing: bool = True  # one message at a time, until one fits
-    probe: int = -1  # the prev of the last one sent
-    under_way: deque[int] = field(default_factory=deque)  # last index of each message not yet answered
-    moved: bool = False  # something was answered since the last heartbeat
-    round: int = 0  # newest round of heartbeats answered
-    batch: int = BATCH  # bytes of entries in one message; less where answers are slow
-    transfer: Outgoing | None = None  # a snapshot or a long entry on its way in parts
-    until: float = 0.0  # when a departing one is let go
-    left_at: float = NEVER  # when it said last that it leaves
+    next_index: int = 1  # the entry to send next
+    received_index: int = 0  # received, though perhaps not stored
+    is_probing: bool = True  # send one message at a time until one matches
+    probe_index: int = -1  # `prev` of the last message sent
+    in_flight: deque[int] = field(default_factory=deque)  # last index of each message without an answer
+    has_progressed: bool = False  # something was acknowledged since the last heartbeat
+    answered_round: int = 0  # the newest round of heartbeats answered
+    batch_bytes: int = MAX_BATCH_BYTES  # for the entries of one message; smaller where answers are slow
+    transfer: OutgoingTransfer | None = None  # a snapshot or long entry being sent in parts
+    remove_at: float = 0.0  # when a departing peer is dropped
+    leave_requested_at: float = NEVER  # when it last asked to be removed
 
 
 @dataclass
-class Flight:
+class PendingSave:
     """The Save being written."""
 
     number: int
-    last: int
+    last_index: int
     term: int
     vote: str | None
 
 
 class MachineState:
-    """What a machine knows, keeps and promises; the parts of the protocol are built on it."""
+    """What a machine knows, stores and promises; the parts of the protocol are built on it."""
 
-    def __init__(self, saved: Saved, settings: Pace, seed: int, now: float, born: float | None = None) -> None:
-        self.me, self.pace = saved.me, settings
+    def __init__(
+        self, saved: StoredState, settings: RaftSettings, seed: int, now: float, born: float | None = None
+    ) -> None:
+        self.me, self.settings = saved.me, settings
         self.random = random.Random(f"{seed} {saved.me}")
-        self.orders: list = []
+        self.actions: list = []
         self.contacts: list[str] = []
         self.term, self.vote = saved.term, saved.vote
         self.snapshot = (saved.snapshot_index, saved.snapshot_term, dict(saved.members), saved.snapshot)
@@ -74,101 +79,111 @@
         self.commit = self.applied = saved.snapshot_index
         self.address = self.members.get(self.me, self.me.partition("#")[0])
         self.role = FOLLOWER if self.me in self.members else OUTSIDER
-        self.wake = now
-        # the store
-        self._stored = self.log.last  # the log in memory is kept up to here
-        self._issued = self.log.last  # last index on disk once the Saves issued are kept
-        self._number = self._done = 0  # Saves issued, Saves kept
-        self._flight: Flight | None = None
-        self._kept_term = saved.term
+        self.wake_at = now
+        # store
+        self._stored_index = self.log.last  # entries up to here are on disk
+        self._issued_index = self.log.last  # last index on disk once all issued Saves are stored
+        self._save_number = self._saved_number = 0  # numbers of the last Save issued and the last one stored
+        self._pending_save: PendingSave | None = None
+        self._saved_term = saved.term
         self._dirty = False
         self._dirty_from: int | None = None
         self._new_snapshot = False
-        self._sick = False
-        self._held: list[tuple[int, str, dict]] = []
+        self._store_failed = False
+        self._held_messages: list[tuple[int, str, dict]] = []
         # followers
-        self._seen = now
+        self._last_call_at = now
         self._leader_id: str | None = None
-        self._leader: str | None = None
-        self._hint: str | None = None  # a leader's address by hearsay
-        self._heard = NEVER
-        # A life before may have answered a leader just before this one began, and a lease may rest on that.
-        self._sticky_from = now if born is None else born
-        self._lonely_since = now
-        self._agreed = 0  # the log is the leader's of this term up to here
-        self._owed = False
-        self._stamp: float | None = None
-        self._round_seen = 0
-        self._incoming = Incoming()
-        # After a start of all at once nobody leads: stand as soon as no life before can have answered a leader.
-        self._deadline = self._sticky_from + self.pace.election_low + self.random.uniform(0.0, 2 * self.pace.round_low)
-        self._ask_at = now
+        self._leader_address: str | None = None
+        self._leader_hint: str | None = None  # a leader's address as reported by others
+        self._leader_heard_at = NEVER
+        # A previous incarnation may have answered a leader just before this one started, and a lease may depend on
+        # that.
+        self._sticky_since = now if born is None else born
+        self._leaderless_since = now
+        self._received_index = 0  # the log equals the leader's of this term up to here
+        self._owes_answer = False
+        self._newest_stamp: float | None = None
+        self._newest_round = 0
+        self._incoming = IncomingTransfer()
+        # If all machines start at once, nobody leads: stand as soon as no previous incarnation can have answered a
+        # leader.
+        self._election_deadline = (
+            self._sticky_since
+            + self.settings.election_timeout_min
+            + self.random.uniform(0.0, 2 * self.settings.vote_retry_min)
+        )
+        self._request_at = now
         self.leaving = False
         # candidates
-        self._pre = False
+        self._is_prevote = False
         self._votes: set[str] = set()
-        self._rounds = 0  # votes asked for since a leader was known
+        self._election_rounds = 0  # elections started since a leader was known
         # leaders
         self._peers: dict[str, Peer] = {}
         self._tickets: dict[int, Any] = {}
         self._reads: list[tuple[Any, int, int]] = []  # ticket, index, round that has to be answered
-        self._queue: list[Any] = []  # reads for the next round
-        self._blobs: list[Blob] = []  # what goes to peers in parts, encoded once
-        self._round = 0
+        self._queued_reads: list[Any] = []  # reads that wait for the next round
+        self._encoded_blobs: list[Blob] = []  # contents being sent in parts, encoded once for all peers
+        self._heartbeat_round = 0
         self._elected_at = NEVER
-        self._first = 0  # index of the noop of this term
-        self._beat_at = NEVER
-        self._handed: str | None = None
-        self._handed_at = NEVER
-        self._void = False  # handed over: no lease any more
-        self._advance(saved.commit)
-        self._agreed = self.commit
-        self._close(now)
+        self._term_first_index = 0  # index of the noop entry of this term
+        self._heartbeat_at = NEVER
+        self._hand_over_target: str | None = None
+        self._handed_over_at = NEVER
+        self._has_handed_over = False  # leadership was handed over: no lease any more
+        self._commit_through(saved.commit)
+        self._received_index = self.commit
+        self._finish_call(now)
 
     @property
     def members(self) -> dict[str, str]:
-        """Members by the newest entry that names them, committed or not: id -> address."""
+        """The members by the newest entry that names them, committed or not: id -> address."""
         return self.configs[-1][1]
 
     @property
     def leader(self) -> str | None:
-        """The address of the leader of this term, where known."""
-        return self.address if self.role == LEADER else self._leader
+        """The address of the leader of this term, if known."""
+        return self.address if self.role == LEADER else self._leader_address
 
     @property
-    def rumour(self) -> str | None:
-        """The address of a leader of any term, as far as is known here or was told by others; it may lead no more."""
-        return self._known()
+    def last_known_leader(self) -> str | None:
+        """The address of the last leader of any term known here or reported by others; it may no longer lead."""
+        return self._known_leader()
 
     @property
-    def unkept(self) -> bool:
-        """Whether something is on its way to the disk, so that an answer or a vote may be waiting for it."""
-        return self._flight is not None
+    def is_saving(self) -> bool:
+        """Whether a Save is being written, so that an answer or a vote may be waiting for it."""
+        return self._pending_save is not None
 
     @property
-    def heard_at(self) -> float:
-        """When a leader was last heard; for a leader `majority_at`."""
-        return self.majority_at if self.role == LEADER else self._heard
+    def leader_heard_at(self) -> float:
+        """When a leader was last heard; for a leader, `majority_acked_at`."""
+        return self.majority_acked_at if self.role == LEADER else self._leader_heard_at
 
     @property
-    def settled(self) -> bool:
-        """For a leader: whether an entry of its own term is committed, so that `commit` is no older than any before."""
-        return self.role == LEADER and self.commit >= self._first
+    def is_commit_current(self) -> bool:
+        """For a leader: whether an entry of its own term is committed, so that `commit` is not behind that of any
+        earlier leader.
+        """
+        return self.role == LEADER and self.commit >= self._term_first_index
 
     @property
-    def answered(self) -> dict[str, float]:
-        """For a leader: send time, on its own clock, of the newest heartbeat that each other voter answered."""
+    def peers_answered_at(self) -> dict[str, float]:
+        """For a leader: the send time, on its own clock, of the newest heartbeat that each other voter answered."""
         if self.role != LEADER:
             return {}
-        return {id: self._peers[id].answered for id in self.members if id in self._peers}
+        return {id: self._peers[id].answered_at for id in self.members if id in self._peers}
 
     @property
-    def majority_at(self) -> float:
-        """For a leader: the newest of its send times that a majority with itself has answered. None of them votes for
-        another within election_low after it; -inf for others, and once leadership is being handed over."""
-        return NEVER if self.role != LEADER or self._void else self._majority()
+    def majority_acked_at(self) -> float:
+        """For a leader: the newest of its send times that a majority including itself has answered. None of these votes
+        for another leader within `election_timeout_min` after it. -inf for other roles, and once leadership is being
+        handed over.
+        """
+        return NEVER if self.role != LEADER or self._has_handed_over else self._majority_answered_at()
 
-    # ---- the one change of state
+    # ---- change of role
 
     def _become(
         self,
@@ -186,65 +201,80 @@
         if term > self.term:
             self.term, self.vote = term, None
             self._dirty = True
-            self._agreed, self._owed, self._stamp, self._round_seen = self.commit, False, None, 0
-            self._held.clear()
+            self._received_index, self._owes_answer, self._newest_stamp, self._newest_round = (
+                self.commit,
+                False,
+                None,
+                0,
+            )
+            self._held_messages.clear()
         if vote is not None:
             self.vote, self._dirty = vote, True
         if self._leader_id is not None and leader_id is None:
-            self._lonely_since = now
-        self.role, self._leader_id, self._leader = role, leader_id, leader
+            self._leaderless_since = now
+        self.role, self._leader_id, self._leader_address = role, leader_id, leader
         if was == LEADER and role != LEADER:
             for ticket in self._tickets.values():
-                self.orders.append(Answer(ticket, "lost", None))
-            for ticket in [one[0] for one in self._reads] + self._queue:
-                self.orders.append(Answer(ticket, "not_leader", leader))
-            self._tickets, self._reads, self._queue, self._peers = {}, [], [], {}
-            self._blobs = []
-            self._lonely_since = now
+                self.actions.append(Answer(ticket, "lost", None))
+            for ticket in [one[0] for one in self._reads] + self._queued_reads:
+                self.actions.append(Answer(ticket, "not_leader", leader))
+            self._tickets, self._reads, self._queued_reads, self._peers = {}, [], [], {}
+            self._encoded_blobs = []
+            self._leaderless_since = now
         if role == CANDIDATE:
-            self._votes = {self.me} if self._pre else set()
-            wait = self.random.uniform(self.pace.round_low, self.pace.round_high)
-            self._deadline = now + wait * (1 if self._pre else 2 ** min(self._rounds, BACK_OFF))
+            self._votes = {self.me} if self._is_prevote else set()
+            wait = self.random.uniform(self.settings.vote_retry_min, self.settings.vote_retry_max)
+            self._election_deadline = now + wait * (
+                1 if self._is_prevote else 2 ** min(self._election_rounds, MAX_BACKOFF_DOUBLINGS)
+            )
         elif was in (LEADER, CANDIDATE) and role != LEADER:
-            self._deadline = now + self._timeout()
+            self._election_deadline = now + self._election_timeout()
         if role == LEADER:
             self._incoming.clear()
-            self._rounds = 0
-            self._elected_at, self._beat_at, self._void, self._handed = now, now + self.pace.heartbeat, False, None
+            self._election_rounds = 0
+            self._elected_at, self._heartbeat_at, self._has_handed_over, self._hand_over_target = (
+                now,
+                now + self.settings.heartbeat_interval,
+                False,
+                None,
+            )
             self._peers = {}
             self._sync_peers(now)
-            self._first = self._append("noop", {})
-            self._spread(now)
+            self._term_first_index = self._append_new("noop", {})
+            self._replicate(now)
         if (self.role, self.term, self.leader) != before:
-            self.orders.append(Role(self.role, self.term, self.leader))
+            self.actions.append(RoleChange(self.role, self.term, self.leader))
 
     # ---- time
 
-    def _timeout(self) -> float:
-        return self.random.uniform(self.pace.election_low, self.pace.election_high)
+    def _election_timeout(self) -> float:
+        return self.random.uniform(self.settings.election_timeout_min, self.settings.election_timeout_max)
 
     def _expire(self, now: float) -> None:
-        """What time alone has ended, before anything is read or done at `now`."""
-        frozen = now - self._seen > FROZEN and now - self.wake > ON_TIME
-        self._seen = now
+        """Apply what the passage of time has ended, before anything is read or done at `now`."""
+        frozen = now - self._last_call_at > STALL_S and now - self.wake_at > TIMER_SLACK_S
+        self._last_call_at = now
         if self.role == LEADER:
-            if now - max(self._majority(), self._elected_at) > self.pace.election_low:
+            if now - max(self._majority_answered_at(), self._elected_at) > self.settings.election_timeout_min:
                 self._become(now, FOLLOWER, self.term)
         elif frozen:
             if self.role == CANDIDATE:
                 self._become(now, FOLLOWER, self.term)
-            self._deadline = max(self._deadline, now + self.random.uniform(self.pace.round_low, self.pace.round_high))
-
-    def _close(self, now: float) -> None:
-        """End of each call: write what changed, and say when to call again."""
-        if self._dirty and self._flight is None:
-            self._number += 1
+            self._election_deadline = max(
+                self._election_deadline,
+                now + self.random.uniform(self.settings.vote_retry_min, self.settings.vote_retry_max),
+            )
+
+    def _finish_call(self, now: float) -> None:
+        """Finish a call: issue a Save if something changed, and set when the next call is due."""
+        if self._dirty and self._pending_save is None:
+            self._save_number += 1
             first = self.log.last + 1 if self._dirty_from is None else max(self._dirty_from, self.snapshot[0] + 1)
-            cut = first if first <= self._issued else None
+            cut = first if first <= self._issued_index else None
             entries = self.log.entries[first - self.log.base - 1 :]
-            self.orders.append(
+            self.actions.append(
                 Save(
-                    self._number,
+                    self._save_number,
                     self.term,
                     self.vote,
                     entries,
@@ -253,64 +283,66 @@
                     self.commit,
                 )
             )  # type: ignore[arg-type]
-            self._flight = Flight(self._number, self.log.last, self.term, self.vote)
-            self._issued = self.log.last
+            self._pending_save = PendingSave(self._save_number, self.log.last, self.term, self.vote)
+            self._issued_index = self.log.last
             self._dirty, self._dirty_from, self._new_snapshot = False, None, False
-        self.wake = self._beat_at if self.role == LEADER else self._deadline
+        self.wake_at = self._heartbeat_at if self.role == LEADER else self._election_deadline
         if self.role != LEADER or self.leaving:
-            self.wake = min(self.wake, self._ask_at)
+            self.wake_at = min(self.wake_at, self._request_at)
 
     # ---- messages
 
-    def _message(self, type: str, to: str, /, **rest: Any) -> dict:
+    def _build_message(self, type: str, to: str, /, **rest: Any) -> dict:
         return {"type": type, "from": self.me, "at": self.address, "to": to, "term": self.term, **rest}
 
     def _send(self, address: str, type: str, to: str, /, **rest: Any) -> None:
-        self.orders.append(Send(address, self._message(type, to, **rest)))
+        self.actions.append(Send(address, self._build_message(type, to, **rest)))
 
-    def _promise(self, address: str, type: str, to: str, /, **rest: Any) -> None:
-        """Send once all that is changed by now is kept."""
-        need = self._number + 1 if self._dirty else self._number
-        if need <= self._done:
+    def _send_after_save(self, address: str, type: str, to: str, /, **rest: Any) -> None:
+        """Send once all changes made so far are stored."""
+        need = self._save_number + 1 if self._dirty else self._save_number
+        if need <= self._saved_number:
             self._send(address, type, to, **rest)
         else:
-            self._held.append((need, address, self._message(type, to, **rest)))
+            self._held_messages.append((need, address, self._build_message(type, to, **rest)))
 
-    def _known(self) -> str | None:
-        return self.leader or self._hint
+    def _known_leader(self) -> str | None:
+        return self.leader or self._leader_hint
 
-    def _others(self) -> list[tuple[str, str]]:
+    def _other_members(self) -> list[tuple[str, str]]:
         return [(id, address) for id, address in self.members.items() if id != self.me]
 
     # ---- the log
 
-    def _advance(self, index: int) -> None:
-        """Commit up to `index`, and give out what that commits."""
+    def _commit_through(self, index: int) -> None:
+        """Commit up to `index` and emit an Apply for each entry."""
         while self.commit < index:
             self.commit = self.applied = self.commit + 1
-            self.orders.append(Apply(self.log.at(self.commit)))
+            self.actions.append(Apply(self.log.entry_at(self.commit)))
             if self.commit in self._tickets:
-                self.orders.append(Answer(self._tickets.pop(self.commit), "committed", self.commit))
+                self.actions.append(Answer(self._tickets.pop(self.commit), "committed", self.commit))
 
-    def _write(self, entry: Entry) -> None:
+    def _append_entry(self, entry: Entry) -> None:
         self.log.append(entry)
         self._dirty = True
         self._dirty_from = entry.index if self._dirty_from is None else min(self._dirty_from, entry.index)
         if entry.kind == "members":
             self.configs.append((entry.index, dict(entry.body["members"])))
 
-    def _cut(self, index: int) -> None:
-        self.log.cut(index)
+    def _truncate(self, index: int) -> None:
+        self.log.truncate(index)
         self.configs = [one for one in self.configs if one[0] < index]
-        self._stored = min(self._stored, index - 1)
-        if self._flight is not None:
-            self._flight.last = min(self._flight.last, index - 1)
+        self._stored_index = min(self._stored_index, index - 1)
+        if self._pending_save is not None:
+            self._pending_save.last_index = min(self._pending_save.last_index, index - 1)
         self._dirty = True
         self._dirty_from = index if self._dirty_from is None else min(self._dirty_from, index)
 
-    def _append(self, kind: str, body: dict) -> int:
-        self._write(Entry(self.log.last + 1, self.term, kind, body))
+    def _append_new(self, kind: str, body: dict) -> int:
+        self._append_entry(Entry(self.log.last + 1, self.term, kind, body))
         return self.log.last
 
-    def _majority(self) -> float:
-        return reached([self._seen if id == self.me else self._peers[id].answered for id in self.members])
+    def _majority_answered_at(self) -> float:
+        return majority_value(
+            [self._last_call_at if id == self.me else self._peers[id].answered_at for id in self.members]
+        )
--- a/knotwalk/consensus/snapshot_transfer.py
+++ b/knotwalk/consensus/snapshot_transfer.py
@@ -1,13 +1,14 @@
-"""What is too long for one message goes in parts: a snapshot, or one long entry. Both ends of it. Pure.
+"""Both ends of a transfer in parts, for what is too long for one message: a snapshot or one long entry. Pure.
 
-The sender encodes the content once (JSON, deflated, as base64 text), names it by its digest, and has one part of it
-under way to a peer at a time. Each part says where it begins, each answer what is wanted next, so that a lost, doubled
-or late part, a cut of any length and a change of leader between two with the same content cost one part, not the
-whole. Parts grow while they are answered at once and shrink while they are not, so that a heartbeat behind one is
-never late: on 2 Mbit/s a part settles where it takes between a twentieth and a fifth of a second.
+The sender encodes the content once (JSON, deflated, as base64 text), identifies it by its digest, and has one
+unanswered part per peer at a time. Each part carries its offset, and each answer the offset wanted next. A part that is
+lost, doubled or late, a broken connection of any length, or a change between two leaders with the same content
+therefore costs one part and not the whole. Parts grow while they are answered quickly and shrink while they are not, so
+that a heartbeat behind one is never late: at 2 Mbit/s a part settles at a size that takes between 0.05 and 0.2 s.
 
-The receiver holds at most one content, at most MOST bytes of it as sent, and gives it out once it is whole and has
-the digest told. What it holds is lost with its process: then 0 is wanted, and the sender begins anew.
+The receiver holds at most one content, at most MAX_ENCODED_BYTES of its encoded form, and returns it once it is
+complete and matches the announced digest. What it holds is lost with its process; it then asks for offset 0, and the
+sender starts over.
 """
 
 import base64
@@ -17,24 +18,27 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-LEAST_PART = 4 * 1024  # bytes: 16 ms on 2 Mbit/s, and a third of a second on 100 kbit/s
-FIRST_PART = 16 * 1024  # bytes: 65 ms on 2 Mbit/s
-MOST_PART = 256 * 1024  # bytes: 2 ms on 1 Gbit/s, and what one message of entries may hold
-QUICK = 0.05  # seconds within which an answer says that a part may be twice as long
-SLOW = 0.2  # seconds past which the next is half as long: half of the least time to an election
-UNANSWERED = 0.75  # seconds after which a part is sent again: just past what a call to a peer may take
-MOST = 32 * 1024 * 1024  # bytes held of one content as sent: more than a disk of 64 MB has room for as a snapshot
-MOST_PLAIN = 128 * 1024 * 1024  # bytes that it may become: as a machine of 256 MB can hold it beside its own
-LEVEL = 1  # of deflate: 6 ms for the 3 MB of 12,000 routes, a twentieth of which is left
+MIN_PART_BYTES = 4 * 1024  # 16 ms at 2 Mbit/s, and a third of a second at 100 kbit/s
+INITIAL_PART_BYTES = 16 * 1024  # 65 ms at 2 Mbit/s
+MAX_PART_BYTES = 256 * 1024  # 2 ms at 1 Gbit/s, and what one message of entries may hold
+FAST_ANSWER_S = 0.05  # after an answer within this time the next part is twice as long
+SLOW_ANSWER_S = 0.2  # after a slower answer the next part is half as long: half of the minimum election timeout
+PART_TIMEOUT_S = 0.75  # a part is sent again after this long: just above the timeout of a call to a peer
+MAX_ENCODED_BYTES = (
+    32 * 1024 * 1024
+)  # limit of one encoded content: more than a disk of 64 MB has space for as a snapshot
+# limit of one decoded content: a machine of 256 MB can hold it beside its own state
+MAX_DECODED_BYTES = 128 * 1024 * 1024
+COMPRESSION_LEVEL = 1  # of deflate: 6 ms for the 3 MB of 12,000 routes, which shrink to a twentieth
 
 
-class Unsound(Exception):
-    """What came whole is not what was told, or is more than may be held."""
+class InvalidTransferError(Exception):
+    """A complete content does not match its announced digest, can't be decoded, or exceeds the limit."""
 
 
 @dataclass(frozen=True)
 class Blob:
-    """A content as it is sent. `first` to `index` are the entries that it stands for."""
+    """An encoded content. `first` to `index` are the entries that it covers."""
 
     kind: str  # snapshot or entries
     first: int
@@ -56,24 +60,24 @@
 
 
 def encode(kind: str, first: int, index: int, content: dict[str, Any]) -> Blob:
-    """The content as it is sent, to all peers that lack it."""
-    plain = json.dumps(content, separators=(",", ":")).encode()
-    text = base64.b64encode(zlib.compress(plain, LEVEL)).decode()
+    """Encode a content for sending, for all peers that lack it."""
+    content_bytes = json.dumps(content, separators=(",", ":")).encode()
+    text = base64.b64encode(zlib.compress(content_bytes, COMPRESSION_LEVEL)).decode()
     return Blob(kind, first, index, _digest(text), text)
 
 
 def decode(text: str, digest: str) -> dict[str, Any]:
-    """The content that `encode` made a text of; Unsound if it can't be that."""
+    """Decode a text made by `encode`; InvalidTransferError if it is not one."""
     if _digest(text) != digest:
-        raise Unsound("its digest is another")
+        raise InvalidTransferError("digest does not match")
     inflate = zlib.decompressobj()
     try:
-        plain = inflate.decompress(base64.b64decode(text, validate=True), MOST_PLAIN)
+        content_bytes = inflate.decompress(base64.b64decode(text, validate=True), MAX_DECODED_BYTES)
         if not inflate.eof:
-            raise Unsound(f"it is cut, or more than {MOST_PLAIN} bytes")
-        return json.loads(plain)
+            raise InvalidTransferError(f"content is truncated or longer than {MAX_DECODED_BYTES} bytes")
+        return json.loads(content_bytes)
     except (ValueError, zlib.error) as error:
-        raise Unsound(str(error)) from error
+        raise InvalidTransferError(str(error)) from error
 
 
 def _digest(text: str) -> str:
@@ -81,71 +85,78 @@
 
 
 @dataclass
-class Outgoing:
-    """A content on its way to one peer."""
+class OutgoingTransfer:
+    """The sending end of a content's transfer to one peer."""
 
     blob: Blob
-    offset: int = 0  # the peer has all before it
-    length: int = FIRST_PART
-    sent_at: float | None = None  # when the part under way was sent
-
-    def next(self, now: float) -> Part | None:
-        """The part to send now: the next, or the one unanswered for too long, shorter; None while one is under way."""
+    offset: int = 0  # the peer has everything before it
+    part_bytes: int = INITIAL_PART_BYTES
+    sent_at: float | None = None  # when the unanswered part was sent
+
+    def next_part(self, now: float) -> Part | None:
+        """The part to send now: the next one, or a shorter one if the last was not answered in time; None while one is
+        unanswered.
+        """
         if self.sent_at is not None:
-            if now - self.sent_at < UNANSWERED:
+            if now - self.sent_at < PART_TIMEOUT_S:
                 return None
-            self._shrink()
+            self._shrink_part()
         self.sent_at = now
-        blob, end = self.blob, self.offset + self.length
+        blob, end = self.blob, self.offset + self.part_bytes
         return Part(blob.kind, blob.index, blob.digest, len(blob.text), self.offset, blob.text[self.offset : end])
 
-    def taken(self, now: float, digest: str, offset: int, wanted: int) -> bool:
-        """The peer took the part at `offset` and wants the one at `wanted`. False for an answer to an earlier part."""
+    def on_part_taken(self, now: float, digest: str, offset: int, wanted: int) -> bool:
+        """Handle an answer: the peer took the part at `offset` and wants the one at `wanted`. False for an answer to an
+        earlier part.
+        """
         if self.sent_at is None or digest != self.blob.digest or offset != self.offset:
             return False
-        took, self.sent_at = now - self.sent_at, None
+        answered_after_s, self.sent_at = now - self.sent_at, None
         self.offset = max(0, min(wanted, len(self.blob.text)))
-        if took < QUICK:
-            self.length = min(MOST_PART, 2 * self.length)
-        elif took > SLOW:
-            self._shrink()
+        if answered_after_s < FAST_ANSWER_S:
+            self.part_bytes = min(MAX_PART_BYTES, 2 * self.part_bytes)
+        elif answered_after_s > SLOW_ANSWER_S:
+            self._shrink_part()
         return True
 
-    def _shrink(self) -> None:
-        self.length = max(LEAST_PART, self.length // 2)
+    def _shrink_part(self) -> None:
+        self.part_bytes = max(MIN_PART_BYTES, self.part_bytes // 2)
 
 
 @dataclass
-class Incoming:
-    """The content that is being received, if any."""
+class IncomingTransfer:
+    """The receiving end of a transfer, if there is one."""
 
     digest: str = ""
-    newest: tuple[int, float] = (-1, 0.0)  # term and send time of the newest part taken
+    newest_stamp: tuple[int, float] = (-1, 0.0)  # term and send time of the newest part taken
     texts: list[str] = field(default_factory=list)
-    held: int = 0  # bytes held: what is wanted next begins there
+    received_bytes: int = 0  # bytes held; the next part wanted starts here
 
-    def take(self, part: Part, order: tuple[int, float]) -> bool:
-        """Take a part sent at `order`, term and time; False for one of a content that was given up since."""
+    def add_part(self, part: Part, stamp: tuple[int, float]) -> bool:
+        """Take a part sent at `stamp` (term and time); False for one of a content that was given up since."""
         if part.digest != self.digest:
-            if order <= self.newest:
+            if stamp <= self.newest_stamp:
                 return False
             self.clear()
             self.digest = part.digest
-        self.newest = max(self.newest, order)
-        if part.offset == self.held and self.held + len(part.text) <= min(part.size, MOST):
+        self.newest_stamp = max(self.newest_stamp, stamp)
+        if part.offset == self.received_bytes and self.received_bytes + len(part.text) <= min(
+            part.size, MAX_ENCODED_BYTES
+        ):
             self.texts.append(part.text)
-            self.held += len(part.text)
+            self.received_bytes += len(part.text)
         return True
 
-    def whole(self, part: Part) -> dict[str, Any] | None:
-        """The content, once all of it is here, which is then let go. Unsound, and let go, if it is not what was
-        told."""
-        if self.held < part.size:
+    def take_content(self, part: Part) -> dict[str, Any] | None:
+        """Return the content and forget it, once all of it is here. InvalidTransferError, and forgotten as well, if it
+        does not match.
+        """
+        if self.received_bytes < part.size:
             return None
         text = "".join(self.texts)
         self.clear()
         return decode(text, part.digest)
 
     def clear(self) -> None:
-        """Let go of what is held."""
-        self.digest, self.texts, self.held = "", [], 0
+        """Forget what is held."""
+        self.digest, self.texts, self.received_bytes = "", [], 0
--- a/knotwalk/control_plane/__main__.py
+++ b/knotwalk/control_plane/__main__.py
@@ -16,8 +16,8 @@
 from zlib import crc32
 
 from knotwalk.configuration.read import document
-from knotwalk.consensus.orders import Pace
-from knotwalk.consensus.store import Store, StoreBroken
+from knotwalk.consensus.raft_types import RaftSettings
+from knotwalk.consensus.store import Store, StoreError
 from knotwalk.control_plane.admissions import Admissions
 from knotwalk.control_plane.allowances import Allowances
 from knotwalk.control_plane.claim_group import CONTRACT, Home, configuration_disk_mb
@@ -29,7 +29,7 @@
 from knotwalk.control_plane.slice_manager import SliceManager
 from knotwalk.discovery.board import Board
 from knotwalk.discovery.loads import Loads
-from knotwalk.leases.orders import Pace as KeysPace
+from knotwalk.leases.actions import GrantTiming
 from knotwalk.runtime import logs
 from knotwalk.runtime.call import Caller
 from knotwalk.runtime.life import FIGURES_AFTER, Ending, live
@@ -60,7 +60,7 @@
         self.caller = Caller()
         seed = crc32(f"{settings.node_name}{os.getpid()}{os.urandom(4).hex()}".encode())
         self.consensus = ConsensusDriver(
-            self.store, saved, self.caller, Pace(target=settings.tolerance.members), seed, BORN
+            self.store, saved, self.caller, RaftSettings(target_members=settings.tolerance.members), seed, BORN
         )
         self.consensus.machine.address = own
         self.consensus.machine.contacts = [at for at in founders.values() if at != own]
@@ -78,7 +78,7 @@
             self.board,
             self.loads,
             self.granter,
-            KeysPace.within(settings.bounds.max_hold),
+            GrantTiming.for_max_hold(settings.bounds.max_hold),
             seed,
             self.propose,
             settings.zone,
@@ -206,7 +206,7 @@
 
     def may_end(self) -> bool:
         """Whether no group counts on this machine any more."""
-        return self.consensus.machine.may_end and (self.claims is None or self.claims.may_end)
+        return self.consensus.machine.can_exit and (self.claims is None or self.claims.may_end)
 
     async def watch_members(self) -> None:
         """Tell the edges which cores there are, as members change."""
@@ -238,5 +238,5 @@
 
 
 if __name__ == "__main__":
-    code = live("control_plane", ControlPlane, StoreBroken)
+    code = live("control_plane", ControlPlane, StoreError)
     os._exit(code) if code == 0 else sys.exit(code)  # a thread that hangs on a disk must not hold the end up
--- a/knotwalk/control_plane/account.py
+++ b/knotwalk/control_plane/account.py
@@ -96,7 +96,7 @@
                 "owner": x.owner,
                 "fence": x.fence,
                 "open": x.open,
-                "before": [id for id, _ in x.before],
+                "before": [id for id, _ in x.previous_holders],
                 "node": entry(node, now) if node else None,
             }
         services.append(told)
--- a/knotwalk/control_plane/claim_group.py
+++ b/knotwalk/control_plane/claim_group.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from knotwalk.consensus.orders import Pace, Role
+from knotwalk.consensus.raft_types import RaftSettings, RoleChange
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.claim_queue import ClaimQueue
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeader, opened
@@ -57,7 +57,7 @@
         saved = opened(
             made, str(Path(settings.data_dir or ".") / name), settings.initial_boot, home.address, home.founders
         )
-        pace = Pace(target=settings.tolerance.members, tells_commits=False)
+        pace = RaftSettings(target_members=settings.tolerance.members, sends_commits_at_once=False)
         self.driver = ConsensusDriver(
             made, saved, home.caller, pace, home.seed + part, home.born, ClaimTable, post, name
         )
@@ -78,7 +78,7 @@
         """Whether this machine leads, as far as it knows."""
         return self.machine.role == "leader"
 
-    def _role(self, role: Role) -> None:
+    def _role(self, role: RoleChange) -> None:
         self.clock.restart(clock())
         asyncio.get_running_loop().call_soon(self.on_role)
 
@@ -87,7 +87,7 @@
 
         NotLeader or Lost where that can't be, or its outcome is not known."""
         machine = self.machine
-        if not machine.settled or machine.applied < machine.log.last:
+        if not machine.is_commit_current or machine.applied < machine.log.last:
             raise NotLeader(None)  # members are being changed, or entries of an earlier leader are not applied yet
         now = clock()
         entry = command(self.clock.time(self.driver.state, now), self.hold, batch)
--- a/knotwalk/control_plane/claim_groups.py
+++ b/knotwalk/control_plane/claim_groups.py
@@ -227,7 +227,7 @@
         until = clock() + KEPT_WAIT
         try:
             self._receive(messages)
-            while any(group.machine.unkept for group in self.groups) and (left := until - clock()) > 0:
+            while any(group.machine.is_saving for group in self.groups) and (left := until - clock()) > 0:
                 self.kept.clear()
                 try:
                     await asyncio.wait_for(self.kept.wait(), left)
@@ -249,7 +249,7 @@
     @property
     def may_end(self) -> bool:
         """Whether no group counts on this machine any more."""
-        return all(group.machine.may_end for group in self.groups)
+        return all(group.machine.can_exit for group in self.groups)
 
     async def close(self) -> None:
         """End all work."""
--- a/knotwalk/control_plane/consensus_driver.py
+++ b/knotwalk/control_plane/consensus_driver.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.orders import Answer, Apply, Pace, Restore, Role, Save, Send
-from knotwalk.consensus.store import Damaged, Refused, Store
+from knotwalk.consensus.raft_types import Answer, Apply, RaftSettings, Restore, RoleChange, Save, Send
+from knotwalk.consensus.store import Store, StoreDamagedError, StoreUnavailableError
 from knotwalk.control_plane.agreed_state import AgreedState
 from knotwalk.control_plane.compaction import Compaction
 from knotwalk.control_plane.peer_lanes import PATIENCE as PATIENCE, PeerLanes
@@ -37,12 +37,12 @@
         try:
             try:
                 return store.open(data_dir, first_start, address, founders)
-            except Damaged as error:
+            except StoreDamagedError as error:
                 if str(error) != said:
                     log_warning("log file damaged", why=str(error), done="put aside; this machine counts as a new one")
                 said = str(error)
                 store.set_aside()
-        except Refused as error:
+        except StoreUnavailableError as error:
             if str(error) != said:
                 log_warning("disk", why=str(error))
             said = str(error)
@@ -73,7 +73,7 @@
         store: Store,
         saved: Any,
         caller: Caller,
-        pace: Pace,
+        pace: RaftSettings,
         seed: int,
         born: float,
         kind: type[AgreedState] = ReplicatedState,
@@ -94,7 +94,7 @@
         self.tasks: set[asyncio.Task] = set()
         self.on_change: Callable[[int, Any], None] = lambda index, changes: None
         self.on_config: Callable[[], None] = lambda: None
-        self.on_role: Callable[[Role], None] = lambda role: None
+        self.on_role: Callable[[RoleChange], None] = lambda role: None
         self.on_restore: Callable[[], None] = lambda: None
         self.on_damage: Callable[[], None] = lambda: None
         self.on_kept: Callable[[], None] = lambda: None
@@ -133,8 +133,8 @@
     def carry_out(self) -> None:
         """Carry out what the machine ordered, and see when to call it next."""
         machine = self.machine
-        while machine.orders:
-            orders, machine.orders = machine.orders, []
+        while machine.actions:
+            orders, machine.actions = machine.actions, []
             for order in orders:
                 match order:
                     case Save():
@@ -149,7 +149,7 @@
                     case Restore(state, _):
                         self.state, self.news = self.kind.from_dict(state), False
                         self.on_restore()
-                    case Role():
+                    case RoleChange():
                         log_info(
                             "role", group=self.group, role=order.role, term=order.term, leader=order.leader_address
                         )
@@ -159,7 +159,7 @@
             self.on_config()
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(0.0, min(1.0, machine.wake - clock()))
+        wait = max(0.0, min(1.0, machine.wake_at - clock()))
         self.timer = asyncio.get_running_loop().call_later(wait, self.turn) if not self.closing else None
 
     def _apply(self, entry: Any) -> None:
@@ -190,7 +190,7 @@
                         self._fail("a write hangs")
                         await work
                     break
-                except Damaged as error:  # what the disk has must be read anew: by the next life
+                except StoreDamagedError as error:  # what the disk has must be read anew: by the next life
                     log_warning(
                         "log file damaged", why=str(error), done="this life ends; the next one looks at it whole"
                     )
@@ -205,7 +205,7 @@
             if self.hung:
                 self.hung = False
                 log_info("disk answers again")
-            self.machine.kept(clock(), save.number)
+            self.machine.on_saved(clock(), save.number)
             self.carry_out()
             self.on_kept()
 
@@ -213,7 +213,7 @@
         if not self.hung:
             self.hung = True
             log_warning("disk", group=self.group, why=why)
-        self.machine.failed(clock())
+        self.machine.on_save_failed(clock())
         self.carry_out()
 
     # --- peers ---------------------------------------------------------------------------------------
@@ -232,12 +232,12 @@
             self.machine.receive(now, message)
         back, rest = [], []
         origin = messages[0].get("at", "") if messages else ""
-        for order in self.machine.orders:
+        for order in self.machine.actions:
             if isinstance(order, Send) and order.to_address == origin:
                 back.append(order.message)
             else:
                 rest.append(order)
-        self.machine.orders = rest
+        self.machine.actions = rest
         self.carry_out()
         return back
 
--- a/knotwalk/control_plane/control.py
+++ b/knotwalk/control_plane/control.py
@@ -47,7 +47,7 @@
         and its next try may begin there again; meanwhile the others elect."""
         machine = self.consensus.machine
         while machine.role != "leader":
-            if machine.leader and machine.heard_at >= asked_at:
+            if machine.leader and machine.leader_heard_at >= asked_at:
                 return machine.leader
             if clock() - asked_at >= WAIT_LEADER:
                 raise NotLeader(None)
--- a/knotwalk/control_plane/figures.py
+++ b/knotwalk/control_plane/figures.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Mapping
 from typing import TYPE_CHECKING
 
-from knotwalk.leases.slice_tenure import State
+from knotwalk.leases.slice_lease import State
 from knotwalk.runtime.metrics import Figure, Kind, gauge, loop_delay
 from knotwalk.shared_state.messages import Admission, Ending
 
@@ -23,7 +23,7 @@
 
 def slices(plane: ControlPlane) -> Figure:
     """The slices that this core leases, by where each stands on its way to an owner."""
-    found = Counter((x.service, x.state.value) for x in plane.conductor.keeper.tenures.values())
+    found = Counter((x.service, x.state.value) for x in plane.conductor.keeper.slice_leases.values())
     samples: dict[tuple[str, ...], float] = {
         (service, state.value): found[service, state.value]
         for service in plane.consensus.state.ledger.slices
@@ -115,7 +115,9 @@
     yield gauge("knotwalk_core_last_index", "the last entry of the log here", machine.log.last)
     yield gauge("knotwalk_core_configuration_version", "the configuration in force, 0 for none", state.version)
     yield gauge("knotwalk_core_disk_refuses", "1 while a write hangs or was refused", plane.consensus.hung)
-    yield gauge("knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.keeper.until - now)
+    yield gauge(
+        "knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.keeper.lease_until - now
+    )
     yield gauge("knotwalk_core_edges", "edges heard of in the last ten seconds", plane.loads.count(now))
     yield slices(plane)
     yield nodes(now, plane)
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -10,8 +10,8 @@
 from knotwalk.discovery.board import Board
 from knotwalk.discovery.listing import Listing, Unusable
 from knotwalk.discovery.view_types import Node, entry, node_of
+from knotwalk.leases.conductor_leases import LEADERSHIP_PROOF_S, ConductorLeases, hand_over, reassign
 from knotwalk.leases.ledger import ranges
-from knotwalk.leases.tenure import PROOF, Tenure, hand_over, reassign
 from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.logs import clock, log_info, log_warning
@@ -39,7 +39,7 @@
 
     def __init__(self, settings: Settings, consensus: ConsensusDriver, board: Board, caller: Caller, me: str):
         self.settings, self.consensus, self.board, self.caller, self.me = settings, consensus, board, caller, me
-        self.tenure: Tenure | None = None
+        self.tenure: ConductorLeases | None = None
         self.turn_of_list = 0
         self.own_list: asyncio.Task | None = None
         self.own_list_at = float("-inf")
@@ -47,7 +47,7 @@
 
     def role(self, leads: bool) -> None:
         """This machine leads from now on, or does no more."""
-        self.tenure = Tenure(clock()) if leads else None
+        self.tenure = ConductorLeases(clock()) if leads else None
 
     @property
     def proven(self) -> bool:
@@ -56,8 +56,8 @@
         return (
             self.tenure is not None
             and machine.role == "leader"
-            and machine.settled
-            and clock() - machine.majority_at < PROOF
+            and machine.is_commit_current
+            and clock() - machine.majority_acked_at < LEADERSHIP_PROOF_S
         )
 
     def lease(self, conductor: str) -> dict | None:
@@ -66,7 +66,7 @@
             return None
         machine = self.consensus.machine
         return {
-            "lease": self.tenure.asked(clock(), conductor),
+            "lease": self.tenure.renew(clock(), conductor),
             "commit": machine.commit,
             "last": machine.log.last,
             "term": machine.term,
@@ -76,7 +76,7 @@
     def leave(self, conductor: str) -> None:
         """A conductor said that it acts no more."""
         if self.tenure is not None:
-            self.tenure.left(clock(), conductor)
+            self.tenure.on_left(clock(), conductor)
 
     # --- slices without a conductor ---------------------------------------------------------------
 
@@ -91,11 +91,11 @@
             for service in list(self.consensus.state.ledger.slices):
                 await self.mind(tenure, service)
 
-    def holds(self, tenure: Tenure) -> bool:
+    def holds(self, tenure: ConductorLeases) -> bool:
         """Whether what `tenure` says still counts: this machine has led ever since, and is proven."""
         return self.tenure is tenure and self.proven
 
-    async def mind(self, tenure: Tenure, service: str) -> None:
+    async def mind(self, tenure: ConductorLeases, service: str) -> None:
         """One look at a service's leases. Each proposal waits for its commit; meanwhile leadership may be lost, also
         won anew, and a conductor that seemed gone may be given a lease: all is asked again before the next."""
         slices = self.consensus.state.ledger.slices.get(service)
@@ -103,7 +103,7 @@
             return
         now = clock()
         leased = [s.conductor for s in slices]
-        tenure.replaced(now, leased, self.consensus.machine.members)
+        tenure.end_replaced(now, leased, self.consensus.machine.members)
         for conductor, found in reassign(tenure, now, leased).items():
             log_info("slices leased", service=service, to=conductor, runs=found)
             for before, runs in by_conductor(leased, found).items():
@@ -112,14 +112,16 @@
         slices = self.consensus.state.ledger.slices.get(service, ())
         if self.holds(tenure) and (hand := hand_over(tenure, clock(), slices)):
             log_info("slices handed over", service=service, by=hand[0], to=hand[1], runs=hand[2])
-            tenure.hands(clock())
+            tenure.note_hand_over(clock())
             await self.give(service, *hand)
 
-    async def take_from(self, tenure: Tenure, service: str, before: str, to: str, runs: list[list[int]]) -> bool:
+    async def take_from(
+        self, tenure: ConductorLeases, service: str, before: str, to: str, runs: list[list[int]]
+    ) -> bool:
         """Lease what `before` leased to `to`, if by now the one surely may not act and the other may; says whether."""
         now = clock()
-        gone = not before or not tenure.alive(now, before) and tenure.ended(now, before)
-        if not self.holds(tenure) or not gone or not tenure.alive(now, to):
+        gone = not before or not tenure.is_alive(now, before) and tenure.has_ended(now, before)
+        if not self.holds(tenure) or not gone or not tenure.is_alive(now, to):
             return False
         return await self.give(service, before, to, runs)
 
@@ -130,7 +132,13 @@
             return False
         try:
             await self.consensus.propose(
-                {"do": "lease", "from": before, "to": to, "early": tenure.early(clock()), "slices": {service: runs}}
+                {
+                    "do": "lease",
+                    "from": before,
+                    "to": to,
+                    "early": tenure.has_recent_hand_over(clock()),
+                    "slices": {service: runs},
+                }
             )
             return True
         except (NotLeader, Lost):
--- a/knotwalk/control_plane/peer_api.py
+++ b/knotwalk/control_plane/peer_api.py
@@ -9,7 +9,7 @@
 
 from sanic import HTTPResponse, Request, Sanic
 
-from knotwalk.consensus.orders import OUTSIDER
+from knotwalk.consensus.raft_types import OUTSIDER
 from knotwalk.control_plane import account
 from knotwalk.control_plane.claim_groups import CLAIMS, MESSAGES, ClaimGroups
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost, NotLeader
@@ -19,7 +19,7 @@
 from knotwalk.discovery.loads import Loads
 from knotwalk.discovery.reachability import unreached_nodes
 from knotwalk.discovery.view_types import FRESH, KEYS
-from knotwalk.leases.tenure import ASK, PROOF
+from knotwalk.leases.conductor_leases import LEADERSHIP_PROOF_S, LEASE_REQUEST_INTERVAL_S
 from knotwalk.runtime.call import Caller
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.logs import clock, log_warning
@@ -164,7 +164,7 @@
                     await asyncio.sleep(0.02)
                 if tuple(given["nodes"]) > self.board.nodes_order and machine.leader:
                     await self.ask_nodes(machine.leader)
-            await asyncio.sleep(max(0.0, sent + (ASK if given else 0.03) - clock()))
+            await asyncio.sleep(max(0.0, sent + (LEASE_REQUEST_INTERVAL_S if given else 0.03) - clock()))
 
     async def ask_nodes(self, leader: str) -> None:
         """Ask the leader for a list that is newer than the one here."""
@@ -215,7 +215,7 @@
                 pass
         told = {"fresh": fresh, "zone": self.list_poller.settings.zone, "edges": self.loads.count(now)}
         if fresh:
-            told["proven"] = round(self.fresh_until - FRESH - PROOF - arrived, 3)
+            told["proven"] = round(self.fresh_until - FRESH - LEADERSHIP_PROOF_S - arrived, 3)
         if message:
             told["news"] = message
         elif provisional and not fresh and self.alone():
@@ -249,7 +249,13 @@
         knows no leader, not even by hearsay: then those that start with it know no more."""
         machine = self.consensus.machine
         young = clock() - self.started < PROVISIONAL
-        return young and not self.fresh_until and not self.leaving and machine.role != OUTSIDER and not machine.rumour
+        return (
+            young
+            and not self.fresh_until
+            and not self.leaving
+            and machine.role != OUTSIDER
+            and not machine.last_known_leader
+        )
 
     # --- operators --------------------------------------------------------------------------------
 
--- a/knotwalk/control_plane/replicated_state.py
+++ b/knotwalk/control_plane/replicated_state.py
@@ -14,7 +14,7 @@
 from knotwalk.configuration.history import History, Standing
 from knotwalk.configuration.objects import Configuration
 from knotwalk.configuration.read import Invalid, document, patched, read_configuration
-from knotwalk.leases.ledger import Change, Ledger
+from knotwalk.leases.ledger import Ledger, OwnerChange
 
 # Of snapshots; raised when older programs could not read them. 2: rows of the ledger tell of an `early` lease. 3:
 # fences may have a lift; only those that have say so. 4: the history has a floor and marks instead of 64 digests.
@@ -42,7 +42,7 @@
         """The version in force; 0 before the first."""
         return self.configuration.version if self.configuration else 0
 
-    def apply(self, index: int, command: dict) -> tuple[str, list[Change]]:
+    def apply(self, index: int, command: dict) -> tuple[str, list[OwnerChange]]:
         """Take the entry `index`: (`DONE` or why not, owner lines that changed)."""
         self.applied = index
         if command.get("do") != "configure":
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -10,9 +10,9 @@
 from knotwalk.discovery.board import Board
 from knotwalk.discovery.loads import Loads
 from knotwalk.discovery.reachability import PeerReachability, UnreachedNodes
+from knotwalk.leases.actions import REFUSED, UNSENT, Grant, GrantTiming, Propose, Release
 from knotwalk.leases.evidence import Event, Evidence, HolderCleared, NodeUnreachable
-from knotwalk.leases.keeper import Keeper
-from knotwalk.leases.orders import REFUSED, UNSENT, Grant, Pace, Propose, Release
+from knotwalk.leases.grant_manager import GrantManager
 from knotwalk.placement.capacity import Report, utilizations
 from knotwalk.placement.placer import Placer
 from knotwalk.runtime.call import Caller, Refused
@@ -47,14 +47,14 @@
         board: Board,
         loads: Loads,
         caller: Caller,
-        pace: Pace,
+        pace: GrantTiming,
         seed: int,
         propose: Callable[[dict], Awaitable[str | None]],
         zone: str = "",
     ):
         self.me, self.consensus, self.board, self.loads, self.caller = me, consensus, board, loads, caller
         self.pace, self.propose = pace, propose
-        self.keeper = Keeper(me, pace, seed, clock())
+        self.keeper = GrantManager(me, pace, seed, clock())
         self.peers_reach = PeerReachability()
         self.placer = Placer(me, seed, zone)
         self.timer: asyncio.TimerHandle | None = None
@@ -66,18 +66,18 @@
 
     def leased(self, until: float, index: int) -> None:
         """A lease until then, given when the leader's log went to `index`."""
-        self.keeper.leased(clock(), until, index)
+        self.keeper.on_lease_proven(clock(), until, index)
         self.carry_out()
 
     def look(self, whole: bool = False) -> None:
         """The agreed ledger took an entry, or stands anew."""
         ledger = self.consensus.state.ledger
-        self.keeper.look(clock(), ledger, None if whole else ledger.touched)
+        self.keeper.on_ledger(clock(), ledger, None if whole else ledger.changed)
         self.carry_out()
 
     def listed(self) -> None:
         """The platform's list is another."""
-        self.keeper.nodes(clock(), self.board.nodes)
+        self.keeper.on_nodes_listed(clock(), self.board.nodes)
         listed = {node.address for node in self.board.nodes.values()}
         self.lanes = {key: lane for key, lane in self.lanes.items() if key[0] in listed}
         self.carry_out()
@@ -103,8 +103,8 @@
             log_event(event)
             if isinstance(event, HolderCleared):
                 self.cleared[event.evidence] += event.slices
-        while keeper.orders:
-            orders, keeper.orders = keeper.orders, []
+        while keeper.actions:
+            orders, keeper.actions = keeper.actions, []
             for order in orders:
                 match order:
                     case Grant():
@@ -115,7 +115,7 @@
                         self._spawn(self.propose(order.command))
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(max(0.005, min(0.5, keeper.wake - clock())), self.tick)
+        self.timer = asyncio.get_running_loop().call_later(max(0.005, min(0.5, keeper.wake_at - clock())), self.tick)
 
     def _spawn(self, work: Awaitable) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -152,14 +152,14 @@
             pass
         else:
             try:
-                until = order.expires if isinstance(order, Grant) else self.keeper.until
+                until = order.expires if isinstance(order, Grant) else self.keeper.lease_until
                 if not self.stopped and clock() < until:  # its turn may have come late
                     status, handover = await self._sent(order, step, body)
             finally:
                 lane.release()
         self.calls[step, str(status or "silent")] += 1
         if not self.stopped:
-            self.keeper.answered(clock(), order, status, handover)
+            self.keeper.on_call_ended(clock(), order, status, handover)
             self.carry_out()
 
     async def _sent(self, order: Grant | Release, step: str, body: dict) -> tuple[int | str | None, str | None]:
@@ -182,7 +182,7 @@
         while not self.stopped:
             await asyncio.sleep(STEP)
             now = clock()
-            if now >= self.keeper.until or not self.board.nodes:
+            if now >= self.keeper.lease_until or not self.board.nodes:
                 continue
             try:
                 moves = self.moves(now)
@@ -196,8 +196,8 @@
     def moves(self, now: float) -> list[dict]:
         """What the placer wants moved, if there is anything new to look at."""
         ledger = self.consensus.state.ledger
-        unreachable = {id for id in self.board.nodes if self.keeper.unreachable(id)}
-        lapsed = self.keeper.lapsed(now)
+        unreachable = {id for id in self.board.nodes if self.keeper.is_unreachable(id)}
+        lapsed = self.keeper.lapsed_slices(now)
         avoided = frozenset(self.peers_reach.since(now))
         news = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.ailing
         if not self.placer.due(now, news):
--- a/knotwalk/edge/freshness.py
+++ b/knotwalk/edge/freshness.py
@@ -11,7 +11,7 @@
 import math
 
 from knotwalk.discovery.view_types import FRESH
-from knotwalk.leases.tenure import PROOF
+from knotwalk.leases.conductor_leases import LEADERSHIP_PROOF_S
 
 # Seconds of `revoke_timeout` that the lease leaves out: steady clocks that run unlike, and a stall between the last
 # look at the lease and the sending.
@@ -41,7 +41,7 @@
 
         `after`: seconds from the call's arrival to the core's last proof, below 0 if that was before; None where the
         core does not tell, so that it may be as old as a fresh core's can be."""
-        self.proven_at = max(self.proven_at, asked_at + (-FRESH - PROOF if after is None else after))
+        self.proven_at = max(self.proven_at, asked_at + (-FRESH - LEADERSHIP_PROOF_S if after is None else after))
 
     def holds(self, now: float) -> bool:
         """Whether the configuration here can be taken for the newest, but for one of the last `length` seconds."""
--- a/knotwalk/leases/__init__.py
+++ b/knotwalk/leases/__init__.py
@@ -1,5 +1,5 @@
-"""leases: who may hold which keys until when (a peer is leased its piece of ground, and gives it back).
+"""Leases: which node may hold which keys until when.
 
-Owns slices, fences, grants, releases and handovers, and the proof that a conductor may still act. Pure but for the
-caller beside it; must never choose where a slice should go: that is placement's.
+Owns slices, fences, grants, releases and handovers, and the proof that a conductor may still act. Pure except for the
+program that drives it. Must never choose where a slice should go: that is up to placement.
 """
--- a/knotwalk/leases/ledger.py
+++ b/knotwalk/leases/ledger.py
@@ -1,17 +1,17 @@
-"""The ledger of slices: who leases, owns and may still hold each, as the agreed log tells; the same on every core.
+"""The ledger of slices: which conductor leases, and which nodes own and may still hold each, by the agreed log.
 
-Deterministic: what an entry does depends on the ledger and the entry alone. A command that does not fit the state is
-left out for the slices that it does not fit, never an error, so an entry may be proposed twice. Commands:
+Deterministic and equal on every core: the effect of an entry depends on the ledger and the entry alone. A command has
+no effect on slices whose state it does not fit, and is never an error, so an entry may be proposed twice. Commands:
 
     {"do": "shard", "services": [name, ...]}                            slices exist from now on, leased by nobody
     {"do": "lease", "from": conductor, "to": conductor, "early": bool, "slices": {service: [[first, last], ...]}}
     {"do": "move", "by": conductor, "moves": [[service, first, last, fence seen, node], ...], "outbid": bool}
     {"do": "granted", "by": conductor, "fence": fence, "slices": {service: [[first, last], ...]}}
 
-A fence is the index of its move's entry and a lift, which is nothing until a node is found to have seen a higher one.
-That is so where a core was founded anew and its log began at 1 while nodes of the old one live on: they refuse its
-grants, and nobody tells how high to go. So each time a fence of the last lift is refused the lift is doubled: some
-seventeen refusals pass a hundred million entries.
+A fence is the index of its move's entry plus a lift, which is 0 until a node turns out to have seen a higher fence.
+That happens when a core was set up anew and its log started at 1 while nodes of the former core still run: they refuse
+its grants, and nothing says how high the fence must be. So each time a fence with the current lift is refused, the lift
+is doubled: some seventeen refusals exceed a hundred million entries.
 """
 
 from __future__ import annotations
@@ -22,26 +22,29 @@
 
 from knotwalk.discovery.view_types import SLICES
 
-# The first lift, about as many entries as a quarter of an hour brings; and the last, well within what JSON carries
+# The first lift is about the number of entries in a quarter of an hour. The maximum is well within what JSON carries
 # exactly.
-LIFT, LIFT_MOST = 1024, 2**52
+MIN_FENCE_LIFT, MAX_FENCE_LIFT = 1024, 2**52
 
 
 @dataclass(slots=True)
 class Slice:
-    """One slice. Whoever may hold its keys is `owner` or in `before`; nobody else ever."""
+    """One slice. Only `owner` and the nodes in `previous_holders` may hold its keys."""
 
-    conductor: str = ""  # the core member that leases it
-    since: int = 0  # the entry that leased it: another one is another lease, though the conductor be the same
+    conductor: str = ""  # the core member that leases it, or ""
+    # index of the entry that leased it; another entry means another lease, even of the same conductor
+    lease_index: int = 0
     owner: str = ""  # a node's id, or "" before the first move
-    fence: int = 0  # the entry of the last move, and the lift
-    open: bool = False  # the owner has been granted the keys under this fence
-    before: list[tuple[str, int]] = field(default_factory=list)  # (node, its fence): who may hold them besides
-    early: bool = False  # leased while a conductor before may still act by an older log (`tenure`)
+    fence: int = 0  # index of the last move's entry, plus the lift
+    open: bool = False  # the owner was granted the keys under this fence
+    previous_holders: list[tuple[str, int]] = field(
+        default_factory=list
+    )  # (node, its fence): others that may hold them
+    previous_may_act: bool = False  # leased while a former conductor may still act on an older log (`conductor_leases`)
 
 
-class Change(NamedTuple):
-    """An owner line that an entry changed."""
+class OwnerChange(NamedTuple):
+    """A change of a slice's owner, or of whether it is open."""
 
     service: str
     slice: int
@@ -52,147 +55,166 @@
 class Ledger:
     """The slices of all sharded services.
 
-    `touched` names what the last entry changed in any way, leases included: (service, slice). `index` is the last entry
-    taken; entries of other kinds are to be applied as well, so that it tells how far the log has been followed."""
+    `changed` lists the slices that the last entry changed in any way, leases included: (service, slice). `index` is the
+    last entry applied; entries of other kinds must be applied as well, so that it shows how far the log has been
+    followed.
+    """
 
     def __init__(self) -> None:
         self.index = 0
-        self.lift, self.lifted = 0, 0  # and the first fence that has it
+        self.fence_lift, self.lifted_from = 0, 0  # and the first fence that includes it
         self.slices: dict[str, list[Slice]] = {}
-        self.touched: list[tuple[str, int]] = []
+        self.changed: list[tuple[str, int]] = []
 
-    def apply(self, index: int, command: dict) -> list[Change]:
-        """Take the entry `index` of the log; the owner lines that it changed."""
-        self.index, self.touched = index, []
-        step = self._STEPS.get(_text(command.get("do")))
-        return step(self, index, command) if step else []
+    def apply(self, index: int, command: dict) -> list[OwnerChange]:
+        """Apply the log entry at `index` and return the owner changes that it made."""
+        self.index, self.changed = index, []
+        handler = self._HANDLERS.get(_as_text(command.get("do")))
+        return handler(self, index, command) if handler else []
 
-    def _shard(self, _index: int, command: dict) -> list[Change]:
-        for service in _items(command.get("services")):
+    def _shard(self, _index: int, command: dict) -> list[OwnerChange]:
+        for service in _as_sequence(command.get("services")):
             if isinstance(service, str) and service not in self.slices:
                 self.slices[service] = [Slice() for _ in range(SLICES)]
-                self.touched += [(service, k) for k in range(SLICES)]
+                self.changed += [(service, number) for number in range(SLICES)]
         return []
 
-    def _lease(self, index: int, command: dict) -> list[Change]:
-        to, before = _text(command.get("to")), command.get("from")
-        for service, k, x in self._named(command.get("slices")):
-            # Only from whom the leader saw it with: an entry of the leader before may have leased it meanwhile.
-            if x.conductor != to and before in (None, x.conductor):
-                x.early = bool(command.get("early") and x.conductor)
-                x.conductor, x.since = to, index
-                self.touched.append((service, k))
+    def _lease(self, index: int, command: dict) -> list[OwnerChange]:
+        conductor, from_conductor = _as_text(command.get("to")), command.get("from")
+        for service, number, row in self._select(command.get("slices")):
+            # Only if its conductor is still the one that the leader saw: an entry of the former leader may have leased
+            # it meanwhile.
+            if row.conductor != conductor and from_conductor in (None, row.conductor):
+                row.previous_may_act = bool(command.get("early") and row.conductor)
+                row.conductor, row.lease_index = conductor, index
+                self.changed.append((service, number))
         return []
 
-    def _move(self, index: int, command: dict) -> list[Change]:
-        by, changes = _text(command.get("by")), []
-        lift = self.lift
-        for move in _items(command.get("moves")):
-            if not isinstance(move, (list, tuple)) or len(move) != 5 or not _text(move[4]):
+    def _move(self, index: int, command: dict) -> list[OwnerChange]:
+        by, changes = _as_text(command.get("by")), []
+        old_lift = self.fence_lift
+        for move in _as_sequence(command.get("moves")):
+            if not isinstance(move, (list, tuple)) or len(move) != 5 or not _as_text(move[4]):
                 continue
             service, first, last, fence, target = move
-            for service, k, x in self._named({service: [[first, last]]} if isinstance(service, str) else {}):
-                if not by or x.conductor != by or x.fence != fence:
+            for service, number, row in self._select({service: [[first, last]]} if isinstance(service, str) else {}):
+                if not by or row.conductor != by or row.fence != fence:
                     continue
-                if command.get("outbid") and x.fence >= self.lifted and lift == self.lift:
-                    self.lift = min(LIFT_MOST, max(LIFT, 2 * lift))
-                    self.lifted = index + self.lift
-                if x.owner:
-                    x.before.append((x.owner, x.fence))
-                # The owner is itself counted as a holder, so it is no foreign one; each other node counts once.
-                x.before = [(id, f) for id, f in dict(x.before).items() if id != target]
-                x.owner, x.fence, x.open = target, index + self.lift, False
-                self.touched.append((service, k))
-                changes.append(Change(service, k, target, False))
+                if command.get("outbid") and row.fence >= self.lifted_from and old_lift == self.fence_lift:
+                    self.fence_lift = min(MAX_FENCE_LIFT, max(MIN_FENCE_LIFT, 2 * old_lift))
+                    self.lifted_from = index + self.fence_lift
+                if row.owner:
+                    row.previous_holders.append((row.owner, row.fence))
+                # The owner counts as a holder anyway, so it is not listed among the previous ones; each other node is
+                # listed once.
+                row.previous_holders = [
+                    (id, old_fence) for id, old_fence in dict(row.previous_holders).items() if id != target
+                ]
+                row.owner, row.fence, row.open = target, index + self.fence_lift, False
+                self.changed.append((service, number))
+                changes.append(OwnerChange(service, number, target, False))
         return changes
 
-    def _granted(self, _index: int, command: dict) -> list[Change]:
-        by, fence, changes = _text(command.get("by")), command.get("fence"), []
-        for service, k, x in self._named(command.get("slices")):
-            if by and x.conductor == by and x.owner and x.fence == fence and not x.open:
-                x.open, x.before = True, []
-                self.touched.append((service, k))
-                changes.append(Change(service, k, x.owner, True))
+    def _granted(self, _index: int, command: dict) -> list[OwnerChange]:
+        by, fence, changes = _as_text(command.get("by")), command.get("fence"), []
+        for service, number, row in self._select(command.get("slices")):
+            if by and row.conductor == by and row.owner and row.fence == fence and not row.open:
+                row.open, row.previous_holders = True, []
+                self.changed.append((service, number))
+                changes.append(OwnerChange(service, number, row.owner, True))
         return changes
 
-    _STEPS: dict[str, Callable[[Ledger, int, dict], list[Change]]] = {
+    _HANDLERS: dict[str, Callable[[Ledger, int, dict], list[OwnerChange]]] = {
         "shard": _shard,
         "lease": _lease,
         "move": _move,
         "granted": _granted,
     }
 
-    def _named(self, ranges: object) -> Iterator[tuple[str, int, Slice]]:
-        """The slices that a command names, those that there are."""
-        if not isinstance(ranges, dict):
+    def _select(self, runs_by_service: object) -> Iterator[tuple[str, int, Slice]]:
+        """The existing slices that a command names."""
+        if not isinstance(runs_by_service, dict):
             return
-        for service, runs in ranges.items():
-            line = self.slices.get(service)
-            for run in _items(runs) if line else ():
-                if isinstance(run, (list, tuple)) and len(run) == 2 and all(isinstance(k, int) for k in run):
-                    for k in range(max(0, run[0]), min(SLICES - 1, run[1]) + 1):
-                        yield service, k, line[k]
+        for service, runs in runs_by_service.items():
+            slices = self.slices.get(service)
+            for run in _as_sequence(runs) if slices else ():
+                if isinstance(run, (list, tuple)) and len(run) == 2 and all(isinstance(number, int) for number in run):
+                    for number in range(max(0, run[0]), min(SLICES - 1, run[1]) + 1):
+                        yield service, number, slices[number]
 
     def to_dict(self) -> dict:
-        """A snapshot for JSON; neighbours alike as one: [how many, conductor, since, owner, fence, open, before,
-        early]."""
+        """A snapshot for JSON. Adjacent equal slices share a row: [count, conductor, lease index, owner, fence, open,
+        previous holders, early].
+        """
         services: dict[str, list[list]] = {}
-        for service, line in self.slices.items():
+        for service, slices in self.slices.items():
             rows: list[list] = []
-            for x in line:
-                row = [x.conductor, x.since, x.owner, x.fence, int(x.open), [list(b) for b in x.before], int(x.early)]
-                if rows and rows[-1][1:] == row:
+            for row in slices:
+                encoded = [
+                    row.conductor,
+                    row.lease_index,
+                    row.owner,
+                    row.fence,
+                    int(row.open),
+                    [list(holder) for holder in row.previous_holders],
+                    int(row.previous_may_act),
+                ]
+                if rows and rows[-1][1:] == encoded:
                     rows[-1][0] += 1
                 else:
-                    rows.append([1, *row])
+                    rows.append([1, *encoded])
             services[service] = rows
-        return {"index": self.index, "services": services} | ({"lift": [self.lift, self.lifted]} if self.lift else {})
+        return {"index": self.index, "services": services} | (
+            {"lift": [self.fence_lift, self.lifted_from]} if self.fence_lift else {}
+        )
 
     @classmethod
-    def from_dict(cls, raw: dict) -> Ledger:
-        """The ledger of a snapshot; all of it counts as touched. KeyError or ValueError if it is none."""
+    def from_dict(cls, snapshot: dict) -> Ledger:
+        """The ledger of a snapshot, in which everything counts as changed. KeyError or ValueError if the snapshot is
+        invalid.
+        """
         ledger = cls()
-        ledger.index = raw["index"]
-        ledger.lift, ledger.lifted = raw.get("lift", (0, 0))
-        for service, rows in raw["services"].items():
-            line = ledger.slices[service] = []
-            for count, conductor, since, owner, fence, opened, before, *early in rows:
-                line += [
+        ledger.index = snapshot["index"]
+        ledger.fence_lift, ledger.lifted_from = snapshot.get("lift", (0, 0))
+        for service, rows in snapshot["services"].items():
+            slices = ledger.slices[service] = []
+            for count, conductor, lease_index, owner, fence, is_open, previous_holders, *early in rows:
+                slices += [
                     Slice(
                         conductor,
-                        since,
+                        lease_index,
                         owner,
                         fence,
-                        bool(opened),
-                        [(id, f) for id, f in before],
+                        bool(is_open),
+                        [(id, holder_fence) for id, holder_fence in previous_holders],
                         bool(early and early[0]),
                     )
                     for _ in range(count)
                 ]
-            if len(line) != SLICES:
-                raise ValueError(f"a snapshot has {len(line)} slices of {service}, and not {SLICES}")
-            ledger.touched += [(service, k) for k in range(SLICES)]
+            if len(slices) != SLICES:
+                raise ValueError(f"snapshot has {len(slices)} slices of {service} instead of {SLICES}")
+            ledger.changed += [(service, number) for number in range(SLICES)]
         return ledger
 
 
-def _items(value: Any) -> Iterable:
+def _as_sequence(value: Any) -> Iterable:
     return value if isinstance(value, (list, tuple)) else ()
 
 
-def _text(value: Any) -> str:
+def _as_text(value: Any) -> str:
     return value if isinstance(value, str) else ""
 
 
 def ranges(slices: Iterable[int]) -> list[list[int]]:
-    """Slices as runs of neighbours.
+    """Slices as runs of adjacent numbers.
 
     >>> ranges([4, 1, 2, 3, 9])
     [[1, 4], [9, 9]]
     """
     runs: list[list[int]] = []
-    for k in sorted(slices):
-        if runs and runs[-1][1] == k - 1:
-            runs[-1][1] = k
+    for number in sorted(slices):
+        if runs and runs[-1][1] == number - 1:
+            runs[-1][1] = number
         else:
-            runs.append([k, k])
+            runs.append([number, number])
     return runs
--- a/knotwalk/leases/planning.py
+++ b/knotwalk/leases/planning.py
@@ -1,6 +1,6 @@
-"""Batches of what slices want: neighbours share a release, a grant or a line of an entry for the log.
+"""Batches of requests of slices: adjacent ones share a release, a grant, or a line of a log entry.
 
-Nothing here decides whether a slice wants something; the functions mark in holders and tenures what they planned.
+Nothing here decides whether a slice requests something; the functions record in holders and leases what they planned.
 """
 
 from __future__ import annotations
@@ -9,115 +9,130 @@
 from dataclasses import dataclass
 
 from knotwalk.discovery.view_types import WIDTH
+from knotwalk.leases.actions import Propose
 from knotwalk.leases.ledger import ranges
-from knotwalk.leases.orders import Propose
-from knotwalk.leases.slice_tenure import GATHER, PROPOSE_AGAIN, SliceTenure, State
+from knotwalk.leases.slice_lease import OPENING_DELAY_S, REPROPOSE_INTERVAL_S, SliceLease, State
 
-Tenures = Mapping[tuple[str, int], SliceTenure]
+SliceLeases = Mapping[tuple[str, int], SliceLease]
 
 
 @dataclass(frozen=True)
 class Run:
-    """Neighbouring slices of one service that one call to `node` is about, in order."""
+    """Adjacent slices of one service, in order, that one call to `node` covers."""
 
     node: str
-    slices: list[SliceTenure]
+    slices: list[SliceLease]
     handover: str | None = None
 
     @property
     def first_key(self) -> int:
-        """The first slice's first key."""
+        """The first key of the first slice."""
         return self.slices[0].slice * WIDTH
 
     @property
     def last_key(self) -> int:
-        """The last slice's last key."""
+        """The last key of the last slice."""
         return (self.slices[-1].slice + 1) * WIDTH - 1
 
     @property
     def numbers(self) -> tuple[int, ...]:
         """The slices' numbers."""
-        return tuple(x.slice for x in self.slices)
+        return tuple(slice_lease.slice for slice_lease in self.slices)
 
 
-def plan_releases(wanted: list[tuple[SliceTenure, str]]) -> list[Run]:
-    """Releases of neighbours as one, where old holder, new owner and fence are the same."""
+def plan_releases(requests: list[tuple[SliceLease, str]]) -> list[Run]:
+    """Releases, with adjacent slices of the same holder, new owner and fence as one."""
     runs: list[Run] = []
-    for x, id in sorted(wanted, key=lambda w: (w[1], w[0].service, w[0].slice)):
-        x.holders[id].releasing = True
+    for slice_lease, id in sorted(requests, key=lambda request: (request[1], request[0].service, request[0].slice)):
+        slice_lease.holders[id].is_releasing = True
         last = runs[-1].slices[-1] if runs and runs[-1].node == id else None
-        if last and _neighbours(last, x) and last.owner == x.owner and last.fence == x.fence:
-            runs[-1].slices.append(x)
+        if (
+            last
+            and _neighbours(last, slice_lease)
+            and last.owner == slice_lease.owner
+            and last.fence == slice_lease.fence
+        ):
+            runs[-1].slices.append(slice_lease)
         else:
-            runs.append(Run(id, [x]))
+            runs.append(Run(id, [slice_lease]))
     return runs
 
 
-def _neighbours(x: SliceTenure, y: SliceTenure) -> bool:
-    return x.service == y.service and x.slice + 1 == y.slice
+def _neighbours(slice_lease: SliceLease, neighbour: SliceLease) -> bool:
+    return slice_lease.service == neighbour.service and slice_lease.slice + 1 == neighbour.slice
 
 
-def plan_grants(now: float, wanted: list[SliceTenure], tenures: Tenures) -> list[Run]:
-    """Grants and renewals of neighbours as one; those not due yet are renewed with a neighbour that is."""
+def plan_grants(now: float, due_leases: list[SliceLease], slice_leases: SliceLeases) -> list[Run]:
+    """Grants and renewals, with adjacent slices as one; slices that are not due yet are renewed with an adjacent one
+    that is.
+    """
     runs: list[Run] = []
     done: set[tuple[str, int]] = set()
-    for x in wanted:
-        if x.key in done:
+    for slice_lease in due_leases:
+        if slice_lease.key in done:
             continue
-        run = [x, *_joining(now, x, tenures, -1), *_joining(now, x, tenures, 1)]
-        run.sort(key=lambda y: y.slice)
-        done.update(y.key for y in run)
-        for y in run:
-            y.holders[y.owner].flying += 1
-        runs.append(Run(x.owner, run, x.handover if x.state is State.GRANTING else None))
+        run = [slice_lease, *_joining(now, slice_lease, slice_leases, -1), *_joining(now, slice_lease, slice_leases, 1)]
+        run.sort(key=lambda member: member.slice)
+        done.update(member.key for member in run)
+        for member in run:
+            member.holders[member.owner].grants_in_flight += 1
+        runs.append(Run(slice_lease.owner, run, slice_lease.handover if slice_lease.state is State.GRANTING else None))
     return runs
 
 
-def _joining(now: float, x: SliceTenure, tenures: Tenures, step: int) -> Iterator[SliceTenure]:
-    """Slices next to `x` on one side, as far as one call may be about them too."""
-    k = x.slice + step
-    while (y := tenures.get((x.service, k))) is not None and y.joins(now, x):
-        yield y
-        k += step
-
-
-def plan_openings(now: float, me: str, wanted: list[SliceTenure], tenures: Iterable[SliceTenure]) -> list[Propose]:
-    """Propose that lines be opened whose owners have taken the keys: one entry a fence."""
-    by_fence: dict[int, list[SliceTenure]] = {x.fence: [] for x in wanted if x.state is State.GRANTED}
-    waiting: set[int] = set()  # fences of which more answers may come any moment
-    for x in tenures if by_fence else ():
-        if x.fence in by_fence:
-            if x.state is State.GRANTED and now >= x.told + PROPOSE_AGAIN:
-                by_fence[x.fence].append(x)
-            elif x.state is State.GRANTING:
-                waiting.add(x.fence)
+def _joining(now: float, slice_lease: SliceLease, slice_leases: SliceLeases, step: int) -> Iterator[SliceLease]:
+    """Slices next to `slice_lease` on one side, as far as the same call may cover them."""
+    number = slice_lease.slice + step
+    while (neighbour := slice_leases.get((slice_lease.service, number))) is not None and neighbour.can_join(
+        now, slice_lease
+    ):
+        yield neighbour
+        number += step
+
+
+def plan_openings(
+    now: float, me: str, due_leases: list[SliceLease], slice_leases: Iterable[SliceLease]
+) -> list[Propose]:
+    """Propose to open slices whose owners have accepted the keys: one entry per fence."""
+    by_fence: dict[int, list[SliceLease]] = {
+        slice_lease.fence: [] for slice_lease in due_leases if slice_lease.state is State.GRANTED
+    }
+    waiting: set[int] = set()  # fences for which more answers may come at any moment
+    for slice_lease in slice_leases if by_fence else ():
+        if slice_lease.fence in by_fence:
+            if slice_lease.state is State.GRANTED and now >= slice_lease.proposed_at + REPROPOSE_INTERVAL_S:
+                by_fence[slice_lease.fence].append(slice_lease)
+            elif slice_lease.state is State.GRANTING:
+                waiting.add(slice_lease.fence)
     planned: list[Propose] = []
-    for fence, found in by_fence.items():
-        if fence in waiting and now < min(x.granted_at for x in found) + GATHER:
+    for fence, accepted in by_fence.items():
+        if fence in waiting and now < min(slice_lease.granted_at for slice_lease in accepted) + OPENING_DELAY_S:
             continue
-        planned.append(_opening(now, me, fence, found))
+        planned.append(_opening(now, me, fence, accepted))
     return planned
 
 
-def _opening(now: float, me: str, fence: int, found: list[SliceTenure]) -> Propose:
+def _opening(now: float, me: str, fence: int, accepted: list[SliceLease]) -> Propose:
     slices: dict[str, list[int]] = {}
-    for x in found:
-        x.told = now
-        slices.setdefault(x.service, []).append(x.slice)
-    lines = {service: ranges(numbers) for service, numbers in slices.items()}
-    return Propose({"do": "granted", "by": me, "fence": fence, "slices": lines})
+    for slice_lease in accepted:
+        slice_lease.proposed_at = now
+        slices.setdefault(slice_lease.service, []).append(slice_lease.slice)
+    runs = {service: ranges(numbers) for service, numbers in slices.items()}
+    return Propose({"do": "granted", "by": me, "fence": fence, "slices": runs})
 
 
-def plan_outbids(now: float, me: str, wanted: list[SliceTenure]) -> list[Propose]:
-    """Propose new fences where a node has seen a higher one: one entry for all, neighbours as one line."""
+def plan_outbids(now: float, me: str, due_leases: list[SliceLease]) -> list[Propose]:
+    """Propose new fences where a node has seen a higher one: one entry for all, with adjacent slices in one line."""
     moves: list[list] = []
-    for x in wanted:
-        if x.state is not State.OUTBID:
+    for slice_lease in due_leases:
+        if slice_lease.state is not State.OUTBID:
             continue
-        x.told = now
-        follows = bool(moves) and moves[-1][0] == x.service and moves[-1][2] == x.slice - 1
-        if follows and moves[-1][3:] == [x.fence, x.owner]:
-            moves[-1][2] = x.slice
+        slice_lease.proposed_at = now
+        follows = bool(moves) and moves[-1][0] == slice_lease.service and moves[-1][2] == slice_lease.slice - 1
+        if follows and moves[-1][3:] == [slice_lease.fence, slice_lease.owner]:
+            moves[-1][2] = slice_lease.slice
         else:
-            moves.append([x.service, x.slice, x.slice, x.fence, x.owner])
+            moves.append(
+                [slice_lease.service, slice_lease.slice, slice_lease.slice, slice_lease.fence, slice_lease.owner]
+            )
     return [Propose({"do": "move", "by": me, "moves": moves, "outbid": True})] if moves else []
--- a/tests/simulation/aimed.py
+++ b/tests/simulation/aimed.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from knotwalk.consensus.members import quorum
+from knotwalk.consensus.membership_rules import quorum
 from tests.simulation.wire import Cut
 from tests.simulation.world import Place, World
 
@@ -143,7 +143,7 @@
     _when(
         world,
         world.loop.now + 1.0,
-        lambda: bool(machine._reads or machine._queue),
+        lambda: bool(machine._reads or machine._queued_reads),
         lambda: _later(
             world, LOOK, lambda: _cut(world, [leader], list(world.places.values()), max(AWAY, fault.length), False)
         ),
--- a/tests/simulation/claims_mistakes.py
+++ b/tests/simulation/claims_mistakes.py
@@ -17,7 +17,7 @@
 async def _answers_at_once(group: Group, batch: list[Claim]) -> list:
     """Answers claims by what it knows, before they are agreed on and kept."""
     machine = group.machine
-    if not machine.settled or machine.applied < machine.log.last:
+    if not machine.is_commit_current or machine.applied < machine.log.last:
         raise claim_group.NotLeader(None)
     now = claim_group.clock()
     entry = command(group.clock.time(group.driver.state, now), group.hold, batch)
@@ -55,5 +55,5 @@
     "claims lost at a snapshot": _one(ClaimTable, "from_dict", classmethod(_loses_claims)),
     "group time too fast": _one(GroupClock, "applied", _counts_twice),
     "released by another": _one(ClaimTable, "_release", _frees_any),
-    "acknowledged before kept": _one(following.Following, "_match", _match_received, 29),
+    "acknowledged before kept": _one(following.Following, "_match_index", _match_received, 29),
 }
--- a/tests/simulation/crash_gap.py
+++ b/tests/simulation/crash_gap.py
@@ -19,7 +19,7 @@
 from unittest import mock
 
 from knotwalk.control_plane import __main__ as program
-from knotwalk.leases import orders, tenure
+from knotwalk.leases import actions, conductor_leases
 from tests.simulation import programs
 from tests.simulation.world import World
 
@@ -100,14 +100,16 @@
     found.unserved, found.lapsed = len(waiting), len(lapsed)
 
 
-def measure(worlds: int, pace: orders.Pace | None = None, lease: float | None = None, core: bool = False) -> dict:
+def measure(
+    worlds: int, pace: actions.GrantTiming | None = None, lease: float | None = None, core: bool = False
+) -> dict:
     """The figures of so many worlds; with a `pace` of grants or a length of conductors' leases of its own."""
     whole = Found()
     with ExitStack() as stack:
         if pace is not None:
-            stack.enter_context(mock.patch.object(program.KeysPace, "within", lambda max_hold: pace))
+            stack.enter_context(mock.patch.object(program.GrantTiming, "for_max_hold", lambda max_hold: pace))
         if lease is not None:
-            stack.enter_context(mock.patch.object(tenure, "LEASE", lease))
+            stack.enter_context(mock.patch.object(conductor_leases, "LEASE_S", lease))
         for seed in range(worlds):
             found = measured(seed, core)
             gc.collect()
@@ -135,9 +137,11 @@
     given = parser.parse_args()
     pace = None
     if given.hold or given.renew or given.lease:
-        plain = orders.Pace()
-        lease = (given.lease or tenure.LEASE) * tenure.DRIFT * tenure.DRIFT
-        pace = orders.Pace(hold=given.hold or plain.hold, renew=given.renew or plain.renew, lease=lease)
+        plain = actions.GrantTiming()
+        lease = (given.lease or conductor_leases.LEASE_S) * conductor_leases.CLOCK_DRIFT * conductor_leases.CLOCK_DRIFT
+        pace = actions.GrantTiming(
+            hold=given.hold or plain.hold, renew_interval=given.renew or plain.renew_interval, lease_duration=lease
+        )
     print(json.dumps(measure(given.worlds, pace, given.lease, given.core)))
 
 
--- a/tests/simulation/disk.py
+++ b/tests/simulation/disk.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from knotwalk.consensus.orders import Entry, Save, Saved
-from knotwalk.consensus.store import Refused
+from knotwalk.consensus.raft_types import Entry, Save, StoredState
+from knotwalk.consensus.store import StoreUnavailableError
 from tests.simulation.loop import Process, VirtualLoop
 from tests.system.cluster import Disk as Kept
 
@@ -48,9 +48,9 @@
             self.under_way = None
             try:
                 if self.loop.now < self.refuses_until:
-                    raise Refused(Path(self.name), "refuses")
+                    raise StoreUnavailableError(Path(self.name), "refuses")
                 found, error = act(*given), None
-            except Refused as refused:
+            except StoreUnavailableError as refused:
                 found, error = None, refused
             process.soon(lambda: self._tell(future, found, error))
 
@@ -93,7 +93,7 @@
     def __init__(self, disk: Disk, disk_mb: float):
         self.disk, self.disk_mb = disk, disk_mb
 
-    def open(self, data_dir: str, first_start: bool, address: str, founders: dict[str, str]) -> Saved:
+    def open(self, data_dir: str, first_start: bool, address: str, founders: dict[str, str]) -> StoredState:
         if (name := Path(data_dir).name).startswith("claims-"):
             self.disk = self.disk.folder(name)
         disk = self.disk
@@ -101,7 +101,7 @@
             me, members = f"{address}#founder", dict(founders)
             if not first_start or me not in founders:
                 me, members = f"{address}#{disk.random.randrange(1 << 48):012x}", {}
-            disk.kept = Kept(Saved(me, members=members))
+            disk.kept = Kept(StoredState(me, members=members))
         saved = disk.kept.read()
         saved.entries = [Entry(e.index, e.term, e.kind, json.loads(json.dumps(e.body))) for e in saved.entries]
         saved.snapshot = json.loads(json.dumps(saved.snapshot))
--- a/tests/simulation/mistakes.py
+++ b/tests/simulation/mistakes.py
@@ -14,8 +14,8 @@
 from knotwalk.configuration import control as verdicts
 from knotwalk.consensus import elections, following, leading, membership
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.members import quorum
-from knotwalk.consensus.orders import LEADER, Answer
+from knotwalk.consensus.membership_rules import quorum
+from knotwalk.consensus.raft_types import LEADER, Answer
 from knotwalk.control_plane import __main__ as program, control, peer_api
 from knotwalk.control_plane.consensus_driver import ConsensusDriver
 from knotwalk.control_plane.replicated_state import ReplicatedState
@@ -23,8 +23,8 @@
 from knotwalk.edge.answer_reader import AnswerReader
 from knotwalk.edge.node_connection import Connection
 from knotwalk.edge.node_connection_state import Phase
-from knotwalk.leases.keeper import Keeper
-from knotwalk.leases.orders import REFUSED
+from knotwalk.leases.actions import REFUSED
+from knotwalk.leases.grant_manager import GrantManager
 
 KEYS, QUOTA = 6, 7  # of docs/design/shared-state.md, counted on: keys of tenants, quotas
 
@@ -55,15 +55,15 @@
     """A leader answers reads without asking anyone."""
     machine._expire(now)
     if machine.role != LEADER:
-        machine.orders.append(Answer(ticket, "not_leader", machine._known()))
+        machine.actions.append(Answer(ticket, "not_leader", machine._known_leader()))
     else:
-        machine.orders.append(Answer(ticket, "readable", machine.applied))
-    machine._close(now)
+        machine.actions.append(Answer(ticket, "readable", machine.applied))
+    machine._finish_call(now)
 
 
 def _read_anywhere(machine: Machine, now: float, ticket: Any) -> None:
-    machine.orders.append(Answer(ticket, "readable", machine.applied))
-    machine._close(now)
+    machine.actions.append(Answer(ticket, "readable", machine.applied))
+    machine._finish_call(now)
 
 
 def _alone_always(api: peer_api.PeerApi) -> bool:
@@ -81,36 +81,45 @@
 
 def _count_learners(machine: Any, now: float) -> None:
     """Counts whoever keeps an entry, learners too, towards the members' majority."""
-    kept = sorted([machine._stored, *(peer.match for peer in machine._peers.values())], reverse=True)
+    kept = sorted([machine._stored_index, *(peer.match_index for peer in machine._peers.values())], reverse=True)
     index = kept[quorum(len(machine.members)) - 1]
     if index > machine.commit and machine.log.term_at(index) == machine.term:
-        machine._advance(index)
+        machine._commit_through(index)
         for peer in machine._peers.values():
-            machine._feed(now, peer, True)
+            machine._replicate_to(now, peer, True)
         machine._serve_reads(now)
 
 
 def _leaves_at_once(machine: Machine, now: float) -> None:
     """One that leaves calls itself out at once, whoever stays."""
     machine._expire(now)
-    machine.leaving, machine._ask_at = True, now
+    machine.leaving, machine._request_at = True, now
     machine._become(now, "outsider", machine.term)
-    machine._close(now)
+    machine._finish_call(now)
 
 
 def _two_changes(machine: Any, now: float) -> None:
     """Changes members whatever of the change before is committed."""
     if machine.role != LEADER:
         return
-    voters = {id: machine._peers[id] for id, _ in machine._others()}
+    voters = {id: machine._peers[id] for id, _ in machine._other_members()}
     learners = [one for one in machine._peers.values() if one.kind == "learner"]
-    members = membership.change(
-        machine.me, machine.members, voters, learners, machine.commit, now, 99.0, 2.0, machine.pace.target, 99.0
+    members = membership.next_members(
+        machine.me,
+        machine.members,
+        voters,
+        learners,
+        machine.commit,
+        now,
+        99.0,
+        2.0,
+        machine.settings.target_members,
+        99.0,
     )
     if members is not None:
-        machine._append("members", {"members": members})
+        machine._append_new("members", {"members": members})
         machine._sync_peers(now)
-        machine._spread(now)
+        machine._replicate(now)
 
 
 def _empty_history(kind: type, raw: dict) -> Any:
@@ -150,12 +159,14 @@
 def _count_any_term(machine: Any, now: float) -> None:
     """Commits what a majority has received, kept or not."""
     index = int(
-        leading.reached([machine.log.last if id == machine.me else machine._peers[id].have for id in machine.members])
+        leading.majority_value(
+            [machine.log.last if id == machine.me else machine._peers[id].received_index for id in machine.members]
+        )
     )
     if index > machine.commit and machine.log.term_at(index) == machine.term:
-        machine._advance(index)
+        machine._commit_through(index)
         for peer in machine._peers.values():
-            machine._feed(now, peer, True)
+            machine._replicate_to(now, peer, True)
         machine._serve_reads(now)
 
 
@@ -164,7 +175,7 @@
 
 
 def _match_received(machine: Any) -> int:
-    return machine._agreed
+    return machine._received_index
 
 
 def _judged_alone(state: ReplicatedState, index: int, command: dict) -> Any:
@@ -210,7 +221,7 @@
     """Takes any call's answer of a core."""
 
 
-ANSWERED = Keeper.answered
+ANSWERED = GrantManager.on_call_ended
 MOVE = forwarder.move
 
 
@@ -227,13 +238,13 @@
     return OPENED(store, data_dir, True, *rest)
 
 
-def _refused_is_gone(keeper: Keeper, now: float, order: Any, status: Any, handover: str | None = None) -> None:
+def _refused_is_gone(keeper: GrantManager, now: float, order: Any, status: Any, handover: str | None = None) -> None:
     """Takes a refused connection for the end of the node (incident inc1)."""
     ANSWERED(keeper, now, order, status, handover)
     if status == REFUSED:
-        for tenure in keeper.tenures.values():
+        for tenure in keeper.slice_leases.values():
             if order.node in tenure.holders:
-                tenure.holders[order.node].until = now
+                tenure.holders[order.node].held_until = now
 
 
 def _one(point: int, room: Any, name: str, made: Any, seed: int = 0) -> Mistake:
@@ -255,16 +266,16 @@
     "two judged at once, applied on another base": Mistake(
         2, ((control.asyncio, "Lock", _NoLock), (ReplicatedState, "apply", _judged_alone))
     ),
-    "learners counted": _one(3, leading.Leading, "_count", _count_learners, 5),
+    "learners counted": _one(3, leading.Leading, "_commit_majority", _count_learners, 5),
     "leaver not waited for": _one(3, Machine, "leave", _leaves_at_once, 10),
     "two changes of members at once": _one(3, membership.Membership, "_change_members", _two_changes, 2),
-    "vote before it is kept": _one(4, elections.Elections, "_promise", _promise_unkept, 11),
-    "acknowledged before kept": _one(4, following.Following, "_match", _match_received, 29),
-    "committed by what was received": _one(4, leading.Leading, "_count", _count_any_term, 29),
-    "votes whatever the log": _one(4, elections.Elections, "_current", _votes_for_any, 8),
+    "vote before it is kept": _one(4, elections.Elections, "_send_after_save", _promise_unkept, 11),
+    "acknowledged before kept": _one(4, following.Following, "_match_index", _match_received, 29),
+    "committed by what was received": _one(4, leading.Leading, "_commit_majority", _count_any_term, 29),
+    "votes whatever the log": _one(4, elections.Elections, "_is_log_current", _votes_for_any, 8),
     "snapshot loses the configuration": _one(4, ReplicatedState, "from_dict", classmethod(_loses_state), 1),
     "an emptied disk founds again": _one(4, program, "opened", _founds_again, 24),
-    "a refused connection ends a node": _one(4, Keeper, "answered", _refused_is_gone, 6),
+    "a refused connection ends a node": _one(4, GrantManager, "on_call_ended", _refused_is_gone, 6),
     "stale connection used again": _one(5, Connection, "ready", _ready_unasked),
     "answer of a node taken with its id unchecked": _one(5, AnswerReader, "_read_head", _any_answer),
     "answer of a core taken with its id unchecked": _one(5, caller.Connection, "on_headers_complete", _any_call),
--- a/tests/simulation/programs.py
+++ b/tests/simulation/programs.py
@@ -91,7 +91,7 @@
         put(control, "app", App)
         put(life.Ending, "listen", lambda ending: None)
         put(Compaction, "due", lambda made, *worth: _due(made, compact))
-        put(consensus_machine, "TRAIL", trail)
+        put(consensus_machine, "TRAILING_ENTRIES", trail)
         for room in (messages, claim_group, claim_groups):
             put(room, "PARTS", parts)
         put(claim_group, "MARGIN", MARGIN)
--- a/tests/simulation/shared_mistakes.py
+++ b/tests/simulation/shared_mistakes.py
@@ -74,7 +74,7 @@
 SHARED_MISTAKES: dict[str, Mistake] = {
     "keys taken whatever was heard": _one(KEYS, Freshness, "holds", _always, 1),
     "lease of keys twice as long": _one(KEYS, Freshness, "__init__", _twice_as_long, 13),
-    "a core's proof told as newer": _one(KEYS, peer_api, "PROOF", -10.0, 6),
+    "a core's proof told as newer": _one(KEYS, peer_api, "LEADERSHIP_PROOF_S", -10.0, 6),
     "keys that were taken away stay": _one(KEYS, cluster_view, "tenant_keys", _first_keys),
     "a new leader's buckets are full": _one(QUOTA, Buckets, "__init__", _full, 2),
     "allowance whatever is left": _one(QUOTA, Buckets, "_take", _unlooked),
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -169,7 +169,7 @@
         homes = {one.me: (process, one) for process, one in running if not process.frozen}
         # The loss of a disk is borne once what is *kept* elsewhere needs it no more: by the disks, not by the programs.
         return (
-            machine.settled
+            machine.is_commit_current
             and machine.commit == machine.log.last
             and len(machine.members) >= self.cores
             and all(id in homes for id in machine.members)
--- a/tests/system/cluster.py
+++ b/tests/system/cluster.py
@@ -12,7 +12,17 @@
 from typing import Any
 
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.orders import Answer, Apply, Entry, Pace, Restore, Role, Save, Saved, Send
+from knotwalk.consensus.raft_types import (
+    Answer,
+    Apply,
+    Entry,
+    RaftSettings,
+    Restore,
+    RoleChange,
+    Save,
+    Send,
+    StoredState,
+)
 
 
 class Violation(AssertionError):
@@ -29,7 +39,7 @@
 class Disk:
     """What is durable under one id."""
 
-    saved: Saved
+    saved: StoredState
 
     def write(self, save: Save) -> None:
         """Take a save in whole."""
@@ -45,7 +55,7 @@
         if numbers != list(range(saved.snapshot_index + 1, saved.snapshot_index + 1 + len(numbers))):
             raise Violation(f"{saved.me} wrote {numbers} after {saved.snapshot_index}")
 
-    def read(self) -> Saved:
+    def read(self) -> StoredState:
         """A copy for a new life."""
         return replace(self.saved, members=dict(self.saved.members), entries=list(self.saved.entries))
 
@@ -86,7 +96,7 @@
         if self.leaders.setdefault(machine.term, machine.me) != machine.me:
             raise Violation(f"two leaders in term {machine.term}")
         for index, entry in self.entries.items():
-            if index > machine.log.base and (index > machine.log.last or machine.log.at(index) != entry):
+            if index > machine.log.base and (index > machine.log.last or machine.log.entry_at(index) != entry):
                 raise Violation(f"{machine.me} leads term {machine.term} without entry {index}")
 
     def applies(self, node: Node, entry: Entry) -> None:
@@ -124,7 +134,9 @@
         holders = [
             node.address
             for node in nodes
-            if node.machine and node.machine.role == "leader" and now + node.offset - node.machine.majority_at < length
+            if node.machine
+            and node.machine.role == "leader"
+            and now + node.offset - node.machine.majority_acked_at < length
         ]
         if len(holders) > 1:
             raise Violation(f"{holders} both hold a lease")
@@ -138,7 +150,7 @@
         seed: int,
         count: int = 3,
         kind: type[Machine] = Machine,
-        pace: Pace = Pace(),
+        pace: RaftSettings = RaftSettings(),
         promises: bool = True,
         keeps_id: bool = False,
     ) -> None:
@@ -159,7 +171,7 @@
         self.founders = founders
         self.nodes: dict[str, Node] = {}
         for id, address in founders.items():
-            self._place(address, Saved(id, members=dict(founders)))
+            self._place(address, StoredState(id, members=dict(founders)))
 
     # ---- events
 
@@ -173,7 +185,7 @@
         while self.events and self.events[0][0] <= end:
             self.now, _, act = heapq.heappop(self.events)
             act()
-            self.checker.leases(list(self.nodes.values()), self.now, self.pace.election_low)
+            self.checker.leases(list(self.nodes.values()), self.now, self.pace.election_timeout_min)
             if until is not None and until():
                 return True
         self.now = end
@@ -181,7 +193,7 @@
 
     # ---- machines
 
-    def _place(self, address: str, saved: Saved) -> Node:
+    def _place(self, address: str, saved: StoredState) -> Node:
         node = Node(address, self.random.uniform(0, 1000), Disk(saved))
         self.nodes[address] = node
         self.start(address)
@@ -215,14 +227,14 @@
         old = node.disk.saved
         self.checker.dead.add(old.me)
         if self.keeps_id:
-            node.disk = Disk(Saved(old.me, members=dict(self.founders)))
+            node.disk = Disk(StoredState(old.me, members=dict(self.founders)))
         else:
-            node.disk = Disk(Saved(f"{address}#{self.random.randrange(1 << 32):08x}"))
+            node.disk = Disk(StoredState(f"{address}#{self.random.randrange(1 << 32):08x}"))
         self.start(address)
 
     def add(self, address: str) -> None:
         """A new place with an empty disk."""
-        self._place(address, Saved(f"{address}#{self.random.randrange(1 << 32):08x}"))
+        self._place(address, StoredState(f"{address}#{self.random.randrange(1 << 32):08x}"))
 
     def freeze(self, address: str, seconds: float) -> None:
         """The process does nothing for a while; then finds what came all at once."""
@@ -245,13 +257,13 @@
     def _carry(self, node: Node) -> None:
         machine = node.machine
         assert machine is not None
-        while machine.orders:
-            orders, machine.orders = machine.orders, []
+        while machine.actions:
+            orders, machine.actions = machine.actions, []
             for order in orders:
                 self._order(node, machine, order)
-        if node.due < self.now or machine.wake + 1e-9 < node.due + node.offset:
+        if node.due < self.now or machine.wake_at + 1e-9 < node.due + node.offset:
             life = node.life
-            wait = max(machine.wake - node.offset - self.now, 0.0) + 1e-6
+            wait = max(machine.wake_at - node.offset - self.now, 0.0) + 1e-6
             node.due = self.now + wait
             self._later(wait, lambda: self._tick(node, life))
 
@@ -276,7 +288,7 @@
             self.checker.applies(node, order.entry)
         elif isinstance(order, Restore):
             self.checker.loads(node, order.state, order.index)
-        elif isinstance(order, Role):
+        elif isinstance(order, RoleChange):
             if order.role == "leader":
                 self.checker.leads(machine)
         elif isinstance(order, Answer):
@@ -293,7 +305,7 @@
                 return
             node.writing = None
             node.disk.write(save)
-            node.machine.kept(self.now + node.offset, save.number)
+            node.machine.on_saved(self.now + node.offset, save.number)
             self._carry(node)
 
         self._later(0.001 + self.random.uniform(0, node.slow), done)
@@ -305,7 +317,7 @@
             return
         node.hangs = hangs
         if hangs:
-            node.machine.failed(self.now + node.offset)
+            node.machine.on_save_failed(self.now + node.offset)
             self._carry(node)
         elif node.writing is not None:
             self._write(node)
--- a/tests/system/model.py
+++ b/tests/system/model.py
@@ -18,13 +18,13 @@
 from typing import Any
 
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.orders import Apply, Pace, Role, Save, Saved, Send
+from knotwalk.consensus.raft_types import Apply, RaftSettings, RoleChange, Save, Send, StoredState
 from knotwalk.discovery.view_types import Node
-from knotwalk.leases.keeper import Keeper
+from knotwalk.leases.actions import CLOCK_SLOWDOWN, REFUSED, Grant, GrantTiming, Propose, Release
+from knotwalk.leases.conductor_leases import LEASE_S, ConductorLeases, reassign
+from knotwalk.leases.grant_manager import GrantManager
 from knotwalk.leases.ledger import Ledger, Slice
-from knotwalk.leases.orders import REFUSED, SLOW, Grant, Pace as KeysPace, Propose, Release
-from knotwalk.leases.slice_tenure import Holder
-from knotwalk.leases.tenure import LEASE, Tenure, reassign
+from knotwalk.leases.slice_lease import Holder
 from tests.system.cluster import Disk
 
 Step = tuple[str, Any, list[str]]  # what was done, the state after, what is broken by it
@@ -121,30 +121,38 @@
 # ---- agreement
 
 # No lease ends by itself and nobody is sticky: safety of the log must not rest on time.
-WALK = Pace(heartbeat=1000.0, election_low=1e5, election_high=1e5, round_low=1.0, round_high=1.0, join=0.0, forget=1e6)
+WALK = RaftSettings(
+    heartbeat_interval=1000.0,
+    election_timeout_min=1e5,
+    election_timeout_max=1e5,
+    vote_retry_min=1.0,
+    vote_retry_max=1.0,
+    join_interval=0.0,
+    removal_timeout=1e6,
+)
 TIMERS = {
     "random",
-    "wake",
+    "wake_at",
     "contacts",
-    "pace",
-    "_seen",
-    "_heard",
-    "_sticky_from",
-    "_lonely_since",
-    "_deadline",
-    "_ask_at",
-    "_rounds",
+    "settings",
+    "_last_call_at",
+    "_leader_heard_at",
+    "_sticky_since",
+    "_leaderless_since",
+    "_election_deadline",
+    "_request_at",
+    "_election_rounds",
     "_elected_at",
-    "_beat_at",
-    "_handed_at",
-    "_number",
-    "_done",
-    "_flight",
-    "_held",
+    "_heartbeat_at",
+    "_handed_over_at",
+    "_save_number",
+    "_saved_number",
+    "_pending_save",
+    "_held_messages",
     "log",
-    "orders",
+    "actions",
     "_votes",
-    "_hint",
+    "_leader_hint",
 }
 EPOCH = 0.001  # time moves only when a disk is wiped: what was answered before is told from what was after
 
@@ -173,7 +181,7 @@
     stood: int = 2  # how many machines ever stand for election
     newcomers: int = 0  # machines with empty disks at addresses of their own
     leaves: int = 0  # how many get a SIGTERM, and come back if they crash
-    target: int = 3  # members wanted
+    target_members: int = 3  # members wanted
 
     def __post_init__(self) -> None:
         self.local = Locals()
@@ -183,21 +191,26 @@
         self.founders = founders
         self.total = self.count + self.newcomers
         self.homes = {f"m{one}": one for one in range(self.total)}
-        disks = [Disk(Saved(id, members=dict(founders))) for id in founders]
-        disks += [Disk(Saved(f"m{one}#new")) for one in range(self.count, self.total)]
+        disks = [Disk(StoredState(id, members=dict(founders))) for id in founders]
+        disks += [Disk(StoredState(f"m{one}#new")) for one in range(self.count, self.total)]
         places = [self._keep(self._born(disk, address, 0.0)) for disk, address in zip(disks, self.homes)]
         #              machines         wire  committed  leaders  commands, crashes, wipes, leaves
         self.start = (tuple(places), 0, (), (), 0, 0, 0, 0)
 
     def _born(self, disk: Disk, address: str, now: float) -> Place:
-        machine = self.kind(disk.read(), replace(WALK, target=self.target), 0, now)
+        machine = self.kind(disk.read(), replace(WALK, target_members=self.target_members), 0, now)
         machine.random, machine.address = Still(), address  # type: ignore[assignment]
         machine.contacts = sorted(self.homes)
         return Place(disk, machine)
 
     def _keep(self, place: Place) -> int:
-        m, done = place.machine, place.machine._done
-        flight = m._flight and (m._flight.number - done, m._flight.last, m._flight.term, m._flight.vote)
+        m, done = place.machine, place.machine._saved_number
+        flight = m._pending_save and (
+            m._pending_save.number - done,
+            m._pending_save.last_index,
+            m._pending_save.term,
+            m._pending_save.vote,
+        )
         save = place.writing and (
             place.writing.term,
             place.writing.vote,
@@ -205,14 +218,16 @@
             place.writing.cut_from,
             place.writing.snapshot,
         )
-        held = list({repr((one[0] - done, *one[1:])): None for one in m._held})  # said twice is on the wire once
+        held = list(
+            {repr((one[0] - done, *one[1:])): None for one in m._held_messages}
+        )  # said twice is on the wire once
         key = repr(
             (
                 [one for one in sorted(vars(m).items()) if one[0] not in TIMERS],
                 m.log.base,
                 m.log.base_term,
                 m.log.entries,
-                m._number - done,
+                m._save_number - done,
                 flight,
                 held,
                 sorted(m._votes),
@@ -232,18 +247,18 @@
 
     def _step(self, place: Place, event: tuple, now: float) -> tuple[int, tuple[int, ...], tuple]:
         m = place.machine
-        m._sticky_from, m._ask_at, m._beat_at, m._deadline = -1e9, 1e9, 1e9, now + 1.0
+        m._sticky_since, m._request_at, m._heartbeat_at, m._election_deadline = -1e9, 1e9, 1e9, now + 1.0
         match event:
             case ("receive", which):
                 m.receive(now, json.loads(json.dumps(self.messages[which][1])))
             case ("stand",):
-                m._deadline = now
+                m._election_deadline = now
                 m.tick(now)
             case ("beat",):
-                m._beat_at = now
+                m._heartbeat_at = now
                 m.tick(now)
             case ("ask",):
-                m._ask_at = now
+                m._request_at = now
                 m.tick(now)
             case ("leave",):
                 m.leave(now)
@@ -253,17 +268,21 @@
                 save, place.writing = place.writing, None
                 assert save is not None
                 place.disk.write(save)
-                m.kept(now, save.number)
+                m.on_saved(now, save.number)
             case ("crash", made):
                 if made and place.writing is not None:
                     place.disk.write(place.writing)
                 place = self._born(place.disk, m.address, now)
             case ("wipe", life):
-                saved = Saved(m.me, members=dict(self.founders)) if self.keeps_id else Saved(f"{m.address}#{life}")
+                saved = (
+                    StoredState(m.me, members=dict(self.founders))
+                    if self.keeps_id
+                    else StoredState(f"{m.address}#{life}")
+                )
                 place = self._born(Disk(saved), m.address, now)
         m, sent, said = place.machine, [], []
-        while m.orders:
-            orders, m.orders = m.orders, []
+        while m.actions:
+            orders, m.actions = m.actions, []
             for order in orders:
                 if isinstance(order, Send):
                     if order.to_address in self.homes:
@@ -274,7 +293,7 @@
                 elif isinstance(order, Apply):
                     one = order.entry
                     said.append(("apply", one.index, (one.term, one.kind, json.dumps(one.body)), m.term))
-                elif isinstance(order, Role) and order.role == "leader":
+                elif isinstance(order, RoleChange) and order.role == "leader":
                     log = tuple((one.term, one.kind, json.dumps(one.body)) for one in m.log.entries)
                     said.append(("lead", m.term, m.me, log))
         return self._keep(place), tuple(sent), tuple(said)
@@ -393,7 +412,7 @@
 # ---- keys
 
 # A slack between the steps: at the very moment that it ends, a call may not both arrive and be held impossible.
-KEYS = KeysPace(hold=2.0, renew=1.0, call_timeout=1.0, slack=1.5, release_timeout=1.0)
+KEYS = GrantTiming(hold=2.0, renew_interval=1.0, call_timeout=1.0, delivery_slack=1.5, release_timeout=1.0)
 NODES = {name: Node(name, "s", ("10.0.0.1", port), "z", 2) for port, name in enumerate(("n", "m"))}
 SLOWEST = 0.98  # a node's clock
 
@@ -402,7 +421,7 @@
 class Desk:
     """A conductor: its keeper, the ledger as far as it has read, and its calls that wait for an answer."""
 
-    keeper: Keeper
+    keeper: GrantManager
     ledger: Ledger
     read: int  # entries of the log
     base: int = 0  # entries that a mistaken one does not count
@@ -419,7 +438,7 @@
 
     Bounds: seconds, entries of the log, moves that placement asks for, starts, changes of the leader."""
 
-    kind: type[Keeper] = Keeper
+    kind: type[GrantManager] = GrantManager
     counts_anew: bool = False  # a mistake: a conductor's ledger counts entries from the start of its life
     grants_early: bool = False  # a mistake: a move is acted on when it is proposed
     seconds: int = 6
@@ -447,11 +466,11 @@
         )
         # Both conductors were away for long, and what was granted ended; now both have a lease again.
         nodes = ((0.0, 3), (0.0, 3)), ((0.0, 0), (0.0, 0))
-        tenure = Tenure(-9.0)
+        tenure = ConductorLeases(-9.0)
         for name in "ab":
-            tenure.asked(0.0, name)
+            tenure.renew(0.0, name)
         begun = [self._begin(name, log, -9.0, 0.0)[0] for name in "ab"]
-        asked = [self.step(number, ("leased", 0.0, LEASE, len(log))) for number in begun]
+        asked = [self.step(number, ("leased", 0.0, LEASE_S, len(log))) for number in begun]
         self.start = (
             0.0,
             log,
@@ -459,7 +478,7 @@
             nodes,
             asked[0][1] + asked[1][1],
             frozenset(),
-            (-9.0, tuple(sorted(tenure.ends.items()))),
+            (-9.0, tuple(sorted(tenure.ends_at.items()))),
             (3, 3),
             0,
             0,
@@ -479,11 +498,11 @@
     def _begin(self, name: str, log: tuple[str, ...], born: float, now: float) -> tuple:
         keeper = self.kind(name, KEYS, 0, born)
         keeper._random = Still()  # type: ignore[assignment]
-        keeper.nodes(born, NODES)
+        keeper.on_nodes_listed(born, NODES)
         desk = Desk(keeper, self._ledger(log), len(log))
         if self.counts_anew and born == now:
             desk.base, desk.ledger.index = len(log), 0
-        keeper.look(born, desk.ledger)
+        keeper.on_ledger(born, desk.ledger)
         return self._close(desk, now)
 
     def step(self, number: int, event: tuple) -> tuple:
@@ -503,21 +522,21 @@
                 for text in entries:
                     desk.read += 1
                     desk.ledger.apply(desk.read - desk.base, json.loads(text))
-                    keeper.look(now, desk.ledger, desk.ledger.touched)
+                    keeper.on_ledger(now, desk.ledger, desk.ledger.changed)
             case ("early", _, text):
                 desk.ledger.apply(desk.read + 1, json.loads(text))
-                keeper.look(now, desk.ledger, desk.ledger.touched)
+                keeper.on_ledger(now, desk.ledger, desk.ledger.changed)
             case ("leased", _, until, index):
-                keeper.leased(now, until, index - desk.base)
+                keeper.on_lease_proven(now, until, index - desk.base)
             case ("answered", _, call, status):
                 order = desk.calls.pop(call)
-                keeper.answered(now, order, status, "h" if status == 200 and isinstance(order, Release) else None)
+                keeper.on_call_ended(now, order, status, "h" if status == 200 and isinstance(order, Release) else None)
         return self._close(desk, now)
 
     def _close(self, desk: Desk, now: float) -> tuple:
         keeper = desk.keeper
         keeper.tick(now)
-        orders, keeper.orders = keeper.orders, []
+        orders, keeper.actions = keeper.actions, []
         calls, proposals = [], []
         for order in orders:
             if isinstance(order, Propose):
@@ -527,7 +546,7 @@
             desk.calls[number] = order
             kind = type(order).__name__
             calls.append((now, keeper.me, number, kind, order.node, order.slices, order.fence, None, _hold(order)))
-        wake = keeper.wake
+        wake = keeper.wake_at
         slices = tuple((x.conductor == keeper.me, x.owner, x.fence) for x in desk.ledger.slices["s"])
         key = repr(
             (
@@ -542,40 +561,46 @@
         return self.local.put(key, desk, (keeper.me, wake, desk.read, slices)), tuple(calls), tuple(proposals)
 
     @staticmethod
-    def _key(keeper: Keeper, now: float) -> list:
+    def _key(keeper: GrantManager, now: float) -> list:
         def holder(x: Holder) -> tuple:
             return (
-                _shift(x.until, now),
-                _shift(x.quiet, now),
-                x.flying,
-                x.releasing,
-                x.sure,
-                x.last.value,
-                _shift(x.again, now),
-                min(x.tries, 2),
+                _shift(x.held_until, now),
+                _shift(x.deliverable_until, now),
+                x.grants_in_flight,
+                x.is_releasing,
+                x.has_accepted,
+                x.last_outcome.value,
+                _shift(x.next_release_at, now),
+                min(x.release_tries, 2),
             )
 
-        rows = [_shift(keeper.until, now), _shift(keeper._begun, now), keeper._index, keeper._promises, keeper._touched]
-        for key, x in sorted(keeper.tenures.items()):
+        rows = [
+            _shift(keeper.lease_until, now),
+            _shift(keeper._started_at, now),
+            keeper._ledger_index,
+            keeper._pending_proofs,
+            keeper._changed,
+        ]
+        for key, x in sorted(keeper.slice_leases.items()):
             rows.append(
                 (
                     key,
-                    x.since,
+                    x.lease_index,
                     x.owner,
                     x.fence,
                     x.state.value,
-                    x.foreign,
+                    x.former_holders,
                     x.handover,
-                    x.weight,
-                    _shift(x.told, now),
+                    x.handover_rank,
+                    _shift(x.proposed_at, now),
                     _shift(x.granted_at, now),
-                    _shift(x.due, now),
+                    _shift(x.due_at, now),
                     min(x.tries, 2),
-                    _shift(x.wake, now),
+                    _shift(x.wake_at, now),
                     sorted((id, holder(h)) for id, h in x.holders.items()),
                 )
             )
-        return [keeper.me, rows, sorted((_shift(at, now), s, k) for at, s, k in keeper._heap)]
+        return [keeper.me, rows, sorted((_shift(at, now), s, k) for at, s, k in keeper._wake_heap)]
 
     # -- the world
 
@@ -613,7 +638,7 @@
 
         if now < self.seconds and not (self.swift and calls):
             later = now + 1.0
-            left = tuple(one for one in calls if one[2] >= 0 or one[0] + KEYS.flight >= later)
+            left = tuple(one for one in calls if one[2] >= 0 or one[0] + KEYS.max_delivery >= later)
             ends = tuple((name, max(end, later)) for name, end in tenure[1])  # ended is ended
             yield after(
                 f"it is {later:.0f} s",
@@ -628,14 +653,14 @@
                 yield stepped(which, ("tick", now), f"{name} wakes")
             if at < len(log):
                 yield stepped(which, ("read", now, log[at:]), f"{name} reads to {len(log)}")
-            if name in self.asks and dict(tenure[1]).get(name, 0.0) < now + LEASE:
-                table = Tenure(tenure[0], dict(tenure[1]))
-                given = table.asked(now, name)
+            if name in self.asks and dict(tenure[1]).get(name, 0.0) < now + LEASE_S:
+                table = ConductorLeases(tenure[0], dict(tenure[1]))
+                given = table.renew(now, name)
                 yield stepped(
                     which,
                     ("leased", now, now + given, len(log)),
                     f"{name} renews its lease",
-                    tenure=(tenure[0], tuple(sorted(table.ends.items()))),
+                    tenure=(tenure[0], tuple(sorted(table.ends_at.items()))),
                 )
             if starts < self.starts:
                 lost = tuple((*one[:2], -1, *one[3:]) if one[1] == name else one for one in calls)
@@ -679,7 +704,7 @@
         sent, name, number, kind, node, slices, fence, status, _ = call
         which, rest = "ab".index(name), tuple(one for one in calls if one is not call)
         what = f"{kind} {fence} of {slices} from {name} at {node}"
-        if status is None and now <= sent + KEYS.flight:
+        if status is None and now <= sent + KEYS.max_delivery:
             yield self._arrive(state, call, rest, what, after)
         if number < 0:
             return
@@ -688,7 +713,7 @@
         if self.refuses and status is None and now == sent:
             yield stepped(which, ("answered", now, number, REFUSED), f"{what} is refused", calls=rest)
         if not self.swift and now >= sent + KEYS.call_timeout:
-            late = ((*call[:2], -1, *call[3:]),) if status is None and now <= sent + KEYS.flight else ()
+            late = ((*call[:2], -1, *call[3:]),) if status is None and now <= sent + KEYS.max_delivery else ()
             yield stepped(which, ("answered", now, number, None), f"{what} is given up", calls=rest + late)
 
     def _arrive(self, state: tuple, call: tuple, rest: tuple, what: str, after: Callable[..., Step]) -> Step:
@@ -724,7 +749,7 @@
         if ledger is None:
             ledger = self.ledgers[log] = self._ledger(log)
         leased = [x.conductor for x in ledger.slices["s"]]
-        for to, runs in reassign(Tenure(tenure[0], dict(tenure[1])), now, leased).items():
+        for to, runs in reassign(ConductorLeases(tenure[0], dict(tenure[1])), now, leased).items():
             text = json.dumps({"do": "lease", "from": leased[runs[0][0]], "to": to, "slices": {"s": runs}})
             yield after(f"{text} is committed", log=log + (text,), leases=state[11] + 1)
 
@@ -740,7 +765,7 @@
         "entries": (Agreement(), 13 if big else 10, most),
         "wiped disks": (Agreement(crashes=0, wipes=1, commands=0, stood=2 if big else 1), 99 if big else 13, most),
         "newcomers": (Agreement(count=1, newcomers=1, terms=1, commands=0), 99 if big else 18, most),
-        "leavers": (Agreement(count=2, target=1, leaves=1, terms=1, commands=0), 99 if big else 19, most),
+        "leavers": (Agreement(count=2, target_members=1, leaves=1, terms=1, commands=0), 99 if big else 19, most),
         "calls": (Keys(), 10 if big else 7, most),
         "refusals": (Keys(swift=True, refuses=True, asks="a", starts=0, reassigns=0), 99 if big else 12, most),
         "leases": (Keys(swift=True, leaders=1, moves=1), 99 if big else 10, most),
@@ -750,42 +775,42 @@
 class VotesEarly(Machine):
     """Mistake: a vote leaves before the disk holds it."""
 
-    def _promise(self, address: str, type: str, to: str, /, **rest: Any) -> None:
+    def _send_after_save(self, address: str, type: str, to: str, /, **rest: Any) -> None:
         self._send(address, type, to, **rest)
 
 
-class FromSending(Keeper):
+class FromSending(GrantManager):
     """Mistake: a hold is counted from when the grant was sent, not from its latest arrival."""
 
     def tick(self, now: float) -> None:
         super().tick(now)
-        self.sent = getattr(self, "sent", {}) | {x: now for x in self.orders if isinstance(x, Grant)}
+        self.sent = getattr(self, "sent", {}) | {x: now for x in self.actions if isinstance(x, Grant)}
 
-    def _granted(self, now: float, x: Any, holder: Holder, order: Grant, status: Any, *more: float) -> None:
-        until = holder.until
-        super()._granted(now, x, holder, order, status, *more)
-        if holder.until > until:
-            holder.until = max(until, self.sent[order] + order.hold * SLOW)
+    def _on_grant_ended(self, now: float, x: Any, holder: Holder, order: Grant, status: Any, *more: float) -> None:
+        until = holder.held_until
+        super()._on_grant_ended(now, x, holder, order, status, *more)
+        if holder.held_until > until:
+            holder.held_until = max(until, self.sent[order] + order.hold * CLOCK_SLOWDOWN)
 
 
-class TrustsPredecessor(Keeper):
+class TrustsPredecessor(GrantManager):
     """Mistake: who takes a slice over does not count what was granted before."""
 
     def _take_over(self, now: float, key: tuple[str, int], x: Slice) -> Any:
         tenure = super()._take_over(now, key, x)
         for holder in tenure.holders.values():
-            holder.until = holder.quiet = now
+            holder.held_until = holder.deliverable_until = now
         return tenure
 
 
-class ClearsRefused(Keeper):
+class ClearsRefused(GrantManager):
     """Mistake: a refused connection counts as the end of the node (incident inc1)."""
 
-    def answered(self, now: float, order: Any, status: Any, handover: str | None = None) -> None:
-        super().answered(now, order, status, handover)
-        for tenure in self.tenures.values() if status == REFUSED else ():
+    def on_call_ended(self, now: float, order: Any, status: Any, handover: str | None = None) -> None:
+        super().on_call_ended(now, order, status, handover)
+        for tenure in self.slice_leases.values() if status == REFUSED else ():
             if order.node in tenure.holders:
-                tenure.holders[order.node].until = now
+                tenure.holders[order.node].held_until = now
 
 
 def mistakes() -> dict[str, tuple[Agreement | Keys, int, str]]:
--- a/tests/system/test_catch_up.py
+++ b/tests/system/test_catch_up.py
@@ -12,22 +12,22 @@
 from unittest import mock
 
 from knotwalk.consensus import leading, machine, snapshot_transfer
-from knotwalk.consensus.log import BATCH
+from knotwalk.consensus.log import MAX_BATCH_BYTES
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.orders import Entry, Pace, Save, Saved, Send
+from knotwalk.consensus.raft_types import Entry, RaftSettings, Save, Send, StoredState
 from knotwalk.consensus.snapshot_transfer import (
-    FIRST_PART,
-    LEAST_PART,
-    MOST_PART,
-    UNANSWERED,
-    Incoming,
-    Outgoing,
+    INITIAL_PART_BYTES,
+    MAX_PART_BYTES,
+    MIN_PART_BYTES,
+    PART_TIMEOUT_S,
+    IncomingTransfer,
+    InvalidTransferError,
+    OutgoingTransfer,
     Part,
-    Unsound,
     decode,
     encode,
 )
-from knotwalk.consensus.store import Refused, Store
+from knotwalk.consensus.store import Store, StoreUnavailableError
 from knotwalk.control_plane import compaction
 from knotwalk.control_plane.consensus_driver import PATIENCE, ConsensusDriver
 from tests.standins.disk import FULL, REFUSED, FaultyDisk
@@ -76,7 +76,9 @@
 
     def lead(self) -> Node:
         """Wait for a leader that has committed in its term."""
-        self.run(10, lambda: (one := self.leader()) is not None and one.machine is not None and one.machine.settled)
+        self.run(
+            10, lambda: (one := self.leader()) is not None and one.machine is not None and one.machine.is_commit_current
+        )
         found = self.leader()
         assert found is not None
         return found
@@ -150,10 +152,10 @@
     def test_a_long_entry_goes_in_parts_where_the_link_is_fast_too(self) -> None:
         cluster = SlowCluster(3)
         cluster.lead()
-        cluster.change(1, 3 * BATCH)
+        cluster.change(1, 3 * MAX_BATCH_BYTES)
         self.assertTrue(cluster.run(2, cluster.settled))
         self.assertIn("part", cluster.sent)
-        self.assertLess(max(cluster.lengths), BATCH + HEADS)
+        self.assertLess(max(cluster.lengths), MAX_BATCH_BYTES + HEADS)
 
     def test_a_snapshot_cut_off_in_the_middle_goes_on_where_it_was(self) -> None:
         for seconds in (0.05, 1.0, 20.0):
@@ -276,9 +278,11 @@
     def test_a_seeded_mistake_is_seen(self) -> None:
         """Parts that are put together in any order make another state: the checker, or no state at all, says so."""
         with (
-            mock.patch.object(Incoming, "take", lambda self, part, order: not self.texts.append(part.text)),
+            mock.patch.object(IncomingTransfer, "add_part", lambda self, part, order: not self.texts.append(part.text)),
             mock.patch.object(
-                Incoming, "whole", lambda self, part: decode("".join(self.texts[-3:]), part.digest) if self.texts else 0
+                IncomingTransfer,
+                "take_content",
+                lambda self, part: decode("".join(self.texts[-3:]), part.digest) if self.texts else 0,
             ),
             self.assertRaises((Violation, AssertionError)),
         ):
@@ -307,7 +311,7 @@
         cluster.kind = Older
         cluster.start(old.address)
         term = leader.machine.term
-        cluster.change(3, 2 * BATCH)
+        cluster.change(3, 2 * MAX_BATCH_BYTES)
         cluster.run(20)
         self.assertEqual((leader.machine.term, old.machine.role, old.applied < 100), (term, "follower", True))
         self.assertEqual(leader.applied, leader.machine.log.last, "the others go on")
@@ -324,7 +328,7 @@
         cluster.stop(lost.address)
         cluster.change(1200)
         cluster.compact(leader.address)
-        with mock.patch.object(Machine, "_feed_part", whole):
+        with mock.patch.object(Machine, "_send_part", whole):
             cluster.start(lost.address)
             self.assertTrue(cluster.run(10, cluster.settled))
         self.assertEqual((cluster.sent["snapshot"] > 0, cluster.sent.get("part", 0)), (True, 0))
@@ -335,24 +339,24 @@
     assert kind == "snapshot"
     index, term, members, state = leader.snapshot
     held = {"index": index, "index_term": term, "members": members, "state": state}
-    leader._send(peer.address, "snapshot", peer.id, **held, stamp=now, round=leader._round)
+    leader._send(peer.address, "snapshot", peer.id, **held, stamp=now, round=leader._heartbeat_round)
 
 
 class TestWalks(unittest.TestCase):
     """All that goes wrong at once, with snapshots and entries so long against a message that most go in parts."""
 
     def test_nothing_told_is_lost_and_all_settles(self) -> None:
-        for batch, least in ((45, 1000), (BATCH, 100)):
+        for batch, least in ((45, 1000), (MAX_BATCH_BYTES, 100)):
             parts = 0
             for seed in range(10):
                 with (
                     self.subTest((batch, seed)),
-                    mock.patch.object(machine, "TRAIL", 4),
-                    mock.patch.object(leading, "LEAST_BATCH", 20),
-                    mock.patch.object(leading, "BATCH", batch),
-                    mock.patch.object(snapshot_transfer, "LEAST_PART", 32),
-                    mock.patch.object(snapshot_transfer, "MOST_PART", 64),
-                    mock.patch.object(Outgoing.__init__, "__defaults__", (0, 64, None)),
+                    mock.patch.object(machine, "TRAILING_ENTRIES", 4),
+                    mock.patch.object(leading, "MIN_BATCH_BYTES", 20),
+                    mock.patch.object(leading, "MAX_BATCH_BYTES", batch),
+                    mock.patch.object(snapshot_transfer, "MIN_PART_BYTES", 32),
+                    mock.patch.object(snapshot_transfer, "MAX_PART_BYTES", 64),
+                    mock.patch.object(OutgoingTransfer.__init__, "__defaults__", (0, 64, None)),
                 ):
                     cluster = Cluster(seed, 3 + 2 * (seed % 2))
                     trouble(cluster, 60)
@@ -365,57 +369,60 @@
 class TestParts(unittest.TestCase):
     """Both ends by themselves."""
 
-    def part(self, outgoing: Outgoing, now: float) -> Part:
-        found = outgoing.next(now)
+    def part(self, outgoing: OutgoingTransfer, now: float) -> Part:
+        found = outgoing.next_part(now)
         assert found is not None
         return found
 
     def test_a_part_grows_while_answers_are_quick_and_shrinks_while_they_are_not(self) -> None:
         blob = encode("snapshot", 0, 5, {"x": random.Random(1).randbytes(2_000_000).hex()})
-        outgoing, now = Outgoing(blob), 0.0
+        outgoing, now = OutgoingTransfer(blob), 0.0
         lengths = []
         for wait in (0.01,) * 6 + (0.3,) * 9:
             part = self.part(outgoing, now)
-            self.assertIsNone(outgoing.next(now), "one at a time")
+            self.assertIsNone(outgoing.next_part(now), "one at a time")
             lengths.append(len(part.text))
             now += wait
-            self.assertTrue(outgoing.taken(now, part.digest, part.offset, part.offset + len(part.text)))
-        self.assertEqual((lengths[0], max(lengths), lengths[-1]), (FIRST_PART, MOST_PART, LEAST_PART))
+            self.assertTrue(outgoing.on_part_taken(now, part.digest, part.offset, part.offset + len(part.text)))
+        self.assertEqual((lengths[0], max(lengths), lengths[-1]), (INITIAL_PART_BYTES, MAX_PART_BYTES, MIN_PART_BYTES))
         part = self.part(outgoing, now)
-        self.assertIsNone(outgoing.next(now + UNANSWERED / 2))
-        again = self.part(outgoing, now + UNANSWERED)
+        self.assertIsNone(outgoing.next_part(now + PART_TIMEOUT_S / 2))
+        again = self.part(outgoing, now + PART_TIMEOUT_S)
         self.assertEqual(again, part)
-        self.assertFalse(outgoing.taken(now, part.digest, part.offset - LEAST_PART, 0), "a late answer")
-        self.assertFalse(outgoing.taken(now, "other", part.offset, 0))
+        self.assertFalse(outgoing.on_part_taken(now, part.digest, part.offset - MIN_PART_BYTES, 0), "a late answer")
+        self.assertFalse(outgoing.on_part_taken(now, "other", part.offset, 0))
 
     def test_what_is_not_what_was_told_is_let_go(self) -> None:
         blob = encode("snapshot", 0, 5, {"x": "y"})
-        incoming = Incoming()
+        incoming = IncomingTransfer()
         part = Part("snapshot", 5, blob.digest, len(blob.text), 0, blob.text[::-1])
-        self.assertTrue(incoming.take(part, (1, 1.0)))
-        with self.assertRaises(Unsound):
-            incoming.whole(part)
-        self.assertEqual((incoming.held, incoming.texts), (0, []))
-        with mock.patch("knotwalk.consensus.snapshot_transfer.MOST_PLAIN", 5), self.assertRaises(Unsound):
+        self.assertTrue(incoming.add_part(part, (1, 1.0)))
+        with self.assertRaises(InvalidTransferError):
+            incoming.take_content(part)
+        self.assertEqual((incoming.received_bytes, incoming.texts), (0, []))
+        with (
+            mock.patch("knotwalk.consensus.snapshot_transfer.MAX_DECODED_BYTES", 5),
+            self.assertRaises(InvalidTransferError),
+        ):
             decode(blob.text, blob.digest)
 
     def test_no_more_is_held_than_told_or_allowed(self) -> None:
-        incoming = Incoming()
-        with mock.patch("knotwalk.consensus.snapshot_transfer.MOST", 100):
+        incoming = IncomingTransfer()
+        with mock.patch("knotwalk.consensus.snapshot_transfer.MAX_ENCODED_BYTES", 100):
             for offset in range(0, 400, 30):
-                incoming.take(Part("snapshot", 5, "d", 400, offset, "x" * 30), (1, 1.0))
-        self.assertLessEqual(incoming.held, 100)
-        incoming = Incoming()
-        incoming.take(Part("snapshot", 5, "d", 20, 0, "x" * 30), (1, 1.0))
-        self.assertEqual(incoming.held, 0)
+                incoming.add_part(Part("snapshot", 5, "d", 400, offset, "x" * 30), (1, 1.0))
+        self.assertLessEqual(incoming.received_bytes, 100)
+        incoming = IncomingTransfer()
+        incoming.add_part(Part("snapshot", 5, "d", 20, 0, "x" * 30), (1, 1.0))
+        self.assertEqual(incoming.received_bytes, 0)
 
     def test_a_late_part_of_what_was_given_up_changes_nothing(self) -> None:
-        incoming = Incoming()
+        incoming = IncomingTransfer()
         for digest, order in (("a", (3, 7.0)), ("b", (3, 8.0))):
-            self.assertTrue(incoming.take(Part("snapshot", 5, digest, 90, 0, "x" * 30), order))
-        self.assertFalse(incoming.take(Part("snapshot", 5, "a", 90, 30, "x" * 30), (3, 7.5)))
-        self.assertEqual((incoming.digest, incoming.held), ("b", 30))
-        self.assertTrue(incoming.take(Part("snapshot", 5, "c", 90, 0, "x" * 30), (4, 1.0)), "a new leader's clock")
+            self.assertTrue(incoming.add_part(Part("snapshot", 5, digest, 90, 0, "x" * 30), order))
+        self.assertFalse(incoming.add_part(Part("snapshot", 5, "a", 90, 30, "x" * 30), (3, 7.5)))
+        self.assertEqual((incoming.digest, incoming.received_bytes), ("b", 30))
+        self.assertTrue(incoming.add_part(Part("snapshot", 5, "c", 90, 0, "x" * 30), (4, 1.0)), "a new leader's clock")
 
 
 class TestDisk(unittest.TestCase):
@@ -437,7 +444,7 @@
             Save(3, 2, "v", rest, None, None, after),
         ]
 
-    def opened(self, folder: Path) -> tuple[Store, Saved]:
+    def opened(self, folder: Path) -> tuple[Store, StoredState]:
         store = Store(4)
         return store, store.open(folder, True, "10.1.0.15", FOUNDERS)
 
@@ -445,7 +452,7 @@
         for _ in range(9):
             try:
                 return work()
-            except Refused:
+            except StoreUnavailableError:
                 continue
         self.fail("refused for ever")
 
@@ -510,7 +517,7 @@
     def test_a_full_quota_still_takes_the_snapshot_that_makes_room(self) -> None:
         store, _ = self.opened(self.folder)
         number = 0
-        with self.assertRaises(Refused):
+        with self.assertRaises(StoreUnavailableError):
             while True:
                 number += 1
                 store.write(Save(number, 1, None, [Entry(number, 1, "command", {"x": "y" * 9000})], None, None))
@@ -552,7 +559,7 @@
     disk_mb = 64
 
     def __init__(self) -> None:
-        self.saved = Saved("a#founder", members={"a#founder": "a"})
+        self.saved = StoredState("a#founder", members={"a#founder": "a"})
 
     def write(self, save: Save) -> None:
         saved = self.saved
@@ -581,10 +588,10 @@
 
     async def test_heartbeats_do_not_wait_for_a_part_and_one_part_at_most_waits(self) -> None:
         caller, store = Stuck(), Kept()
-        driver = ConsensusDriver(store, store.saved, caller, Pace(target=1), 1, float("-inf"))
+        driver = ConsensusDriver(store, store.saved, caller, RaftSettings(target_members=1), 1, float("-inf"))
         for number in range(50):
             for kind in ("part", "append"):
-                driver.machine.orders.append(Send("b:1", {"type": kind, "number": number}))
+                driver.machine.actions.append(Send("b:1", {"type": kind, "number": number}))
                 driver.carry_out()
                 for _ in range(5):
                     await asyncio.sleep(0)
@@ -623,25 +630,25 @@
         for routes, work, most in ((3, compaction.WORK, 2702), (100, 10_000, 101)):
             with self.subTest(routes), mock.patch.object(compaction, "WORK", work):
                 store = Kept()
-                driver = ConsensusDriver(store, store.saved, None, Pace(target=1), 1, float("-inf"))
+                driver = ConsensusDriver(store, store.saved, None, RaftSettings(target_members=1), 1, float("-inf"))
                 machine = driver.machine
-                machine.tick(machine.wake)
+                machine.tick(machine.wake_at)
                 for version in range(0, 2701):
                     if version:
-                        machine.propose(machine.wake, change(version, routes), None)
+                        machine.propose(machine.wake_at, change(version, routes), None)
                     while not machine.applied or machine.log.last > machine.applied:
                         driver.carry_out()
                         while not driver.saves.empty():
                             save = driver.saves.get_nowait()
                             store.write(save)
-                            machine.kept(machine.wake, save.number)
+                            machine.on_saved(machine.wake_at, save.number)
                     driver.carry_out()
                 while not driver.saves.empty():
                     save = driver.saves.get_nowait()
                     store.write(save)
-                    machine.kept(machine.wake, save.number)
+                    machine.on_saved(machine.wake_at, save.number)
                 await driver.close()
-                again = ConsensusDriver(store, store.saved, None, Pace(target=1), 2, float("-inf"))
+                again = ConsensusDriver(store, store.saved, None, RaftSettings(target_members=1), 2, float("-inf"))
                 told, seen = [], []
                 again.on_config = lambda: told.append(again.state.version)
                 again.on_change = lambda index, changes: seen.append(index)
--- a/tests/system/test_claim_groups.py
+++ b/tests/system/test_claim_groups.py
@@ -59,7 +59,7 @@
         """Who leads a part's group by the newest term."""
 
         def leads() -> list[Place]:
-            return [place for place in self.world.running() if place.process.member(part).settled]
+            return [place for place in self.world.running() if place.process.member(part).is_commit_current]
 
         self.until(lambda: bool(leads()))
         return max(leads(), key=lambda place: place.process.member(part).term)
--- a/tests/system/test_cli.py
+++ b/tests/system/test_cli.py
@@ -18,8 +18,8 @@
 from knotwalk.configuration.control import History, judge, reading
 from knotwalk.configuration.read import document, read_configuration
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.orders import Entry, Pace, Save, Saved
-from knotwalk.consensus.store import Store, StoreBroken, read
+from knotwalk.consensus.raft_types import Entry, RaftSettings, Save, StoredState
+from knotwalk.consensus.store import Store, StoreError, read
 from knotwalk.control_plane import account
 from knotwalk.control_plane.replicated_state import ReplicatedState
 from knotwalk.discovery.board import Board
@@ -251,7 +251,7 @@
         self.assertIn("is not there", err)
         file = self.folder / "data" / "logbook.sqlite"
         file.write_bytes(file.read_bytes()[:3000] + b"\0" * 3000)
-        with self.assertRaises(StoreBroken) as caught:
+        with self.assertRaises(StoreError) as caught:
             read(self.folder / "data")
         self.assertEqual(caught.exception.path, file)  # and not the copy's
         self.assertEqual(run("export", str(self.folder / "data"))[0], 2)
@@ -394,7 +394,7 @@
         self.state.apply(4, {"do": "granted", "by": "a:1#founder", "fence": 3, "slices": {"tiles": [[0, 4]]}})
         self.board.set_nodes((1, 1), {"i-1": Node("i-1", "tiles", ("10.0.0.9", 80), "z", 2)})
         self.machine = Machine(
-            Saved("a:1#founder", members={"a:1#founder": "a:1", "b:1#founder": "b:1"}), Pace(), 1, 0.0
+            StoredState("a:1#founder", members={"a:1#founder": "a:1", "b:1#founder": "b:1"}), RaftSettings(), 1, 0.0
         )
 
     def status(self, fresh=True):
--- a/tests/system/test_cli_tenants.py
+++ b/tests/system/test_cli_tenants.py
@@ -6,7 +6,7 @@
 
 from knotwalk.cli import show
 from knotwalk.configuration.read import Invalid, read_configuration
-from knotwalk.consensus.orders import Entry, Save
+from knotwalk.consensus.raft_types import Entry, Save
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane import account
 from knotwalk.control_plane.replicated_state import ReplicatedState
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -6,8 +6,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.members import Standing, change
-from knotwalk.consensus.orders import Answer, Apply, Entry, Pace, Save, Saved, Send
+from knotwalk.consensus.membership_rules import PeerProgress, next_members
+from knotwalk.consensus.raft_types import Answer, Apply, Entry, RaftSettings, Save, Send, StoredState
 from tests.system.cluster import Cluster, Node, Violation, trouble
 
 
@@ -47,7 +47,9 @@
                 cluster.run(
                     5,
                     lambda: any(
-                        node.machine and node.machine.role == "leader" and node.machine.commit >= node.machine._first
+                        node.machine
+                        and node.machine.role == "leader"
+                        and node.machine.commit >= node.machine._term_first_index
                         for node in cluster.nodes.values()
                     ),
                 )
@@ -96,11 +98,11 @@
     def test_who_is_called_when_it_asked_to_be_stands_in_time_who_thaws_does_not(self) -> None:
         for seed in range(20):
             for late in (0.002, 0.4):
-                saved = Saved("a", members={one: one for one in "abc"})
-                machine, now = Machine(saved, Pace(), seed, 10.0, 9.8), 10.0
+                saved = StoredState("a", members={one: one for one in "abc"})
+                machine, now = Machine(saved, RaftSettings(), seed, 10.0, 9.8), 10.0
                 stood = 9.8 + 0.45 + 0.2 + 0.01
-                while now <= stood and not any(isinstance(one, Send) for one in machine.orders):
-                    now = machine.wake + late
+                while now <= stood and not any(isinstance(one, Send) for one in machine.actions):
+                    now = machine.wake_at + late
                     machine.tick(now)
                 self.assertEqual(now <= stood, late < 0.1, (seed, now))
 
@@ -165,10 +167,10 @@
         leader = led(cluster)
         cluster.run(1)
         now = cluster.now + leader.offset
-        self.assertLess(now - leader.machine.majority_at, 0.2)
-        self.assertEqual(set(leader.machine.answered), set(ids(leader)) - {leader.machine.me})
+        self.assertLess(now - leader.machine.majority_acked_at, 0.2)
+        self.assertEqual(set(leader.machine.peers_answered_at), set(ids(leader)) - {leader.machine.me})
         cluster.leave(leader.address)
-        self.assertEqual(leader.machine.majority_at, float("-inf"))
+        self.assertEqual(leader.machine.majority_acked_at, float("-inf"))
 
     def test_what_was_due_in_one_life_never_reaches_the_next(self) -> None:
         cluster, lives = Cluster(17), set()
@@ -233,7 +235,7 @@
         self.assertIn(lost.disk.saved.me, ids(led(cluster)))
 
     def test_a_leader_that_leaves_hands_over_and_one_too_many_is_removed(self) -> None:
-        cluster = Cluster(14, pace=Pace(target=2))
+        cluster = Cluster(14, pace=RaftSettings(target_members=2))
         old = led(cluster)
         term = old.machine.term
         cluster.leave(old.address)
@@ -288,35 +290,37 @@
 
     def test_an_outsider_votes_once_a_term_when_it_is_kept_and_never_stands(self) -> None:
         """Entries that it lacks may count it. Asked by another identity, as of an emptied disk, it says nothing."""
-        machine = Machine(Saved("m3#new"), Pace(), 0, 0.0)
-        machine.orders.clear()
+        machine = Machine(StoredState("m3#new"), RaftSettings(), 0, 0.0)
+        machine.actions.clear()
         last = {"term": 3, "next": 4, "last": 9, "last_term": 3, "handed": True}
         for type in ("prevote", "vote"):
             machine.receive(5.0, {"type": type, "from": "m0#founder", "at": "m0", "to": "m3#old", **last})
         machine.tick(50.0)
         self.assertEqual((machine.role, machine.term), ("outsider", 0))
-        asked = [(one.to_address, one.message["type"]) for one in machine.orders]
+        asked = [(one.to_address, one.message["type"]) for one in machine.actions]
         self.assertEqual(asked, [("m0", "join")], "it promises nothing, and asks who counts its old self to take it in")
-        machine.orders.clear()
+        machine.actions.clear()
         machine.receive(50.0, {"type": "vote", "from": "m0#founder", "at": "m0", "to": "m3#new", **last})
-        self.assertEqual([one for one in machine.orders if isinstance(one, Send)], [])
-        (save,) = [one for one in machine.orders if isinstance(one, Save)]
+        self.assertEqual([one for one in machine.actions if isinstance(one, Send)], [])
+        (save,) = [one for one in machine.actions if isinstance(one, Save)]
         self.assertEqual((save.term, save.vote), (3, "m0#founder"))
-        machine.orders.clear()
+        machine.actions.clear()
         machine.receive(50.0, {"type": "vote", "from": "m1#founder", "at": "m1", "to": "m3#new", **last})
-        machine.kept(50.0, save.number)
-        said = [(one.to_address, one.message["granted"]) for one in machine.orders if isinstance(one, Send)]
+        machine.on_saved(50.0, save.number)
+        said = [(one.to_address, one.message["granted"]) for one in machine.actions if isinstance(one, Send)]
         self.assertEqual(sorted(said), [("m0", True), ("m1", False)])
-        machine.orders.clear()
+        machine.actions.clear()
         machine.tick(90.0)
-        self.assertEqual((machine.role, machine.term, machine.orders), ("outsider", 3, []))
+        self.assertEqual((machine.role, machine.term, machine.actions), ("outsider", 3, []))
 
     def test_changes_wait_for_what_makes_them_safe(self) -> None:
         members = {"a": "A", "b": "B", "c": "C"}
 
         def asked(b: float, c: float, heir: float, count: int = 3) -> dict[str, str] | None:
-            voters = {"b": Standing("b", "B", 9, b, 0.0), "c": Standing("c", "C", 9, c, 0.0)}
-            return change("a", members, voters, [Standing("n", "C", 9, 100.0, heir)], 9, 100.0, 0.6, 8.0, count, 0.2)
+            voters = {"b": PeerProgress("b", "B", 9, b, 0.0), "c": PeerProgress("c", "C", 9, c, 0.0)}
+            return next_members(
+                "a", members, voters, [PeerProgress("n", "C", 9, 100.0, heir)], 9, 100.0, 0.6, 8.0, count, 0.2
+            )
 
         self.assertEqual(asked(99.9, 90.0, 99.0), {"a": "A", "b": "B", "n": "C"})
         self.assertIsNone(asked(98.9, 90.0, 99.0), "b has not answered since the heir came")
@@ -331,34 +335,36 @@
     def machine(self) -> Machine:
         """A follower of three, which heard its leader long ago."""
         members = {"a": "A", "b": "B", "c": "C"}
-        machine = Machine(Saved("a", 1, None, 0, 0, None, members, [Entry(1, 1, "noop", {})]), Pace(), 0, 0.0)
+        machine = Machine(
+            StoredState("a", 1, None, 0, 0, None, members, [Entry(1, 1, "noop", {})]), RaftSettings(), 0, 0.0
+        )
         machine.tick(0.1)
-        machine.orders.clear()
+        machine.actions.clear()
         return machine
 
     def test_a_vote_waits_for_its_save_and_is_given_once(self) -> None:
         machine = self.machine()
         ask = {"type": "vote", "at": "B", "to": "a", "term": 2, "last": 1, "last_term": 1, "handed": False}
         machine.receive(0.4, {**ask, "from": "b"})
-        self.assertEqual(machine.orders, [], "a life before may have answered a leader 0.4 s ago")
+        self.assertEqual(machine.actions, [], "a life before may have answered a leader 0.4 s ago")
         machine.receive(0.7, {**ask, "from": "b"})
         machine.receive(0.7, {**ask, "from": "c", "at": "C"})
-        save = next(one for one in machine.orders if isinstance(one, Save))
+        save = next(one for one in machine.actions if isinstance(one, Save))
         self.assertEqual((save.term, save.vote), (2, "b"))
-        self.assertEqual([one.message["granted"] for one in machine.orders if isinstance(one, Send)], [False])
-        machine.orders.clear()
-        machine.kept(0.71, save.number)
-        self.assertEqual([(one.to_address, one.message["granted"]) for one in machine.orders], [("B", True)])
+        self.assertEqual([one.message["granted"] for one in machine.actions if isinstance(one, Send)], [False])
+        machine.actions.clear()
+        machine.on_saved(0.71, save.number)
+        self.assertEqual([(one.to_address, one.message["granted"]) for one in machine.actions], [("B", True)])
 
     def test_a_start_gives_out_what_the_disk_holds_as_committed_and_no_more(self) -> None:
         members = {"a": "A", "b": "B", "c": "C"}
         for known in range(5):  # at each point up to which the log may be known as committed
             entries = [Entry(index, 1, "command", {"n": index}) for index in range(1, 5)]
-            machine = Machine(Saved("a", 1, None, 0, 0, None, members, entries, known), Pace(), 0, 0.0)
+            machine = Machine(StoredState("a", 1, None, 0, 0, None, members, entries, known), RaftSettings(), 0, 0.0)
             machine.tick(0.1)
-            given = [one.entry.body["n"] for one in machine.orders if isinstance(one, Apply)]
+            given = [one.entry.body["n"] for one in machine.actions if isinstance(one, Apply)]
             self.assertEqual((given, machine.commit), (list(range(1, known + 1)), known))
-            machine.orders.clear()
+            machine.actions.clear()
             machine.receive(
                 0.2,
                 {
@@ -375,9 +381,9 @@
                     "round": 3,
                 },
             )
-            given = [one.entry.body["n"] for one in machine.orders if isinstance(one, Apply)]
+            given = [one.entry.body["n"] for one in machine.actions if isinstance(one, Apply)]
             self.assertEqual(given, ["other"], "the tail lost its race")
-            save = next(one for one in machine.orders if isinstance(one, Save))
+            save = next(one for one in machine.actions if isinstance(one, Save))
             self.assertEqual((save.commit, machine.log.last), (known + 1, known + 1))
 
     def test_an_answer_tells_what_is_kept_apart_from_what_came(self) -> None:
@@ -396,16 +402,16 @@
             "round": 3,
         }
         machine.receive(0.2, append)
-        first = next(one.message for one in machine.orders if isinstance(one, Send))
+        first = next(one.message for one in machine.actions if isinstance(one, Send))
         self.assertEqual((first["match"], first["have"], first["stamp"], first["round"]), (1, 2, 7.0, 3))
-        machine.orders.clear()
-        machine.kept(0.3, 1)
-        self.assertEqual([one.message["match"] for one in machine.orders if isinstance(one, Send)], [2])
+        machine.actions.clear()
+        machine.on_saved(0.3, 1)
+        self.assertEqual([one.message["match"] for one in machine.actions if isinstance(one, Send)], [2])
 
     def test_a_failed_store_silences(self) -> None:
         machine = self.machine()
-        machine.failed(0.2)
-        save = machine.orders.pop()
+        machine.on_save_failed(0.2)
+        save = machine.actions.pop()
         machine.receive(
             0.3,
             {
@@ -423,40 +429,42 @@
             },
         )
         machine.tick(9.0)
-        self.assertEqual([one for one in machine.orders if isinstance(one, Send) and one.message["type"] != "join"], [])
-        machine.kept(9.1, save.number)
+        self.assertEqual(
+            [one for one in machine.actions if isinstance(one, Send) and one.message["type"] != "join"], []
+        )
+        machine.on_saved(9.1, save.number)
         for step in range(20):
             machine.tick(9.2 + step / 10)
-        self.assertIn("prevote", [one.message["type"] for one in machine.orders if isinstance(one, Send)])
+        self.assertIn("prevote", [one.message["type"] for one in machine.actions if isinstance(one, Send)])
 
     def test_who_does_not_lead_says_who_does(self) -> None:
         machine = self.machine()
         machine.propose(0.1, {}, "t")
         machine.read(0.1, "u")
-        self.assertEqual(machine.orders, [Answer("t", "not_leader", None), Answer("u", "not_leader", None)])
+        self.assertEqual(machine.actions, [Answer("t", "not_leader", None), Answer("u", "not_leader", None)])
 
 
 class VotesEarly(Machine):
     """Mistake: promises leave before the disk holds them."""
 
-    def _promise(self, address, type, to, /, **rest):  # type: ignore[no-untyped-def, override]
+    def _send_after_save(self, address, type, to, /, **rest):  # type: ignore[no-untyped-def, override]
         self._send(address, type, to, **rest)
 
 
 class AcksEarly(Machine):
     """Mistake: entries count as kept once they came."""
 
-    def _match(self) -> int:
-        return self._agreed
+    def _match_index(self) -> int:
+        return self._received_index
 
 
 class Trusts(Machine):
     """Mistake: entries of older terms are committed by counting, reads need no round."""
 
     def _serve_reads(self, now: float) -> None:
-        for ticket in self._queue:
-            self.orders.append(Answer(ticket, "readable", self.applied))
-        self._queue = []
+        for ticket in self._queued_reads:
+            self.actions.append(Answer(ticket, "readable", self.applied))
+        self._queued_reads = []
 
 
 class TestMisfortune(unittest.TestCase):
