--- a/tests/system/test_consensus_store.py
+++ b/tests/system/test_consensus_store.py
@@ -17,8 +17,15 @@
 from unittest import mock
 
 from knotwalk.configuration.control import DISK_PART
-from knotwalk.consensus.orders import Entry, Save, Saved
-from knotwalk.consensus.store import ASIDE, NAME, Damaged, Refused, Store, StoreBroken
+from knotwalk.consensus.raft_types import Entry, Save, StoredState
+from knotwalk.consensus.store import (
+    DAMAGED_FILE_NAME,
+    FILE_NAME,
+    Store,
+    StoreDamagedError,
+    StoreError,
+    StoreUnavailableError,
+)
 from tests.standins.disk import FULL, REFUSED, FaultyDisk, FolderNames
 
 FOUNDERS = {"10.1.0.15#founder": "10.1.0.15:7101", "10.1.0.16#founder": "10.1.0.16:7101"}
@@ -39,7 +46,7 @@
         self.folder = Path(tempfile.mkdtemp(dir="/dev/shm" if os.path.isdir("/dev/shm") else None))
         self.addCleanup(shutil.rmtree, self.folder)
 
-    def open(self, folder: Path | None = None, **how) -> tuple[Store, Saved]:  # type: ignore[no-untyped-def]
+    def open(self, folder: Path | None = None, **how) -> tuple[Store, StoredState]:  # type: ignore[no-untyped-def]
         """Open the store of a folder."""
         store = Store(**how)
         return store, store.open(folder or self.folder, True, "10.1.0.15", FOUNDERS)
@@ -48,7 +55,7 @@
         """What the folder holds now."""
         return {one.name: one.read_bytes() for one in self.folder.iterdir()}
 
-    def after(self, files: Files) -> Saved | None:
+    def after(self, files: Files) -> StoredState | None:
         """What a start reads from such files; None where it calls them broken."""
         folder = Path(tempfile.mkdtemp(dir=self.folder.parent))
         try:
@@ -56,7 +63,7 @@
                 (folder / name).write_bytes(content)
             try:
                 store, saved = self.open(folder)
-            except StoreBroken:
+            except StoreError:
                 return None
             store.close()
             return saved
@@ -86,10 +93,10 @@
         for number in range(1, 40):
             store.write(save(number, size=chance.choice((10, 300, 3000))))
             now = self.files()
-            self.assertEqual(now[NAME], before[NAME], "the write-ahead log alone is written")
+            self.assertEqual(now[FILE_NAME], before[FILE_NAME], "the write-ahead log alone is written")
             for _ in range(6):
-                wal = torn(before.get(NAME + "-wal", b""), now[NAME + "-wal"], chance)
-                saved = self.after({**now, NAME + "-wal": wal})
+                wal = torn(before.get(FILE_NAME + "-wal", b""), now[FILE_NAME + "-wal"], chance)
+                saved = self.after({**now, FILE_NAME + "-wal": wal})
                 self.assertIsNotNone(saved)
                 assert saved is not None
                 self.assertIn(len(saved.entries), (number - 1, number))
@@ -110,17 +117,17 @@
                 continue
             store._connection.execute("PRAGMA wal_checkpoint(PASSIVE)").fetchall()
             middle = self.files()
-            self.assertNotEqual(before[NAME], middle[NAME])
-            self.assertEqual(before[NAME + "-wal"], middle[NAME + "-wal"])
+            self.assertNotEqual(before[FILE_NAME], middle[FILE_NAME])
+            self.assertEqual(before[FILE_NAME + "-wal"], middle[FILE_NAME + "-wal"])
             for _ in range(6):  # the file is synced before the log starts over
-                saved = self.after({**before, NAME: torn(before[NAME], middle[NAME], chance)})
+                saved = self.after({**before, FILE_NAME: torn(before[FILE_NAME], middle[FILE_NAME], chance)})
                 self.assertEqual(saved and len(saved.entries), number)
             store.write(save(number, term=2))  # the log starts over, over the old frames
             now = self.files()
-            self.assertEqual(now[NAME], middle[NAME])
+            self.assertEqual(now[FILE_NAME], middle[FILE_NAME])
             for _ in range(12):  # its head is synced before its frames are written
-                begun = now[NAME + "-wal"][:32] + middle[NAME + "-wal"][32:]
-                saved = self.after({**now, NAME + "-wal": torn(begun, now[NAME + "-wal"], chance)})
+                begun = now[FILE_NAME + "-wal"][:32] + middle[FILE_NAME + "-wal"][32:]
+                saved = self.after({**now, FILE_NAME + "-wal": torn(begun, now[FILE_NAME + "-wal"], chance)})
                 assert saved is not None
                 self.assertEqual(len(saved.entries), number)
                 self.assertIn(saved.entries[-1].term, (1, 2))
@@ -133,8 +140,8 @@
         before = self.files()
         store.close()
         closed = self.files()
-        self.assertNotIn(NAME + "-wal", closed)
-        saved = self.after({**closed, NAME + "-wal": before[NAME + "-wal"]})
+        self.assertNotIn(FILE_NAME + "-wal", closed)
+        saved = self.after({**closed, FILE_NAME + "-wal": before[FILE_NAME + "-wal"]})
         self.assertEqual(saved and len(saved.entries), 19)
         store, _ = self.open()
         store.write(save(20))
@@ -166,8 +173,8 @@
         store, _ = self.open()
         now = self.files()
         store.close()
-        for cut in range(0, len(now[NAME + "-wal"]), 700):
-            saved = self.after({**now, NAME + "-wal": now[NAME + "-wal"][:cut]})
+        for cut in range(0, len(now[FILE_NAME + "-wal"]), 700):
+            saved = self.after({**now, FILE_NAME + "-wal": now[FILE_NAME + "-wal"][:cut]})
             assert saved is not None
             self.assertEqual((saved.me, saved.members), ("10.1.0.15#founder", FOUNDERS))
 
@@ -202,7 +209,7 @@
 
         def until(work: Callable[[], Any]) -> Any:
             for _ in range(9):
-                with contextlib.suppress(Refused):
+                with contextlib.suppress(StoreUnavailableError):
                     return work()
             self.fail("refused for ever")
 
@@ -282,7 +289,7 @@
         for refused in (1, 2):
             with self.subTest(refused), FolderNames(frozenset({refused})) as names:
                 folder = self.folder / str(refused) / "claims-0"
-                with self.assertRaises(Refused):
+                with self.assertRaises(StoreUnavailableError):
                     self.open(folder)
                 self.open(folder)[0].close()
                 self.assertEqual(names.lost(), [])
@@ -339,14 +346,14 @@
         self.assertEqual((saved.commit, len(saved.entries)), (2, 4))
         store._put("meta", "commit", "7")
         store.close()
-        with self.assertRaisesRegex(Damaged, "entry 7 is committed"):
+        with self.assertRaisesRegex(StoreDamagedError, "entry 7 is committed"):
             self.open()
 
     def test_a_save_may_be_repeated_and_must_follow(self) -> None:
         store, _ = self.open()
         store.write(save(1, 3))
         store.write(save(1, 3))
-        with self.assertRaisesRegex(StoreBroken, "does not follow"):
+        with self.assertRaisesRegex(StoreError, "does not follow"):
             store.write(save(9))
         store.close()
         self.assertEqual(len(self.open()[1].entries), 3)
@@ -355,7 +362,7 @@
         store, _ = self.open()
         store.write(save(1, 30))
         store.close()
-        good = self.files()[NAME]
+        good = self.files()[FILE_NAME]
         changes = (
             "UPDATE entries SET body = '{}' WHERE idx = 7",
             "DELETE FROM entries WHERE idx = 30",
@@ -368,27 +375,27 @@
             "UPDATE entries SET term = 2 WHERE idx = 1",
         )
         for change in changes:
-            (self.folder / NAME).write_bytes(good)
-            connection = sqlite3.connect(self.folder / NAME)
+            (self.folder / FILE_NAME).write_bytes(good)
+            connection = sqlite3.connect(self.folder / FILE_NAME)
             connection.execute(change)
             connection.commit()
             connection.close()
             for leftover in self.folder.glob("*-*"):
                 leftover.unlink()
-            with self.subTest(change), self.assertRaisesRegex(StoreBroken, NAME):
+            with self.subTest(change), self.assertRaisesRegex(StoreError, FILE_NAME):
                 self.open()
-        whole = self.after({NAME: good})
+        whole = self.after({FILE_NAME: good})
         chance = random.Random(3)
         for _ in range(60):
             bad = bytearray(good)
             start = chance.randrange(0, len(bad), SECTOR)
             bad[start : start + SECTOR] = bytes(SECTOR) if chance.random() < 0.5 else os.urandom(SECTOR)
-            self.assertIn(self.after({NAME: bytes(bad)}), (None, whole))
-        self.assertIsNone(self.after({NAME: good[: len(good) // 2]}))
+            self.assertIn(self.after({FILE_NAME: bytes(bad)}), (None, whole))
+        self.assertIsNone(self.after({FILE_NAME: good[: len(good) // 2]}))
 
     def test_one_process_at_a_time(self) -> None:
         store, _ = self.open()
-        with self.assertRaisesRegex(Refused, "locked"):
+        with self.assertRaisesRegex(StoreUnavailableError, "locked"):
             self.open()
         store.close()
 
@@ -398,13 +405,15 @@
             store.write(save(number))
         now = self.files()
         store.close()
-        self.assertIsNone(self.after({NAME: now[NAME]}), "by itself the file reads as whole, and as of earlier")
-        self.assertIsNone(self.after({NAME + "-wal": now[NAME + "-wal"]}))
-        whole, length = self.after(now), len(now[NAME + "-wal"])
+        self.assertIsNone(
+            self.after({FILE_NAME: now[FILE_NAME]}), "by itself the file reads as whole, and as of earlier"
+        )
+        self.assertIsNone(self.after({FILE_NAME + "-wal": now[FILE_NAME + "-wal"]}))
+        whole, length = self.after(now), len(now[FILE_NAME + "-wal"])
         for start in range(32 + SECTOR, length, 4 * SECTOR):
-            log = bytearray(now[NAME + "-wal"])
+            log = bytearray(now[FILE_NAME + "-wal"])
             log[start : start + SECTOR] = bytes(255 - one for one in log[start : start + SECTOR])
-            saved = self.after({**now, NAME + "-wal": bytes(log)})
+            saved = self.after({**now, FILE_NAME + "-wal": bytes(log)})
             if start < length - 6 * 4120:
                 self.assertIsNone(saved, start)
             else:  # it may be a commit that was torn
@@ -416,24 +425,24 @@
             store, _ = self.open()
             store.write(save(1, 30))
             store.close()
-            good = self.files()[NAME]
-            (self.folder / NAME).write_bytes(good[: len(good) // 2].ljust(len(good), b"x"))
+            good = self.files()[FILE_NAME]
+            (self.folder / FILE_NAME).write_bytes(good[: len(good) // 2].ljust(len(good), b"x"))
             for kind in ("x", "rename"):
                 disk.refuse = lambda at, one: int(one == kind)
-                with self.assertRaises(Refused if kind == "rename" else Damaged):
+                with self.assertRaises(StoreUnavailableError if kind == "rename" else StoreDamagedError):
                     store.set_aside() if kind == "rename" else self.open()
             disk.refuse, begun = lambda at, one: 0, len(disk.done)
             store.set_aside()
             saved = self.open()[1]
             self.assertTrue(saved.me.startswith("10.1.0.15#") and saved.me not in FOUNDERS)
             self.assertEqual((saved.members, saved.entries), ({}, []))
-            self.assertIn(ASIDE, self.files())
+            self.assertIn(DAMAGED_FILE_NAME, self.files())
         with FaultyDisk():
             for number in range(begun, len(disk.done)):
                 for _ in range(4):  # whatever a loss of power brings back, the old one is never whole again
                     files = disk.left(number, chance, chance.random() < 0.3)
                     after = self.after(files)
-                    if NAME in files and files[NAME] == good:
+                    if FILE_NAME in files and files[FILE_NAME] == good:
                         continue  # the damage itself was no write of this disk's
                     self.assertTrue(after is None or after.me not in FOUNDERS, number)
         small, _ = self.open(Path(tempfile.mkdtemp(dir=self.folder)), disk_mb=0.03)
@@ -443,7 +452,7 @@
 
     def test_its_size_is_bounded_by_compaction(self) -> None:
         store, _ = self.open(disk_mb=3)
-        with self.assertRaisesRegex(StoreBroken, "MB allowed"):
+        with self.assertRaisesRegex(StoreError, "MB allowed"):
             for number in range(1, 10000, 10):
                 store.write(save(number, 10, size=500))
         last = number - 1
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -12,8 +12,8 @@
 from unittest import mock
 
 from knotwalk.configuration.read import document, patched, read_configuration
-from knotwalk.consensus.orders import Pace, Save, Saved
-from knotwalk.consensus.store import NAME, Damaged, Refused, Store
+from knotwalk.consensus.raft_types import RaftSettings, Save, StoredState
+from knotwalk.consensus.store import FILE_NAME, Store, StoreDamagedError, StoreUnavailableError
 from knotwalk.control_plane import consensus_driver, control
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeader, opened
 from knotwalk.control_plane.control import Control
@@ -25,7 +25,7 @@
 from knotwalk.discovery.loads import Loads, merge
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge.link import FIRST_WAIT, WAIT, Link
-from knotwalk.leases.orders import UNSENT, Grant, Pace as LeasePace
+from knotwalk.leases.actions import UNSENT, Grant, GrantTiming
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.packing import LEAST, unpack
 from tests.standins.jumps import JumpingCase
@@ -91,8 +91,8 @@
         self.wire = Wire()
         founders = {f"{at}#founder": at for at in ADDRESSES}
         for n, at in enumerate(ADDRESSES):
-            saved = Saved(f"{at}#founder", members=founders)
-            self.wire.ends[at] = ConsensusDriver(Disk(), saved, self.wire, Pace(), n, float("-inf"))
+            saved = StoredState(f"{at}#founder", members=founders)
+            self.wire.ends[at] = ConsensusDriver(Disk(), saved, self.wire, RaftSettings(), n, float("-inf"))
         for end in self.wire.ends.values():
             end.start()
 
@@ -106,8 +106,8 @@
                 await asyncio.sleep(0.001)  # a turn of the loop, so that timers come due; bounded above
 
     async def leader(self) -> ConsensusDriver:
-        await self.until(lambda: any(end.machine.settled for end in self.wire.ends.values()))
-        return next(end for end in self.wire.ends.values() if end.machine.settled)
+        await self.until(lambda: any(end.machine.is_commit_current for end in self.wire.ends.values()))
+        return next(end for end in self.wire.ends.values() if end.machine.is_commit_current)
 
     async def test_a_follower_answers_the_leaders_letters_with_the_call_itself(self):
         """What an answer to messages holds is what commits wait for: left to the next heartbeat, each took 0.3 s."""
@@ -151,8 +151,8 @@
         own = next(at for at, end in self.wire.ends.items() if end is leader)
         self.wire.cut.add(own)
         reach, self.wire.ends[own].caller = self.wire, Cut()
-        await self.until(lambda: not leader.machine.settled)
-        await self.until(lambda: any(end.machine.settled for end in self.wire.ends.values()))
+        await self.until(lambda: not leader.machine.is_commit_current)
+        await self.until(lambda: any(end.machine.is_commit_current for end in self.wire.ends.values()))
         self.wire.cut.discard(own)
         leader.caller = reach
         fresh = await self.leader()
@@ -172,7 +172,7 @@
         self.assertEqual(found[0].status, 503)  # it found out that it leads no more, and who does is not known there
         for one in found[1:]:
             self.assertNotEqual(one.headers.get("location"), f"http://{own.partition(':')[0]}:8/configuration")
-        await self.until(lambda: any(end.machine.settled for end in fellows))
+        await self.until(lambda: any(end.machine.is_commit_current for end in fellows))
         self.wire.cut.discard(own)
         leader.caller = reach
         fresh = await self.leader()
@@ -193,7 +193,7 @@
         def start(at: str, first: bool) -> ConsensusDriver:
             store = Store()
             end = wire.ends[at] = ConsensusDriver(
-                store, opened(store, str(folder / at), first, at, founders), wire, Pace(), 1, float("-inf")
+                store, opened(store, str(folder / at), first, at, founders), wire, RaftSettings(), 1, float("-inf")
             )
             end.machine.address, end.machine.contacts = at, [one for one in ADDRESSES if one != at]
             end.on_damage = lambda: damage.append(at)
@@ -209,7 +209,7 @@
 
         for at in ADDRESSES:
             start(at, True)
-        leads = lambda: next((one for one in wire.ends.values() if one.machine.settled), None)  # noqa: E731
+        leads = lambda: next((one for one in wire.ends.values() if one.machine.is_commit_current), None)  # noqa: E731
         await until(leads)
         leader = leads()
         self.assertEqual(
@@ -218,7 +218,7 @@
         )
         victim = next(one for one in wire.ends.values() if one is not leader)
         at = victim.machine.address
-        with mock.patch.object(victim.store, "write", side_effect=Damaged(victim.store.path, "malformed")):
+        with mock.patch.object(victim.store, "write", side_effect=StoreDamagedError(victim.store.path, "malformed")):
             await leader.propose(
                 {
                     "do": "configure",
@@ -229,15 +229,15 @@
                 }
             )
             await until(lambda: damage == [at])
-        self.assertFalse(victim.machine._may_stand())
+        self.assertFalse(victim.machine._can_stand())
         wire.cut.add(at)  # an ended process answers nobody
         await victim.close()
         await asyncio.to_thread(victim.writer.shutdown)
         victim.store.close()
-        path = folder / at / NAME
+        path = folder / at / FILE_NAME
         path.write_bytes(path.read_bytes()[:5000].ljust(path.stat().st_size, b"x"))
         with (
-            mock.patch.object(Store, "set_aside", side_effect=Refused(path, "no")),
+            mock.patch.object(Store, "set_aside", side_effect=StoreUnavailableError(path, "no")),
             self.assertRaises(StopIteration),
             self.assertLogs(level="WARNING"),
         ):
@@ -352,7 +352,11 @@
                 await asyncio.sleep(0)
                 return self.status, {}, json.dumps({"instances": {"i-1": entry}, "next_token": None}).encode()
 
-        self.platform, self.board, self.machine = Platform(), Board("b"), SimpleNamespace(rumour=None, role="follower")
+        self.platform, self.board, self.machine = (
+            Platform(),
+            Board("b"),
+            SimpleNamespace(last_known_leader=None, role="follower"),
+        )
         consensus = SimpleNamespace(machine=self.machine)
         list_poller = ListPoller(
             SimpleNamespace(platform=SimpleNamespace(address=("h", 1)), zone="z"),
@@ -391,9 +395,9 @@
             self.assertEqual(view.provide(0.0, one["provisional"]), {"config", "nodes"})
             self.assertTrue(view.whole and view.nodes["i-1"].draining)
         self.assertNotIn("provisional", await self.ask(bare=False))
-        self.machine.rumour = "a:1"
+        self.machine.last_known_leader = "a:1"
         self.assertNotIn("provisional", await self.ask())
-        self.machine.rumour, self.peer_api.fresh_until = None, 1.0
+        self.machine.last_known_leader, self.peer_api.fresh_until = None, 1.0
         self.assertNotIn("provisional", await self.ask())
         self.assertEqual(self.calls, 1)
 
@@ -647,8 +651,8 @@
                 await free.wait()
                 return 200, {}, b""
 
-        conductor = SliceManager("me", None, Board("b"), Loads(), Node(), LeasePace(), 1, None)
-        conductor.keeper.answered = lambda at, order, status, *_: ends.append((order.fence, status))
+        conductor = SliceManager("me", None, Board("b"), Loads(), Node(), GrantTiming(), 1, None)
+        conductor.keeper.on_call_ended = lambda at, order, status, *_: ends.append((order.fence, status))
         lanes = LANES["grant"]
         orders = [
             Grant("i-1", ("10.0.1.1", 80), 0, 31, n, 6.0, None, "s", (0,), 5.0 if n < lanes + 2 else 2.0)
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from knotwalk.configuration.read import document
-from knotwalk.consensus.orders import Pace, Save, Saved
+from knotwalk.consensus.raft_types import RaftSettings, Save, StoredState
 from knotwalk.control_plane import consensus_driver, control, list_poller, peer_api
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost
 from knotwalk.control_plane.control import Control
@@ -24,7 +24,7 @@
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge import link
 from knotwalk.edge.link import Link
-from knotwalk.leases.tenure import LEASE, PROOF
+from knotwalk.leases.conductor_leases import LEADERSHIP_PROOF_S, LEASE_S
 from knotwalk.runtime.errors import PeerError
 from tests.standins.jumps import Loop, clock
 from tests.system.test_control_plane import ADDRESSES, DOCUMENT
@@ -79,7 +79,7 @@
         self.world, self.at = world, at
         self.thawed = asyncio.Event()
         self.thawed.set()
-        self.consensus = ConsensusDriver(Disk(), saved, self, Pace(), seed, float("-inf"))
+        self.consensus = ConsensusDriver(Disk(), saved, self, RaftSettings(), seed, float("-inf"))
         self.consensus.writer = Inline()
         self.consensus.machine.address = at
         self.board, self.loads = Board(f"b{seed}"), Loads()
@@ -107,7 +107,7 @@
 
     @property
     def leads(self):
-        return self.consensus.machine.settled
+        return self.consensus.machine.is_commit_current
 
     # --- as its caller
 
@@ -173,7 +173,7 @@
     async def start(self):
         founders = {f"{at}#founder": at for at in ADDRESSES}
         for n, at in enumerate(ADDRESSES):
-            self.cores[at] = Core(self, at, Saved(f"{at}#founder", members=founders), n)
+            self.cores[at] = Core(self, at, StoredState(f"{at}#founder", members=founders), n)
         assert (await self.order("r3", "0"))[0] == 200
         await self.until(lambda: all(core.consensus.state.version == 3 for core in self.cores.values()))
         await self.until(lambda: all(core.peers.fresh_until > clock() for core in self.cores.values()))
@@ -412,7 +412,7 @@
                             if told["fresh"]:
                                 fresh.append(clock() - start)
                             await asyncio.sleep(max(0.01, begun + 0.05 - clock()))
-                        self.assertLess(max(fresh, default=0.0), PROOF + FRESH + 0.01)
+                        self.assertLess(max(fresh, default=0.0), LEADERSHIP_PROOF_S + FRESH + 0.01)
 
                     play(story)
 
@@ -422,8 +422,8 @@
             me = leader.consensus.machine.me
             self.assertIsNotNone(leader.poller.lease(me))
             leader.freeze()
-            last = leader.consensus.machine.majority_at
-            await asyncio.sleep(last + PROOF - 0.01 - clock())
+            last = leader.consensus.machine.majority_acked_at
+            await asyncio.sleep(last + LEADERSHIP_PROOF_S - 0.01 - clock())
             self.assertIsNotNone(leader.poller.lease(me))
             await asyncio.sleep(0.02)
             self.assertEqual((leader.consensus.machine.role, leader.poller.lease(me)), ("leader", None))
@@ -433,7 +433,7 @@
     def alone(self, world, at):
         """`at` starts anew with its disk, cut off from the other cores but not from edges."""
         machine = world.cores[at].consensus.machine
-        saved = Saved(
+        saved = StoredState(
             machine.me,
             machine.term,
             machine.vote,
@@ -497,7 +497,7 @@
             self.assertTrue(await given())
             with mock.patch.object(core.consensus.machine, "role", "outsider"):
                 self.assertFalse(await given())
-            with mock.patch.object(core.consensus.machine, "_hint", "10.0.0.2:7"):
+            with mock.patch.object(core.consensus.machine, "_leader_hint", "10.0.0.2:7"):
                 self.assertFalse(await given())
             reading = asyncio.Event()
 
@@ -508,7 +508,7 @@
             with mock.patch.object(core.poller, "own_nodes", slow):
                 call = asyncio.ensure_future(given())
                 await asyncio.sleep(0.1)
-                with mock.patch.object(core.consensus.machine, "_hint", "10.0.0.2:7"):
+                with mock.patch.object(core.consensus.machine, "_leader_hint", "10.0.0.2:7"):
                     reading.set()  # the list came, and meanwhile a leader was heard of
                     self.assertFalse(await call)
             await asyncio.sleep(PROVISIONAL)
@@ -561,11 +561,11 @@
                 ):
                     poller.role(True)
                     tenure = poller.tenure
-                    tenure.since -= 10 * LEASE  # all that were not heard have surely ended
-                    tenure.asked(clock(), a)
+                    tenure.since -= 10 * LEASE_S  # all that were not heard have surely ended
+                    tenure.renew(clock(), a)
                     happens = {
                         "nothing": lambda: None,
-                        "is back": lambda: (tenure.asked(clock(), b), tenure.asked(clock(), c)),
+                        "is back": lambda: (tenure.renew(clock(), b), tenure.renew(clock(), c)),
                         "office lost": lambda: poller.role(False),
                         "office anew": lambda: poller.role(True),
                     }[what]
--- a/tests/system/test_freshness.py
+++ b/tests/system/test_freshness.py
@@ -8,7 +8,7 @@
 from knotwalk.discovery.view_types import FRESH
 from knotwalk.edge.freshness import CALLS, MARGIN, REFUSAL_MARGIN, Freshness
 from knotwalk.edge.link import WAIT, Link
-from knotwalk.leases.tenure import PROOF
+from knotwalk.leases.conductor_leases import LEADERSHIP_PROOF_S
 from tests.standins.jumps import clock
 from tests.system.test_control_plane import ADDRESSES
 from tests.system.test_cut_off import play, world_caller
@@ -32,7 +32,7 @@
     def test_a_core_that_does_not_tell_may_be_as_far_behind_as_a_fresh_one_can_be(self):
         lease = Freshness(REVOKE, True)
         lease.proven(100.0, None)
-        self.assertEqual(lease.proven_at, 100.0 - FRESH - PROOF)
+        self.assertEqual(lease.proven_at, 100.0 - FRESH - LEADERSHIP_PROOF_S)
 
     def test_where_it_binds_nobody_out_of_touch_keys_are_accepted_past_it(self):
         lease = Freshness(REVOKE, False)
@@ -123,7 +123,7 @@
         found = self.through(trouble)
         self.check(found)
         held = [at for at, held, _ in found["looks"] if held and found["begun"] <= at < found["over"]]
-        self.assertGreater(max(held) - found["begun"], REVOKE - MARGIN - WAIT - FRESH - PROOF)
+        self.assertGreater(max(held) - found["begun"], REVOKE - MARGIN - WAIT - FRESH - LEADERSHIP_PROOF_S)
         self.assertFalse(all(held for _, held, _ in found["looks"]))
 
     def test_an_edge_whose_core_is_cut_off_or_frozen_hears_another_before_its_lease_ends(self):
--- a/tests/system/test_leases.py
+++ b/tests/system/test_leases.py
@@ -10,14 +10,21 @@
 import unittest
 
 from knotwalk.discovery.view_types import SLICES, WIDTH, Node
-from knotwalk.leases.keeper import Keeper
-from knotwalk.leases.ledger import LIFT, Change, Ledger, ranges
-from knotwalk.leases.orders import LONGEST, REFUSED, SLOW, Grant, Pace, Propose, Release
-from knotwalk.leases.slice_tenure import State
-from knotwalk.leases.tenure import CALM, HAND, LACK, Tenure, hand_over, reassign
+from knotwalk.leases.actions import CLOCK_SLOWDOWN, LONGEST_HOLD_S, REFUSED, Grant, GrantTiming, Propose, Release
+from knotwalk.leases.conductor_leases import (
+    CALM_PERIOD_S,
+    IMBALANCE_TOLERANCE,
+    MAX_HAND_OVER_SLICES,
+    ConductorLeases,
+    hand_over,
+    reassign,
+)
+from knotwalk.leases.grant_manager import GrantManager
+from knotwalk.leases.ledger import MIN_FENCE_LIFT, Ledger, OwnerChange, ranges
+from knotwalk.leases.slice_lease import State
 
 LEASE = 3.0
-PACE = Pace(lease=LEASE)
+PACE = GrantTiming(lease_duration=LEASE)
 
 
 def node(id, address=("10.0.0.1", 1), service="s", **more):
@@ -100,7 +107,7 @@
         self.at = at
         self.ledger = Ledger.from_dict(json.loads(json.dumps(self.ledger.to_dict())))
         self.keeper = self.world.keeper(self.name, PACE, self.world.random.randrange(1 << 30), self.world.now)
-        self.keeper.look(self.world.now, self.ledger)
+        self.keeper.on_ledger(self.world.now, self.ledger)
         self.later(0.0, self.ask)
         self.later(0.0, self.read)
         self.later(0.0, self.list)
@@ -123,7 +130,7 @@
     def run(self):
         now, keeper = self.world.now, self.keeper
         keeper.tick(now)
-        orders, keeper.orders = keeper.orders, []
+        orders, keeper.actions = keeper.actions, []
         for order in orders:
             if isinstance(order, Propose):
                 if now >= self.cut_until:
@@ -131,7 +138,7 @@
             else:
                 assert isinstance(order, Release) or now < order.expires
                 self.world.call(self, order)
-        due = max(now + 0.001, keeper.wake)
+        due = max(now + 0.001, keeper.wake_at)
         if due < math.inf and not now < self.waking <= due:
             self.waking = due
             self.later(due - now, lambda: None)
@@ -143,7 +150,7 @@
 
             def asked():
                 until, index = self.world.leader.answer(self.name, sent)
-                self.later(r.uniform(0, 0.05), lambda: self.keeper.leased(self.world.now, until, index))
+                self.later(r.uniform(0, 0.05), lambda: self.keeper.on_lease_proven(self.world.now, until, index))
 
             self.world.at(sent + r.uniform(0, 0.05), asked)
         self.later(0.5, self.ask)
@@ -154,13 +161,13 @@
         while self.at < len(log) and self.world.now >= self.cut_until:
             self.at += 1
             self.ledger.apply(self.at, log[self.at - 1])
-            self.keeper.look(self.world.now, self.ledger, self.ledger.touched)
+            self.keeper.on_ledger(self.world.now, self.ledger, self.ledger.changed)
         lags = self.world.trouble and r.random() < 0.02
         self.later(r.uniform(1, 4) if lags else r.uniform(0.005, 0.03), self.read)
 
     def list(self):
         self.nodes = self.world.listed()
-        self.keeper.nodes(self.world.now, self.nodes)
+        self.keeper.on_nodes_listed(self.world.now, self.nodes)
         self.later(self.world.random.uniform(0.3, 0.6), self.list)
 
     def homeless(self, k, owner, live, lapsed):
@@ -174,9 +181,9 @@
         live = [
             id
             for id, x in self.nodes.items()
-            if not x.draining and x.service == "s" and not self.keeper.unreachable(id)
+            if not x.draining and x.service == "s" and not self.keeper.is_unreachable(id)
         ]
-        moves, lapsed = [], self.keeper.lapsed(self.world.now)
+        moves, lapsed = [], self.keeper.lapsed_slices(self.world.now)
         for k in range(self.world.slices):
             x = self.ledger.slices["s"][k] if "s" in self.ledger.slices else None
             if x is None or x.conductor != self.name or not live:
@@ -226,7 +233,7 @@
     FAULTS = ("kill", "freeze", "cut", "deaf", "deaf", "crash", "drain", "add")
     CUTS = ("cut", *("add",) * 15)  # one at a time, so that the other one is there to move what it was handed
 
-    def __init__(self, seed, keeper=Keeper, length=45.0, calm=25.0, slices=12, faults=FAULTS, good=0.7):
+    def __init__(self, seed, keeper=GrantManager, length=45.0, calm=25.0, slices=12, faults=FAULTS, good=0.7):
         self.seed, self.random, self.keeper, self.slices, self.calm = seed, random.Random(seed), keeper, slices, calm
         self.now, self.heap, self.count = 0.0, [], itertools.count()
         self.faults = faults
@@ -299,14 +306,14 @@
         if sent < conductor.deaf.get(order.node, 0.0):
             kind = "lost"
         if sent < conductor.refused.get(order.node, 0.0):
-            conductor.later(r.uniform(0.001, 0.01), lambda: conductor.keeper.answered(self.now, order, REFUSED))
+            conductor.later(r.uniform(0.001, 0.01), lambda: conductor.keeper.on_call_ended(self.now, order, REFUSED))
             return
         state = {"done": False}
 
         def answer(status, handover=None):
             if not state["done"]:
                 state["done"] = True
-                conductor.keeper.answered(self.now, order, status, handover)
+                conductor.keeper.on_call_ended(self.now, order, status, handover)
 
         if kind != "lost":
 
@@ -320,7 +327,7 @@
                 if kind != "no answer":
                     conductor.later(work + r.uniform(0, 0.3 if kind == "late" else 0.03), answer, status, handover)
 
-            delay = r.uniform(0, 0.03) if kind == "good" else r.uniform(0, limit + PACE.slack)
+            delay = r.uniform(0, 0.03) if kind == "good" else r.uniform(0, limit + PACE.delivery_slack)
             self.at(sent + delay, arrive)
         conductor.later(limit, answer, None)
 
@@ -413,68 +420,68 @@
         )
 
     def test_finds_a_hold_by_the_conductors_own_clock(self):
-        class Mistaken(Keeper):
-            def _granted(self, now, x, holder, order, status, *more):
-                until = holder.until
-                super()._granted(now, x, holder, order, status, *more)
+        class Mistaken(GrantManager):
+            def _on_grant_ended(self, now, x, holder, order, status, *more):
+                until = holder.held_until
+                super()._on_grant_ended(now, x, holder, order, status, *more)
                 if status == 200:
-                    holder.until = max(until, now + order.hold)
+                    holder.held_until = max(until, now + order.hold)
 
         self.found(Mistaken, "deaf", good=0.9)
 
     def test_finds_a_hold_counted_from_the_sending(self):
-        class Mistaken(Keeper):
+        class Mistaken(GrantManager):
             def tick(self, now):
                 super().tick(now)
-                self.sent = getattr(self, "sent", {}) | {x: now for x in self.orders if isinstance(x, Grant)}
+                self.sent = getattr(self, "sent", {}) | {x: now for x in self.actions if isinstance(x, Grant)}
 
-            def _granted(self, now, x, holder, order, status, *more):
-                until = holder.until
-                super()._granted(now, x, holder, order, status, *more)
-                if holder.until > until:
-                    holder.until = max(until, self.sent[order] + order.hold * SLOW)
+            def _on_grant_ended(self, now, x, holder, order, status, *more):
+                until = holder.held_until
+                super()._on_grant_ended(now, x, holder, order, status, *more)
+                if holder.held_until > until:
+                    holder.held_until = max(until, self.sent[order] + order.hold * CLOCK_SLOWDOWN)
 
         self.found(Mistaken, "deaf", good=0.3)
 
     def test_finds_a_grant_before_the_old_holder_is_cleared(self):
-        class Mistaken(Keeper):
-            def _cleared(self, now, holder):
+        class Mistaken(GrantManager):
+            def _is_cleared(self, now, holder):
                 return True
 
         self.found(Mistaken)
 
     def test_finds_a_grant_past_the_lease(self):
-        class Mistaken(Keeper):
-            def _prove(self, now, until):
-                super()._prove(now, math.inf)
+        class Mistaken(GrantManager):
+            def _extend_lease(self, now, until):
+                super()._extend_lease(now, math.inf)
 
         self.found(Mistaken, "cut", good=0.9)
 
     def test_finds_a_lease_that_does_not_wait_for_the_log(self):
-        class Mistaken(Keeper):
-            def leased(self, now, until, index):
-                super().leased(now, until, 0)
+        class Mistaken(GrantManager):
+            def on_lease_proven(self, now, until, index):
+                super().on_lease_proven(now, until, 0)
 
         self.found(Mistaken, "cut", "kill", good=0.9)
 
     def test_finds_a_release_that_a_grant_may_overtake(self):
-        class Mistaken(Keeper):
-            def _may_release(self, now, id, h):
-                return not h.releasing and h.again <= now and id in self._known
+        class Mistaken(GrantManager):
+            def _can_release(self, now, id, h):
+                return not h.is_releasing and h.next_release_at <= now and id in self._addresses
 
-            def _released(self, now, x, holder, *more):
-                flying, holder.flying = holder.flying, 0
-                super()._released(now, x, holder, *more)
-                holder.flying = flying
+            def _on_release_ended(self, now, x, holder, *more):
+                flying, holder.grants_in_flight = holder.grants_in_flight, 0
+                super()._on_release_ended(now, x, holder, *more)
+                holder.grants_in_flight = flying
 
         self.found(Mistaken, "add", good=0.3)
 
     def test_finds_a_taking_over_that_trusts_its_predecessor(self):
-        class Mistaken(Keeper):
+        class Mistaken(GrantManager):
             def _take_over(self, now, key, x):
                 tenure = super()._take_over(now, key, x)
                 for holder in tenure.holders.values():
-                    holder.until = holder.quiet = now
+                    holder.held_until = holder.deliverable_until = now
                 return tenure
 
         self.found(Mistaken, "kill")
@@ -482,18 +489,18 @@
     def test_finds_a_hand_over_that_is_taken_for_a_taking_over(self):
         """The one that hands over may be cut off, lag, and renew for a lease what the other has released and moved."""
 
-        class Mistaken(Keeper):
-            def look(self, now, ledger, touched=None):
+        class Mistaken(GrantManager):
+            def on_ledger(self, now, ledger, changed=None):
                 for line in ledger.slices.values():
                     for x in line:
-                        x.early = False
-                super().look(now, ledger, touched)
+                        x.previous_may_act = False
+                super().on_ledger(now, ledger, changed)
 
         self.found(Mistaken, *World.CUTS, good=0.95)
 
     def test_finds_a_start_that_forgets_what_its_last_life_granted(self):
-        class Mistaken(Keeper):
-            _begun = property(lambda self: -math.inf, lambda self, now: None)
+        class Mistaken(GrantManager):
+            _started_at = property(lambda self: -math.inf, lambda self, now: None)
 
         self.found(Mistaken, "kill")
 
@@ -503,7 +510,7 @@
 
     def setUp(self):
         self.ledger, self.index, self.now = Ledger(), 0, 0.0
-        self.tenure, self.gone, self.owned = Tenure(0.0), set(), []
+        self.tenure, self.gone, self.owned = ConductorLeases(0.0), set(), []
         self.apply({"do": "shard", "services": ["s"]})
         self.run_for(1.0)
         for name in "abc":
@@ -524,17 +531,19 @@
 
     def test_another_life_at_its_address_proves_a_conductors_end(self):
         """After a wiped disk its slices waited 2.2 s for a lease that nobody could hold any more."""
-        tenure = Tenure(0.0)
+        tenure = ConductorLeases(0.0)
         for name in ("h:1#old", "h:2#x"):
-            tenure.asked(50.0, name)
-        tenure.replaced(50.1, ["h:1#old", "h:2#x", "", "h:9#away"], {"h:1#old": "h:1", "h:2#x": "h:2"})
-        self.assertFalse(tenure.ended(50.1, "h:1#old"))
-        tenure.replaced(50.1, ["h:1#old", "h:2#x", "", "h:9#away"], {"h:1#new": "h:1", "h:2#x": "h:2"})
-        self.assertTrue(tenure.ended(50.1, "h:1#old"))
-        self.assertFalse(tenure.ended(50.1, "h:2#x"))
-        later = Tenure(50.0)  # of a new leader, which knows of no lease: one whose address is empty is waited for
-        later.replaced(50.1, ["h:1#old", "h:9#away"], {"h:1#new": "h:1"})
-        self.assertEqual([later.ended(50.1, name) for name in ("h:1#old", "h:9#away")], [True, False])
+            tenure.renew(50.0, name)
+        tenure.end_replaced(50.1, ["h:1#old", "h:2#x", "", "h:9#away"], {"h:1#old": "h:1", "h:2#x": "h:2"})
+        self.assertFalse(tenure.has_ended(50.1, "h:1#old"))
+        tenure.end_replaced(50.1, ["h:1#old", "h:2#x", "", "h:9#away"], {"h:1#new": "h:1", "h:2#x": "h:2"})
+        self.assertTrue(tenure.has_ended(50.1, "h:1#old"))
+        self.assertFalse(tenure.has_ended(50.1, "h:2#x"))
+        later = ConductorLeases(
+            50.0
+        )  # of a new leader, which knows of no lease: one whose address is empty is waited for
+        later.end_replaced(50.1, ["h:1#old", "h:9#away"], {"h:1#new": "h:1"})
+        self.assertEqual([later.has_ended(50.1, name) for name in ("h:1#old", "h:9#away")], [True, False])
 
     def run_for(self, seconds):
         """As the list poller does; how many slices were handed over, and the most in a second."""
@@ -543,37 +552,44 @@
             self.now = round(self.now + 0.2, 3)
             for name in "abc":
                 if name not in self.gone:
-                    self.tenure.asked(self.now, name)
+                    self.tenure.renew(self.now, name)
             line = self.ledger.slices["s"]
             for to, found in reassign(self.tenure, self.now, [x.conductor for x in line]).items():
-                self.apply({"do": "lease", "to": to, "early": self.tenure.early(self.now), "slices": {"s": found}})
+                self.apply(
+                    {
+                        "do": "lease",
+                        "to": to,
+                        "early": self.tenure.has_recent_hand_over(self.now),
+                        "slices": {"s": found},
+                    }
+                )
             if hand := hand_over(self.tenure, self.now, line):
-                self.tenure.hands(self.now)
+                self.tenure.note_hand_over(self.now)
                 self.apply(
                     {
                         "do": "lease",
                         "from": hand[0],
                         "to": hand[1],
-                        "early": self.tenure.early(self.now),
+                        "early": self.tenure.has_recent_hand_over(self.now),
                         "slices": {"s": hand[2]},
                     }
                 )
-                handed.append((self.now, len(self.ledger.touched)))
-                self.assertTrue(all(line[k].early for _, k in self.ledger.touched))
+                handed.append((self.now, len(self.ledger.changed)))
+                self.assertTrue(all(line[k].previous_may_act for _, k in self.ledger.changed))
         return handed
 
     def test_one_that_comes_back_gets_its_share_gently_and_no_key_moves(self):
         self.gone = {"c"}
         self.assertEqual(self.run_for(20.0), [])
         self.assertEqual(len(self.held()["c"]), 0)
-        self.assertFalse(any(x.early for x in self.ledger.slices["s"]))
+        self.assertFalse(any(x.previous_may_act for x in self.ledger.slices["s"]))
         self.gone = set()
-        self.assertEqual(self.run_for(CALM - 0.2), [])
+        self.assertEqual(self.run_for(CALM_PERIOD_S - 0.2), [])
         handed = self.run_for(30.0)
-        self.assertTrue(all(count <= HAND for _, count in handed))
+        self.assertTrue(all(count <= MAX_HAND_OVER_SLICES for _, count in handed))
         self.assertTrue(all(b - a >= 0.99 for (a, _), (b, _) in zip(handed, handed[1:])))
         counts = {c: len(ks) for c, ks in self.held().items()}
-        self.assertGreaterEqual(min(counts.values()), (1 - LACK) * SLICES / 3 - 1)
+        self.assertGreaterEqual(min(counts.values()), (1 - IMBALANCE_TOLERANCE) * SLICES / 3 - 1)
         self.assertLess(max(counts.values()), 1.1 * SLICES / 3)
         self.assertEqual(self.owners(), self.owned)
         self.assertEqual(self.run_for(20.0), [])
@@ -585,9 +601,9 @@
         while not self.run_for(0.2):
             pass
         self.gone = {"c"}
-        self.tenure.left(self.now, "c")
+        self.tenure.on_left(self.now, "c")
         self.run_for(0.2)
-        self.assertEqual(sum(x.early for x in self.ledger.slices["s"]), HAND)
+        self.assertEqual(sum(x.previous_may_act for x in self.ledger.slices["s"]), MAX_HAND_OVER_SLICES)
 
     def test_what_changes_hands_is_not_handed_over(self):
         self.gone = {"c"}
@@ -611,19 +627,21 @@
         return self.ledger.apply(index, {"do": "granted", "by": by, "fence": fence, "slices": {"s": [[first, last]]}})
 
     def test_a_line_opens_by_its_fence_and_keeps_who_may_hold_it(self):
-        self.assertEqual(self.move(3, 8, 12, 0, "n"), [Change("s", 8, "n", False), Change("s", 9, "n", False)])
+        self.assertEqual(
+            self.move(3, 8, 12, 0, "n"), [OwnerChange("s", 8, "n", False), OwnerChange("s", 9, "n", False)]
+        )
         self.assertEqual(self.granted(4, 2), [])
         self.assertEqual(self.granted(5, 3, by="b"), [])
-        self.assertEqual(self.granted(6, 3, 9), [Change("s", 9, "n", True)])
+        self.assertEqual(self.granted(6, 3, 9), [OwnerChange("s", 9, "n", True)])
         self.move(7, 9, 9, 3, "m")
         x = self.ledger.slices["s"][9]
-        self.assertEqual((x.owner, x.fence, x.open, x.before), ("m", 7, False, [("n", 3)]))
+        self.assertEqual((x.owner, x.fence, x.open, x.previous_holders), ("m", 7, False, [("n", 3)]))
         self.move(8, 9, 9, 7, "m")  # again to the owner: only the fence is new
-        self.assertEqual((x.fence, x.before), (8, [("n", 3)]))
+        self.assertEqual((x.fence, x.previous_holders), (8, [("n", 3)]))
         self.move(9, 9, 9, 8, "n")  # back: not foreign to itself
-        self.assertEqual((x.owner, x.before), ("n", [("m", 8)]))
+        self.assertEqual((x.owner, x.previous_holders), ("n", [("m", 8)]))
         self.granted(10, 9, 9)
-        self.assertEqual((x.open, x.before), (True, []))
+        self.assertEqual((x.open, x.previous_holders), (True, []))
 
     def test_what_comes_twice_or_does_not_fit_changes_nothing(self):
         self.move(3, 0, 3, 0, "n")
@@ -645,7 +663,7 @@
             {"do": "lease", "from": "c", "to": "b", "slices": {"s": [[0, 9]]}},
         ):
             self.assertEqual(self.ledger.apply(9, command), [])
-            self.assertEqual(self.ledger.touched, [])
+            self.assertEqual(self.ledger.changed, [])
         self.assertEqual(self.ledger.to_dict()["services"], before)
 
     def test_a_snapshot_comes_back_and_is_short(self):
@@ -666,30 +684,30 @@
 
     def setUp(self):
         self.ledger, self.index = Ledger(), 0
-        self.keeper = Keeper("a", PACE, 1, -100.0)
+        self.keeper = GrantManager("a", PACE, 1, -100.0)
         self.nodes = {id: node(id, ("10.0.0.1", n)) for n, id in enumerate("nmk")}
-        self.keeper.nodes(0.0, self.nodes)
-        self.keeper.leased(0.0, 1e9, 0)
+        self.keeper.on_nodes_listed(0.0, self.nodes)
+        self.keeper.on_lease_proven(0.0, 1e9, 0)
         self.apply(0.0, {"do": "shard", "services": ["s"]})
         self.apply(0.0, {"do": "lease", "to": "a", "slices": {"s": [[0, 9]]}})
 
     def apply(self, now, command):
         self.index += 1
         self.ledger.apply(self.index, command)
-        self.keeper.look(now, self.ledger, self.ledger.touched)
+        self.keeper.on_ledger(now, self.ledger, self.ledger.changed)
         return self.orders(now)
 
     def orders(self, now):
         self.keeper.tick(now)
-        orders, self.keeper.orders = self.keeper.orders, []
+        orders, self.keeper.actions = self.keeper.actions, []
         return orders
 
     def next(self, now):
         """The next orders that come by time alone, and when: `self.now`."""
         self.now = -1.0
         while True:
-            self.assertGreater(self.keeper.wake, self.now)
-            self.now = now = self.keeper.wake
+            self.assertGreater(self.keeper.wake_at, self.now)
+            self.now = now = self.keeper.wake_at
             if found := self.orders(now):
                 return found
 
@@ -698,7 +716,7 @@
         return self.apply(now, {"do": "move", "by": "a", "moves": [["s", first, last, fence, target]]})
 
     def answer(self, now, order, status, handover=None):
-        self.keeper.answered(now, order, status, handover)
+        self.keeper.on_call_ended(now, order, status, handover)
         return self.orders(now)
 
     def opened(self, now, first, last, target):
@@ -713,10 +731,12 @@
     """What one conductor orders, call by call."""
 
     def test_holds_fit_what_nodes_take_and_are_renewed_in_time(self):
-        usual, short = Pace.within(10.0), Pace.within(2.4)
-        self.assertEqual((usual.hold, usual.renew), (Pace.hold, Pace.renew))
-        self.assertEqual((short.hold, short.renew), (2.4, Pace.renew / 2))
-        self.assertGreaterEqual(short.taken_over, LONGEST * SLOW, "a life before may have given the longest")
+        usual, short = GrantTiming.for_max_hold(10.0), GrantTiming.for_max_hold(2.4)
+        self.assertEqual((usual.hold, usual.renew_interval), (GrantTiming.hold, GrantTiming.renew_interval))
+        self.assertEqual((short.hold, short.renew_interval), (2.4, GrantTiming.renew_interval / 2))
+        self.assertGreaterEqual(
+            short.max_inherited_hold, LONGEST_HOLD_S * CLOCK_SLOWDOWN, "a life before may have given the longest"
+        )
 
     def test_a_first_grant_goes_at_once_opens_and_is_renewed(self):
         grant = self.opened(1.0, 2, 4, "n")
@@ -725,7 +745,7 @@
             (2 * WIDTH, 5 * WIDTH - 1, 3, PACE.hold, None),
         )
         (again,) = self.next(1.1)
-        self.assertTrue(1.0 + 0.8 * PACE.renew <= self.now <= 1.01 + PACE.renew)
+        self.assertTrue(1.0 + 0.8 * PACE.renew_interval <= self.now <= 1.01 + PACE.renew_interval)
         self.assertEqual((again.slices, again.fence), ((2, 3, 4), 3))
 
     def test_a_move_releases_first_and_passes_the_handover_on(self):
@@ -750,22 +770,22 @@
             now = self.now
         (grant,) = self.next(now)  # the last one still out
         self.assertEqual(grant.node, "m")
-        self.assertAlmostEqual(self.now, 1.01 + PACE.hold * SLOW)
+        self.assertAlmostEqual(self.now, 1.01 + PACE.hold * CLOCK_SLOWDOWN)
 
     def test_a_release_waits_for_the_grant_that_is_out(self):
         self.opened(1.0, 0, 0, "n")
         (renewal,) = self.next(1.1)
         self.assertEqual(self.move(3.1, 0, 0, "m"), [])
         self.assertEqual(self.answer(4.0, renewal, None), [])  # may arrive for `slack` more
-        self.assertAlmostEqual(self.keeper.wake, 4.0 + PACE.slack)
-        (release,) = self.orders(self.keeper.wake)
+        self.assertAlmostEqual(self.keeper.wake_at, 4.0 + PACE.delivery_slack)
+        (release,) = self.orders(self.keeper.wake_at)
         self.assertIsInstance(release, Release)
 
     def test_nothing_is_granted_without_a_lease_or_on_an_old_ledger(self):
-        self.keeper.until = 5.0
+        self.keeper.lease_until = 5.0
         self.opened(1.0, 0, 0, "n")
         self.assertEqual(self.orders(5.0), [])
-        self.keeper.leased(6.0, 9.0, self.index + 1)
+        self.keeper.on_lease_proven(6.0, 9.0, self.index + 1)
         self.assertEqual(self.orders(6.0), [])
         (renewal,) = self.apply(6.1, {"do": "something else"})
         self.assertEqual((renewal.node, renewal.expires), ("n", 9.0))
@@ -774,7 +794,7 @@
         self.opened(1.0, 0, 0, "n")
         (release,) = self.move(8.0, 0, 0, "m") or self.orders(8.0)
         self.nodes["x"] = node("x", self.nodes.pop("n").address, "t")
-        self.keeper.nodes(8.1, self.nodes)
+        self.keeper.on_nodes_listed(8.1, self.nodes)
         self.assertEqual(self.orders(8.1), [])
 
     def test_a_higher_fence_seen_asks_for_a_new_one(self):
@@ -784,7 +804,7 @@
         self.assertEqual(self.orders(1.5), [])
         (again,) = self.orders(2.2)  # the proposal was lost
         (grant,) = self.apply(2.3, again.command)
-        self.assertEqual((grant.node, grant.fence), ("n", 4 + LIFT))
+        self.assertEqual((grant.node, grant.fence), ("n", 4 + MIN_FENCE_LIFT))
 
     def test_fences_of_a_core_founded_anew_soon_pass_those_of_the_old_one(self):
         (grant,) = self.move(1.0, 0, 1, "n")
@@ -799,35 +819,35 @@
         (propose,) = self.answer(1.0 + rounds, grant, 200)
         self.apply(1.0 + rounds, propose.command)
         self.assertTrue(self.ledger.slices["s"][1].open)
-        lift = self.ledger.lift
+        lift = self.ledger.fence_lift
         old = {"do": "move", "by": "a", "moves": [["s", 5, 5, 0, "m"]], "outbid": True}
         self.apply(2.0 + rounds, old)  # a refusal from before the last lift lifts no further
-        self.assertEqual(self.ledger.lift, lift)
+        self.assertEqual(self.ledger.fence_lift, lift)
         again = Ledger.from_dict(json.loads(json.dumps(self.ledger.to_dict())))
-        self.assertEqual((again.lift, again.lifted), (self.ledger.lift, self.ledger.lifted))
+        self.assertEqual((again.fence_lift, again.lifted_from), (self.ledger.fence_lift, self.ledger.lifted_from))
 
     def test_a_taken_over_slice_is_renewed_at_once_and_moved_late(self):
         self.opened(1.0, 0, 0, "n")
-        self.keeper = Keeper("a", PACE, 2, 10.0)
-        self.keeper.nodes(10.0, self.nodes)
-        self.keeper.look(10.0, self.ledger)
-        self.keeper.leased(10.0, 1e9, self.index)
+        self.keeper = GrantManager("a", PACE, 2, 10.0)
+        self.keeper.on_nodes_listed(10.0, self.nodes)
+        self.keeper.on_ledger(10.0, self.ledger)
+        self.keeper.on_lease_proven(10.0, 1e9, self.index)
         (renewal,) = self.orders(10.0)
         self.assertEqual(renewal.node, "n")
         self.answer(10.1, renewal, 200)
         self.assertEqual(self.move(10.2, 0, 0, "m"), [])
         (release,) = self.next(10.2)
-        self.assertAlmostEqual(self.now, 10.0 + PACE.flight)
+        self.assertAlmostEqual(self.now, 10.0 + PACE.max_delivery)
         self.assertEqual(release.node, "n")
 
     def test_an_earlier_lifes_entry_that_comes_late_may_have_been_granted(self):
         self.opened(1.0, 0, 0, "n")
         late = {"do": "move", "by": "a", "moves": [["s", 0, 0, 3, "m"]]}
-        self.keeper = Keeper("a", PACE, 2, 10.0)
-        self.keeper.nodes(10.0, self.nodes)
-        self.keeper.look(10.0, self.ledger)
+        self.keeper = GrantManager("a", PACE, 2, 10.0)
+        self.keeper.on_nodes_listed(10.0, self.nodes)
+        self.keeper.on_ledger(10.0, self.ledger)
         self.apply(10.1, late)
-        self.keeper.leased(10.1, 1e9, self.index)
+        self.keeper.on_lease_proven(10.1, 1e9, self.index)
         self.orders(10.1)
         held = self.move(10.2, 0, 0, "k")
         self.assertEqual([x for x in held if isinstance(x, Grant)], [])
@@ -841,7 +861,7 @@
         self.assertEqual(self.answer(1.005, grants[0], 200) + self.answer(1.01, grants[1], 200), [])
         (propose,) = self.answer(1.015, grants[2], 200)
         self.assertEqual(propose.command["slices"], {"s": [[0, 9]]})
-        self.assertIs(self.keeper.tenures["s", 0].state, State.GRANTED)
+        self.assertIs(self.keeper.slice_leases["s", 0].state, State.GRANTED)
 
     def test_runs(self):
         self.assertEqual(ranges(range(SLICES)), [[0, SLICES - 1]])
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -7,8 +7,8 @@
 from unittest import mock
 
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.members import Standing, change, quorum
-from knotwalk.consensus.orders import OUTSIDER, Pace, Saved
+from knotwalk.consensus.membership_rules import PeerProgress, next_members, quorum
+from knotwalk.consensus.raft_types import OUTSIDER, RaftSettings, StoredState
 from knotwalk.runtime.settings import Tolerance
 from tests.system.cluster import Cluster, Node, Violation
 
@@ -25,12 +25,17 @@
     It knows only members entries, commits and disks; it shares no rule with `change`."""
 
     def __init__(
-        self, seed: int, count: int = 3, kind: type[Machine] = Machine, rate: float = 1e9, pace: Pace = Pace()
+        self,
+        seed: int,
+        count: int = 3,
+        kind: type[Machine] = Machine,
+        rate: float = 1e9,
+        pace: RaftSettings = RaftSettings(),
     ) -> None:
         self.rate, self.free = rate, {}  # type: ignore[var-annotated]
         self.state_size = 0
         self.seen: set[tuple[int, int, str]] = set()
-        super().__init__(seed, count, kind, replace(pace, target=count))
+        super().__init__(seed, count, kind, replace(pace, target_members=count))
 
     def _post(self, sender: str, address: str, text: str) -> None:
         if (sender, address) in self.cuts or self.random.random() < self.loss:
@@ -57,7 +62,7 @@
 
     def _changes(self, machine: Machine, before: tuple[int, dict], now: tuple[int, dict]) -> None:
         """A leader has put a change of members into its log: once each."""
-        entry = machine.log.at(now[0]) if now[0] > machine.log.base else None
+        entry = machine.log.entry_at(now[0]) if now[0] > machine.log.base else None
         if entry is None or entry.term != machine.term or (now[0], entry.term, machine.me) in self.seen:
             return
         self.seen.add((now[0], entry.term, machine.me))
@@ -127,7 +132,7 @@
         self.leave(address)
         machine = self.nodes[address].machine
         assert machine is not None
-        self.run(grace, lambda: machine.may_end)
+        self.run(grace, lambda: machine.can_exit)
         self.stop(address)
         if not stays:
             del self.nodes[address]
@@ -205,7 +210,13 @@
     """The repaired core bears the next loss by the time that the platform counts on it, and long before."""
 
     def spans(
-        self, how: Callable, size: int = 0, rate: float = 1e9, seeds: int = 2, rounds: int = 4, pace: Pace = Pace()
+        self,
+        how: Callable,
+        size: int = 0,
+        rate: float = 1e9,
+        seeds: int = 2,
+        rounds: int = 4,
+        pace: RaftSettings = RaftSettings(),
     ) -> dict[int, float]:
         """The longest span by members, over seeds and rounds."""
         longest: dict[int, float] = {}
@@ -238,7 +249,7 @@
 
     def test_a_lost_one_counted_for_longer_than_a_newcomer_takes_costs_the_next_loss(self) -> None:
         with self.assertRaisesRegex(AssertionError, "is not borne"):
-            self.spans(replaced, pace=Pace(forget=8.0))
+            self.spans(replaced, pace=RaftSettings(removal_timeout=8.0))
 
 
 class TestComingAndGoing(unittest.TestCase):
@@ -274,7 +285,7 @@
 
     def test_a_leaver_that_is_not_waited_for_costs_the_next_loss(self) -> None:
         class EndsAtOnce(Machine):
-            may_end = True  # type: ignore[assignment]
+            can_exit = True  # type: ignore[assignment]
 
         cluster = Watched(0, kind=EndsAtOnce)
         self.replaced_by_plan(cluster, 0.5)
@@ -398,10 +409,10 @@
         cluster.run(20.0)
         roles = {node.machine.role for node in cluster.nodes.values() if node.machine}
         self.assertEqual((roles, cluster.leader()), ({OUTSIDER}, None))
-        machine = Machine(Saved("m9#new"), Pace(), 0, 0.0)
-        machine.orders.clear()
+        machine = Machine(StoredState("m9#new"), RaftSettings(), 0, 0.0)
+        machine.actions.clear()
         machine.tick(60.0)
-        self.assertEqual((machine.role, machine.orders), (OUTSIDER, []), "with no seeds it asks nobody")
+        self.assertEqual((machine.role, machine.actions), (OUTSIDER, []), "with no seeds it asks nobody")
 
     def test_a_tolerance_in_zones_wants_members_too(self) -> None:
         wanted = [Tolerance(*one).members for one in ((0, 0, 0), (1, 0, 0), (2, 0, 0), (0, 1, 0), (0, 0, 1), (2, 1, 0))]
@@ -415,7 +426,7 @@
         """Who goes, "" if nobody. Five are wanted from six on, three from four on."""
         names = "abcdefg"[:count]
         voters = {
-            one: Standing(
+            one: PeerProgress(
                 one,
                 one.upper(),
                 8 if one in behind else 9,
@@ -427,7 +438,7 @@
         }
         members = {one: one.upper() for one in names}
         wanted = 5 if count > 5 else 3
-        after = change("a", members, voters, [], 9, 100.0, 0.6, 2.0, wanted, 0.2, **how)
+        after = next_members("a", members, voters, [], 9, 100.0, 0.6, 2.0, wanted, 0.2, **how)
         return "" if after is None else "".join(set(members) - set(after))
 
     def test_cases(self) -> None:
@@ -441,8 +452,8 @@
             ({"count": 4, "leaving": "b", "lost": "d", "behind": "c"}, "d"),  # a and b have all, b goes next
             ({"count": 4, "leaving": "b", "late": "d", "behind": "c"}, ""),  # a alone has all
             ({"count": 4, "leaving": "b", "behind": "cd"}, ""),
-            ({"count": 4, "leaving": "b", "behind": "c", "kept": False}, ""),  # not even a
-            ({"count": 4, "leaving": "b", "kept": False}, "b"),
+            ({"count": 4, "leaving": "b", "behind": "c", "is_log_stored": False}, ""),  # not even a
+            ({"count": 4, "leaving": "b", "is_log_stored": False}, "b"),
             ({"count": 6, "lost": "de"}, "d"),
             ({"count": 7, "lost": "de"}, "d"),
             ({"count": 7, "lost": "def"}, "d"),
@@ -458,22 +469,22 @@
     """Mistake: a newcomer counts as soon as it is heard."""
 
     def _change_members(self, now: float) -> None:
-        behind = [one for one in self._peers.values() if one.kind == "learner" and one.match < self.commit]
-        was = [(one.match, one.answered) for one in behind]
+        behind = [one for one in self._peers.values() if one.kind == "learner" and one.match_index < self.commit]
+        was = [(one.match_index, one.answered_at) for one in behind]
         for one in behind:
-            one.match, one.answered = self.commit, now
+            one.match_index, one.answered_at = self.commit, now
         super()._change_members(now)
         for one, (match, answered) in zip(behind, was):
-            one.match, one.answered = match, answered
+            one.match_index, one.answered_at = match, answered
 
 
 class ChangesBeforeItsTerm(Machine):
     """Mistake: members are changed before an entry of the leader's own term is committed."""
 
     def _change_members(self, now: float) -> None:
-        first, self._first = self._first, 0
+        first, self._term_first_index = self._term_first_index, 0
         super()._change_members(now)
-        self._first = first
+        self._term_first_index = first
 
 
 class TwoAtOnce(Machine):
@@ -574,7 +585,7 @@
     def test_one_leaves_only_when_those_that_stay_have_all_and_the_mistake_is_found(self) -> None:
         cluster = self.left_out_beside_slow_disks()
         self.assertEqual(len(cluster.members()), 4)
-        with mock.patch("knotwalk.consensus.members._can_spare", lambda members, holding: True):
+        with mock.patch("knotwalk.consensus.membership_rules._can_spare", lambda members, holding: True):
             with self.assertRaisesRegex(Violation, "2 of those that stay have all"):
                 self.left_out_beside_slow_disks()
 
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -13,7 +13,7 @@
 from knotwalk.configuration.control import History, judge
 from knotwalk.configuration.history import REMEMBERED, REMEMBERED_BEFORE, Standing, mark
 from knotwalk.configuration.read import document, version_text
-from knotwalk.consensus.orders import Pace, Saved
+from knotwalk.consensus.raft_types import RaftSettings, StoredState
 from knotwalk.control_plane import consensus_driver, control
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, Lost
 from knotwalk.control_plane.control import Control
@@ -246,7 +246,7 @@
 
     async def asyncSetUp(self):
         self.wire, founders = Lossy(), {f"{at}#founder": at for at in ADDRESSES}
-        self.disks = {at: Disk(Saved(f"{at}#founder", members=founders)) for at in ADDRESSES}
+        self.disks = {at: Disk(StoredState(f"{at}#founder", members=founders)) for at in ADDRESSES}
         self.ports = {}
         self.restart()
 
@@ -262,7 +262,7 @@
 
     def restart(self):
         for seed, (at, disk) in enumerate(self.disks.items()):
-            end = ConsensusDriver(disk, disk.read(), self.wire, Pace(), seed, float("-inf"))
+            end = ConsensusDriver(disk, disk.read(), self.wire, RaftSettings(), seed, float("-inf"))
             self.wire.ends[at], self.ports[at] = end, Control(end, 1)
         for end in self.wire.ends.values():
             end.start()
@@ -272,7 +272,7 @@
         async with asyncio.timeout(20):
             while True:
                 for at, end in self.wire.ends.items():
-                    if end.machine.settled and at != other_than:
+                    if end.machine.is_commit_current and at != other_than:
                         return at
                 await asyncio.sleep(0.001)  # a turn of the loop, so that timers come due; bounded above
 
--- a/tests/system/test_points.py
+++ b/tests/system/test_points.py
@@ -5,8 +5,8 @@
 import functools
 import unittest
 
-from knotwalk.leases.keeper import Keeper
-from knotwalk.leases.orders import REFUSED, Grant
+from knotwalk.leases.actions import REFUSED, Grant
+from knotwalk.leases.grant_manager import GrantManager
 from tests.system.cluster import Cluster
 from tests.system.test_leases import PACE, World
 
@@ -53,7 +53,7 @@
             return lambda: node.machine is machine and work()
 
         def failed():
-            machine.failed(self.now + node.offset)
+            machine.on_save_failed(self.now + node.offset)
             self._carry(node)
 
         self._later(0.001 if what == "refused" else HANG, alive(failed))
@@ -67,7 +67,7 @@
         machine, save = node.machine, node.writing
 
         def kept():
-            node.writing = machine.kept(self.now + node.offset, save.number)
+            node.writing = machine.on_saved(self.now + node.offset, save.number)
             self._carry(node)
 
         def done():
@@ -108,9 +108,9 @@
     def __init__(self, number=-1, fault=None, seed=1):
         keys = self
 
-        class Hooked(Keeper):
-            def look(self, now, *given):
-                act = functools.partial(super().look, now, *given)
+        class Hooked(GrantManager):
+            def on_ledger(self, now, *given):
+                act = functools.partial(super().on_ledger, now, *given)
                 keys.meet("read", keys.by(self.me), act) if len(given) > 1 else act()
 
         super().__init__(number, fault, seed, Hooked, 16.0, 0.0, 2)
@@ -152,7 +152,7 @@
 
         def answer(*given):
             if not done:
-                done.append(c.keeper.answered(self.now, order, *given))
+                done.append(c.keeper.on_call_ended(self.now, order, *given))
 
         def take(x):
             status, handover, work = x.take(order)
--- a/tests/system/test_unproven_ends.py
+++ b/tests/system/test_unproven_ends.py
@@ -7,8 +7,8 @@
 import unittest
 
 from knotwalk.discovery.reachability import WORD, PeerReachability, UnreachedNodes, unreached_nodes
-from knotwalk.leases.orders import REFUSED, SLOW, Grant, Release
-from knotwalk.leases.slice_tenure import MOVE_TIME
+from knotwalk.leases.actions import CLOCK_SLOWDOWN, REFUSED, Grant, Release
+from knotwalk.leases.slice_lease import MOVE_WINDOW_S
 from tests.system.test_leases import PACE, KeeperHarness, World
 
 SEEDS = range(40)
@@ -47,30 +47,32 @@
                 granted = order if isinstance(order, Grant) else None
             now = max(now + 0.01, self.now)
         self.assertEqual(granted.node, "m")
-        self.assertGreaterEqual(now, 1.01 + PACE.hold * SLOW)
+        self.assertGreaterEqual(now, 1.01 + PACE.hold * CLOCK_SLOWDOWN)
 
     def test_an_owner_that_does_not_answer_lapses_when_the_hold_it_took_has_run_out(self):
         """Renewals go on, but ask for no more than it may have already; answered once, it gets a whole hold again."""
         self.opened(1.0, 0, 0, "n")
         (renewal,) = self.next(1.1)
-        first = self.now + PACE.flight + PACE.hold * SLOW  # it may have come; those after it change nothing
+        first = (
+            self.now + PACE.max_delivery + PACE.hold * CLOCK_SLOWDOWN
+        )  # it may have come; those after it change nothing
         while self.now < first:
-            self.assertLessEqual(self.now + PACE.flight + renewal.hold * SLOW, first + 1e-6)
+            self.assertLessEqual(self.now + PACE.max_delivery + renewal.hold * CLOCK_SLOWDOWN, first + 1e-6)
             ended = self.now + PACE.call_timeout
             self.answer(ended, renewal, None)
-            self.assertEqual(self.keeper.lapsed(ended), frozenset())
+            self.assertEqual(self.keeper.lapsed_slices(ended), frozenset())
             (renewal,) = self.next(ended)
-        self.assertAlmostEqual(self.now, first + MOVE_TIME)
-        self.assertTrue(self.keeper.unreachable("n"))
+        self.assertAlmostEqual(self.now, first + MOVE_WINDOW_S)
+        self.assertTrue(self.keeper.is_unreachable("n"))
         (renewal,) = self.answer(self.now + 0.01, renewal, 200)
         self.assertEqual((renewal.node, renewal.hold), ("n", PACE.hold))
-        self.assertFalse(self.keeper.unreachable("n"))
+        self.assertFalse(self.keeper.is_unreachable("n"))
 
     def test_a_node_that_has_fallen_silent_meets_one_whole_renewal_at_most(self):
         """Else its keys would wait for a hold that only began after its end."""
         for first in (0, 2, 4):  # three runs, none a neighbour of another
             self.opened(1.0, first, first, "n")
-        begun, asked, end = {}, [], 1.1 + PACE.hold * SLOW
+        begun, asked, end = {}, [], 1.1 + PACE.hold * CLOCK_SLOWDOWN
         now = 1.1
         while now < end:
             renewals = self.orders(now)
@@ -78,11 +80,11 @@
             asked += renewals
             for renewal in [x for x, at in begun.items() if now >= at + PACE.call_timeout]:
                 del begun[renewal]
-                self.keeper.answered(now, renewal, None)
+                self.keeper.on_call_ended(now, renewal, None)
             now += 0.01
         self.assertEqual(sum(renewal.hold >= PACE.hold for renewal in asked), 1)
         self.assertEqual({x.slices for x in asked}, {(0,), (2,), (4,)})
-        self.assertEqual(len(self.keeper.lapsed(end)), 2)
+        self.assertEqual(len(self.keeper.lapsed_slices(end)), 2)
 
     def test_a_release_that_waits_for_long_work_is_a_node_not_reached_until_it_answers(self):
         self.opened(1.0, 0, 1, "n")
@@ -92,17 +94,17 @@
         (again,) = [x for x in self.next(4.5) if isinstance(x, Release)]
         self.answer(self.now + 0.1, again, 200)
         self.assertEqual(self.keeper.unreached(6.0), {})
-        self.assertFalse(self.keeper.unreachable("n"))
+        self.assertFalse(self.keeper.is_unreachable("n"))
 
     def test_a_lapsed_slice_is_granted_elsewhere_at_once(self):
         self.opened(1.0, 0, 0, "n")
         (renewal,) = self.next(1.1)
         self.answer(self.now, renewal, REFUSED)
-        while ("s", 0) not in self.keeper.lapsed(self.now):
+        while ("s", 0) not in self.keeper.lapsed_slices(self.now):
             (renewal,) = self.next(self.now)
             self.answer(self.now, renewal, REFUSED)
         now = self.now
-        self.assertLess(now - 1.01 - PACE.hold * SLOW, 1.2)
+        self.assertLess(now - 1.01 - PACE.hold * CLOCK_SLOWDOWN, 1.2)
         (grant,) = [x for x in self.move(now, 0, 0, "m") if not isinstance(x, Release)]
         self.assertEqual(grant.node, "m")
 
