--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -24,7 +24,7 @@
 from knotwalk.configuration.documents import parse_configuration
 from knotwalk.configuration.index import RouteIndex, canonical_host
 from knotwalk.configuration.objects import Configuration, Route
-from knotwalk.consensus.orders import Entry, Save
+from knotwalk.consensus.raft_types import Entry, Save
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.replicated_state import ReplicatedState
 
--- a/knotwalk/cli/__main__.py
+++ b/knotwalk/cli/__main__.py
@@ -22,7 +22,7 @@
     to_document,
 )
 from knotwalk.configuration.objects import Configuration, Limits
-from knotwalk.consensus.store import StoreBroken
+from knotwalk.consensus.store import StoreError
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.http_client import HttpClient
 
@@ -155,7 +155,7 @@
         """
         try:
             told = past.export(data_dir, keys)
-        except (StoreBroken, ValueError, KeyError) as error:
+        except (StoreError, ValueError, KeyError) as error:
             end(2, trouble=str(error))
         if json:
             end(int(told["configuration"] is None), as_json(told))
--- a/knotwalk/control_plane/__main__.py
+++ b/knotwalk/control_plane/__main__.py
@@ -17,8 +17,8 @@
 from zlib import crc32
 
 from knotwalk.configuration.documents import to_document
-from knotwalk.consensus.orders import Pace
-from knotwalk.consensus.store import Store, StoreBroken
+from knotwalk.consensus.raft_types import RaftSettings
+from knotwalk.consensus.store import Store, StoreError
 from knotwalk.control_plane.admissions import Admissions
 from knotwalk.control_plane.allowances import Allowances
 from knotwalk.control_plane.claim_group import KEYS_CONTRACT, GroupContext, configuration_disk_mb
@@ -30,7 +30,7 @@
 from knotwalk.control_plane.slice_manager import SliceManager
 from knotwalk.discovery.loads import LoadReports
 from knotwalk.discovery.view_publisher import ViewPublisher
-from knotwalk.leases.orders import Pace as KeysPace
+from knotwalk.leases.actions import GrantTiming
 from knotwalk.runtime import logs
 from knotwalk.runtime.http_client import HttpClient
 from knotwalk.runtime.http_server import Listener
@@ -61,7 +61,7 @@
         self.caller = HttpClient()
         seed = crc32(f"{settings.node_name}{os.getpid()}{os.urandom(4).hex()}".encode())
         self.consensus = ConsensusDriver(
-            self.store, saved, self.caller, Pace(target=settings.tolerance.members), seed, PROCESS_STARTED_AT
+            self.store, saved, self.caller, RaftSettings(target_members=settings.tolerance.members), seed, PROCESS_STARTED_AT
         )
         self.consensus.machine.address = own
         self.consensus.machine.contacts = [address for address in founders.values() if address != own]
@@ -81,7 +81,7 @@
             self.board,
             self.loads,
             self.node_caller,
-            KeysPace.within(settings.bounds.max_hold),
+            GrantTiming.for_max_hold(settings.bounds.max_hold),
             seed,
             self.propose,
             settings.zone,
@@ -216,7 +216,7 @@
 
     def can_exit(self) -> bool:
         """Whether no group counts on this machine any more."""
-        return self.consensus.machine.may_end and (self.claims is None or self.claims.can_exit)
+        return self.consensus.machine.can_exit and (self.claims is None or self.claims.can_exit)
 
     async def watch_members(self) -> None:
         """Keep the edges' list of cores up to date as members change."""
@@ -248,5 +248,5 @@
 
 
 if __name__ == "__main__":
-    code = run_program("control_plane", ControlPlane, StoreBroken)
+    code = run_program("control_plane", ControlPlane, StoreError)
     os._exit(code) if code == 0 else sys.exit(code)  # a thread that hangs on the disk must not delay the exit
--- a/knotwalk/control_plane/claim_group.py
+++ b/knotwalk/control_plane/claim_group.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from knotwalk.consensus.orders import Pace, Role
+from knotwalk.consensus.raft_types import RaftSettings, RoleChange
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.claim_queue import ClaimQueue
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeaderError, open_store
@@ -62,7 +62,7 @@
         saved = open_store(
             store, str(Path(settings.data_dir or ".") / name), settings.initial_boot, context.address, context.founders
         )
-        pace = Pace(target=settings.tolerance.members, tells_commits=False)
+        pace = RaftSettings(target_members=settings.tolerance.members, sends_commits_at_once=False)
         self.driver = ConsensusDriver(
             store,
             saved,
@@ -91,7 +91,7 @@
         """Whether this machine leads the group, as far as it knows."""
         return self.machine.role == "leader"
 
-    def _on_role(self, role: Role) -> None:
+    def _on_role(self, role: RoleChange) -> None:
         self.clock.restart(clock())
         asyncio.get_running_loop().call_soon(self.on_role)
 
@@ -101,7 +101,7 @@
 
         NotLeaderError if it can't be proposed here, OutcomeUnknownError if it may or may not have been committed."""
         machine = self.machine
-        if not machine.settled or machine.applied < machine.log.last:
+        if not machine.is_commit_current or machine.applied < machine.log.last:
             raise NotLeaderError(None)  # members are changing, or an earlier leader's entries aren't applied yet
         now = clock()
         entry = claims_command(self.clock.time(self.driver.state, now), self.hold_s, batch)
--- a/knotwalk/control_plane/claim_groups.py
+++ b/knotwalk/control_plane/claim_groups.py
@@ -234,7 +234,7 @@
         deadline = clock() + PERSIST_WAIT_S
         try:
             self._receive(messages)
-            while any(group.machine.unkept for group in self.groups) and (left := deadline - clock()) > 0:
+            while any(group.machine.is_saving for group in self.groups) and (left := deadline - clock()) > 0:
                 self.persisted.clear()
                 try:
                     await asyncio.wait_for(self.persisted.wait(), left)
@@ -256,7 +256,7 @@
     @property
     def can_exit(self) -> bool:
         """Whether no group counts on this machine any more."""
-        return all(group.machine.may_end for group in self.groups)
+        return all(group.machine.can_exit for group in self.groups)
 
     async def close(self) -> None:
         """Stop all tasks and close the groups."""
--- a/knotwalk/control_plane/consensus_driver.py
+++ b/knotwalk/control_plane/consensus_driver.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from knotwalk.consensus.machine import Machine
-from knotwalk.consensus.orders import Answer, Apply, Pace, Restore, Role, Save, Send
-from knotwalk.consensus.store import Damaged, Refused, Store
+from knotwalk.consensus.raft_types import Answer, Apply, RaftSettings, Restore, RoleChange, Save, Send
+from knotwalk.consensus.store import Store, StoreDamagedError, StoreUnavailableError
 from knotwalk.control_plane.agreed_state import AgreedState
 from knotwalk.control_plane.compaction import Compaction
 from knotwalk.control_plane.peer_lanes import PEER_CALL_TIMEOUT_S as PEER_CALL_TIMEOUT_S, PeerLanes
@@ -39,12 +39,12 @@
         try:
             try:
                 return store.open(data_dir, first_start, address, founders)
-            except Damaged as error:
+            except StoreDamagedError as error:
                 if str(error) != reported:
                     log_warning("log file damaged", why=str(error), done="put aside; this machine counts as a new one")
                 reported = str(error)
                 store.set_aside()
-        except Refused as error:
+        except StoreUnavailableError as error:
             if str(error) != reported:
                 log_warning("disk", why=str(error))
             reported = str(error)
@@ -78,7 +78,7 @@
         store: Store,
         saved: Any,
         caller: HttpClient,
-        pace: Pace,
+        pace: RaftSettings,
         seed: int,
         process_started_at: float,
         state_type: type[AgreedState] = ReplicatedState,
@@ -99,7 +99,7 @@
         self.tasks: set[asyncio.Task] = set()
         self.on_change: Callable[[int, Any], None] = lambda index, changes: None
         self.on_configuration: Callable[[], None] = lambda: None
-        self.on_role: Callable[[Role], None] = lambda role: None
+        self.on_role: Callable[[RoleChange], None] = lambda role: None
         self.on_restore: Callable[[], None] = lambda: None
         self.on_damage: Callable[[], None] = lambda: None
         self.on_persisted: Callable[[], None] = lambda: None
@@ -138,8 +138,8 @@
     def perform_actions(self) -> None:
         """Perform the actions that the machine has queued, and set the timer for its next tick."""
         machine = self.machine
-        while machine.orders:
-            orders, machine.orders = machine.orders, []
+        while machine.actions:
+            orders, machine.actions = machine.actions, []
             for order in orders:
                 match order:
                     case Save():
@@ -154,7 +154,7 @@
                     case Restore(state, _):
                         self.state, self.notify_pending = self.state_type.from_dict(state), False
                         self.on_restore()
-                    case Role():
+                    case RoleChange():
                         log_info(
                             "role", group=self.group, role=order.role, term=order.term, leader=order.leader_address
                         )
@@ -164,7 +164,7 @@
             self.on_configuration()
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(0.0, min(1.0, machine.wake - clock()))
+        wait = max(0.0, min(1.0, machine.wake_at - clock()))
         self.timer = asyncio.get_running_loop().call_later(wait, self.tick) if not self.closing else None
 
     def _apply(self, entry: Any) -> None:
@@ -195,7 +195,7 @@
                         self._on_write_failure("a write hangs")
                         await work
                     break
-                except Damaged as error:  # the file must be read again, which the next start of the process does
+                except StoreDamagedError as error:  # the file must be read again, which the next start of the process does
                     log_warning(
                         "log file damaged", why=str(error), done="this process ends; the next one reads the whole file"
                     )
@@ -210,7 +210,7 @@
             if self.disk_failing:
                 self.disk_failing = False
                 log_info("disk writes succeed again")
-            self.machine.kept(clock(), save.number)
+            self.machine.on_saved(clock(), save.number)
             self.perform_actions()
             self.on_persisted()
 
@@ -218,7 +218,7 @@
         if not self.disk_failing:
             self.disk_failing = True
             log_warning("disk", group=self.group, why=why)
-        self.machine.failed(clock())
+        self.machine.on_save_failed(clock())
         self.perform_actions()
 
     # --- peers ---------------------------------------------------------------------------------------
@@ -237,12 +237,12 @@
             self.machine.receive(now, message)
         replies, rest = [], []
         origin = messages[0].get("at", "") if messages else ""
-        for order in self.machine.orders:
+        for order in self.machine.actions:
             if isinstance(order, Send) and order.to_address == origin:
                 replies.append(order.message)
             else:
                 rest.append(order)
-        self.machine.orders = rest
+        self.machine.actions = rest
         self.perform_actions()
         return replies
 
--- a/knotwalk/control_plane/control.py
+++ b/knotwalk/control_plane/control.py
@@ -54,7 +54,7 @@
         nothing, and its next try might begin there again, while the others elect a leader."""
         machine = self.consensus.machine
         while machine.role != "leader":
-            if machine.leader and machine.heard_at >= called_at:
+            if machine.leader and machine.leader_heard_at >= called_at:
                 return machine.leader
             if clock() - called_at >= LEADER_WAIT_S:
                 raise NotLeaderError(None)
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -10,8 +10,8 @@
 from knotwalk.discovery.node_listing import InvalidPageError, NodeListing
 from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.discovery.view_types import Node, node_from_wire, node_to_wire
+from knotwalk.leases.conductor_leases import LEADERSHIP_PROOF_S, ConductorLeases, hand_over, reassign
 from knotwalk.leases.ledger import ranges
-from knotwalk.leases.tenure import PROOF, Tenure, hand_over, reassign
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.http_client import HttpClient
 from knotwalk.runtime.logs import clock, log_info, log_warning
@@ -42,7 +42,7 @@
         self, settings: Settings, consensus: ConsensusDriver, board: ViewPublisher, caller: HttpClient, me: str
     ):
         self.settings, self.consensus, self.board, self.caller, self.me = settings, consensus, board, caller, me
-        self.tenure: Tenure | None = None
+        self.tenure: ConductorLeases | None = None
         self.list_revision = 0
         self.own_read: asyncio.Task | None = None
         self.own_read_at = float("-inf")
@@ -50,7 +50,7 @@
 
     def on_leadership(self, leads: bool) -> None:
         """This machine became the leader, or ceased to be it."""
-        self.tenure = Tenure(clock()) if leads else None
+        self.tenure = ConductorLeases(clock()) if leads else None
 
     @property
     def is_proven(self) -> bool:
@@ -59,8 +59,8 @@
         return (
             self.tenure is not None
             and machine.role == "leader"
-            and machine.settled
-            and clock() - machine.majority_at < PROOF
+            and machine.is_commit_current
+            and clock() - machine.majority_acked_at < LEADERSHIP_PROOF_S
         )
 
     def grant_lease(self, conductor: str) -> dict | None:
@@ -69,7 +69,7 @@
             return None
         machine = self.consensus.machine
         return {
-            "lease": self.tenure.asked(clock(), conductor),
+            "lease": self.tenure.renew(clock(), conductor),
             "commit": machine.commit,
             "last": machine.log.last,
             "term": machine.term,
@@ -79,7 +79,7 @@
     def on_conductor_left(self, conductor: str) -> None:
         """A conductor reported that it acts on no lease any more."""
         if self.tenure is not None:
-            self.tenure.left(clock(), conductor)
+            self.tenure.on_left(clock(), conductor)
 
     # --- leases of slices -------------------------------------------------------------------------
 
@@ -94,11 +94,11 @@
             for service in list(self.consensus.state.ledger.slices):
                 await self.maintain_service(tenure, service)
 
-    def is_current(self, tenure: Tenure) -> bool:
+    def is_current(self, tenure: ConductorLeases) -> bool:
         """Whether `tenure` still counts: this machine has led without a break since it began, and is confirmed."""
         return self.tenure is tenure and self.is_proven
 
-    async def maintain_service(self, tenure: Tenure, service: str) -> None:
+    async def maintain_service(self, tenure: ConductorLeases, service: str) -> None:
         """Check the leases of one service.
 
         Each proposal waits for its commit. Meanwhile leadership may be lost, or lost and regained, and a conductor that
@@ -108,7 +108,7 @@
             return
         now = clock()
         leased = [s.conductor for s in slices]
-        tenure.replaced(now, leased, self.consensus.machine.members)
+        tenure.end_replaced(now, leased, self.consensus.machine.members)
         for conductor, leased_runs in reassign(tenure, now, leased).items():
             log_info("slices leased", service=service, to=conductor, runs=leased_runs)
             for before, runs in group_by_conductor(leased, leased_runs).items():
@@ -117,15 +117,17 @@
         slices = self.consensus.state.ledger.slices.get(service, ())
         if self.is_current(tenure) and (handover := hand_over(tenure, clock(), slices)):
             log_info("slices handed over", service=service, by=handover[0], to=handover[1], runs=handover[2])
-            tenure.hands(clock())
+            tenure.note_hand_over(clock())
             await self.propose_lease(service, *handover)
 
-    async def move_lease(self, tenure: Tenure, service: str, before: str, to: str, runs: list[list[int]]) -> bool:
+    async def move_lease(
+        self, tenure: ConductorLeases, service: str, before: str, to: str, runs: list[list[int]]
+    ) -> bool:
         """Lease slices of `before` to `to`, if by now `before` certainly may not act and `to` may; returns whether it
         was done."""
         now = clock()
-        may_not_act = not before or not tenure.alive(now, before) and tenure.ended(now, before)
-        if not self.is_current(tenure) or not may_not_act or not tenure.alive(now, to):
+        may_not_act = not before or not tenure.is_alive(now, before) and tenure.has_ended(now, before)
+        if not self.is_current(tenure) or not may_not_act or not tenure.is_alive(now, to):
             return False
         return await self.propose_lease(service, before, to, runs)
 
@@ -136,7 +138,13 @@
             return False
         try:
             await self.consensus.propose(
-                {"do": "lease", "from": before, "to": to, "early": tenure.early(clock()), "slices": {service: runs}}
+                {
+                    "do": "lease",
+                    "from": before,
+                    "to": to,
+                    "early": tenure.has_recent_hand_over(clock()),
+                    "slices": {service: runs},
+                }
             )
             return True
         except (NotLeaderError, OutcomeUnknownError):
--- a/knotwalk/control_plane/metrics.py
+++ b/knotwalk/control_plane/metrics.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Mapping
 from typing import TYPE_CHECKING
 
-from knotwalk.leases.slice_tenure import State
+from knotwalk.leases.slice_lease import State
 from knotwalk.runtime.metrics import Metric, MetricType, gauge, loop_delay_metric
 from knotwalk.shared_state.messages import Admission, Ending
 
@@ -23,7 +23,7 @@
 
 def slices(plane: ControlPlane) -> Metric:
     """The slices that this core leases, by state."""
-    found = Counter((x.service, x.state.value) for x in plane.conductor.keeper.tenures.values())
+    found = Counter((x.service, x.state.value) for x in plane.conductor.keeper.slice_leases.values())
     samples: dict[tuple[str, ...], float] = {
         (service, state.value): found[service, state.value]
         for service in plane.consensus.state.ledger.slices
@@ -125,7 +125,7 @@
     yield gauge("knotwalk_core_last_index", "the last entry of the log here", machine.log.last)
     yield gauge("knotwalk_core_configuration_version", "the configuration in force, 0 for none", state.version)
     yield gauge("knotwalk_core_disk_refuses", "1 while a write hangs or was refused", plane.consensus.disk_failing)
-    yield gauge("knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.keeper.until - now)
+    yield gauge("knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.keeper.lease_until - now)
     yield gauge("knotwalk_core_edges", "edges heard of in the last ten seconds", plane.loads.edge_count(now))
     yield slices(plane)
     yield nodes(now, plane)
--- a/knotwalk/control_plane/peer_api.py
+++ b/knotwalk/control_plane/peer_api.py
@@ -9,7 +9,7 @@
 
 from sanic import HTTPResponse, Request, Sanic
 
-from knotwalk.consensus.orders import OUTSIDER
+from knotwalk.consensus.raft_types import OUTSIDER
 from knotwalk.control_plane import status_report
 from knotwalk.control_plane.claim_groups import CLAIMS_PATH, MESSAGES_PATH, ClaimGroups
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeaderError, OutcomeUnknownError
@@ -19,7 +19,7 @@
 from knotwalk.discovery.reachability import parse_unreached_nodes
 from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.discovery.view_types import KEY_COUNT, MAX_LEADER_SILENCE_S
-from knotwalk.leases.tenure import ASK, PROOF
+from knotwalk.leases.conductor_leases import LEADERSHIP_PROOF_S, LEASE_REQUEST_INTERVAL_S
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.http_client import HttpClient
 from knotwalk.runtime.http_server import compressed_response, json_body, json_response, make_app
@@ -171,7 +171,7 @@
                     await asyncio.sleep(0.02)
                 if tuple(grant["nodes"]) > self.board.nodes_order and machine.leader:
                     await self.request_nodes(machine.leader)
-            await asyncio.sleep(max(0.0, sent + (ASK if grant else 0.03) - clock()))
+            await asyncio.sleep(max(0.0, sent + (LEASE_REQUEST_INTERVAL_S if grant else 0.03) - clock()))
 
     async def request_nodes(self, leader: str) -> None:
         """Request the leader's list of nodes, which is newer than the one here."""
@@ -225,7 +225,7 @@
                 pass
         response = {"fresh": fresh, "zone": self.list_poller.settings.zone, "edges": self.loads.edge_count(now)}
         if fresh:
-            response["proven"] = round(self.fresh_until - MAX_LEADER_SILENCE_S - PROOF - arrived, 3)
+            response["proven"] = round(self.fresh_until - MAX_LEADER_SILENCE_S - LEADERSHIP_PROOF_S - arrived, 3)
         if update:
             response["news"] = update
         elif provisional and not fresh and self.may_serve_provisional():
@@ -260,7 +260,13 @@
         and knows of no leader, not even indirectly: then the cores that start with it know no more than it does."""
         machine = self.consensus.machine
         recent = clock() - self.started_at < PROVISIONAL_PERIOD_S
-        return recent and not self.fresh_until and not self.leaving and machine.role != OUTSIDER and not machine.rumour
+        return (
+            recent
+            and not self.fresh_until
+            and not self.leaving
+            and machine.role != OUTSIDER
+            and not machine.last_known_leader
+        )
 
     # --- operators --------------------------------------------------------------------------------
 
--- a/knotwalk/control_plane/replicated_state.py
+++ b/knotwalk/control_plane/replicated_state.py
@@ -14,7 +14,7 @@
 from knotwalk.configuration.documents import InvalidConfigurationError, apply_patch, parse_configuration, to_document
 from knotwalk.configuration.history import ChangeHistory, ChangeStatus
 from knotwalk.configuration.objects import Configuration
-from knotwalk.leases.ledger import Change, Ledger
+from knotwalk.leases.ledger import Ledger, OwnerChange
 
 # Of snapshots; raised when older programs can't read them. 2: the ledger's rows mark an `early` lease. 3: fences may
 # have a lift, written only where there is one. 4: the history has a floor and marks instead of 64 digests.
@@ -46,7 +46,7 @@
         """The version in force; 0 before the first."""
         return self.configuration.version if self.configuration else 0
 
-    def apply(self, index: int, command: dict) -> tuple[str, list[Change]]:
+    def apply(self, index: int, command: dict) -> tuple[str, list[OwnerChange]]:
         """Apply the entry `index`. Returns `DONE` or the reason why not, and the slices that changed."""
         self.applied = index
         if command.get("do") != "configure":
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -10,9 +10,9 @@
 from knotwalk.discovery.loads import LoadReports
 from knotwalk.discovery.reachability import PeerReachability, UnreachedNodes
 from knotwalk.discovery.view_publisher import ViewPublisher
+from knotwalk.leases.actions import REFUSED, UNSENT, Grant, GrantTiming, Propose, Release
 from knotwalk.leases.evidence import Event, Evidence, HolderCleared, NodeUnreachable
-from knotwalk.leases.keeper import Keeper
-from knotwalk.leases.orders import REFUSED, UNSENT, Grant, Pace, Propose, Release
+from knotwalk.leases.grant_manager import GrantManager
 from knotwalk.placement.capacity import LoadReport, utilizations_by_node
 from knotwalk.placement.placer import Placer
 from knotwalk.runtime.errors import PeerError
@@ -48,14 +48,14 @@
         board: ViewPublisher,
         loads: LoadReports,
         caller: HttpClient,
-        pace: Pace,
+        pace: GrantTiming,
         seed: int,
         propose: Callable[[dict], Awaitable[str | None]],
         zone: str = "",
     ):
         self.me, self.consensus, self.board, self.loads, self.caller = me, consensus, board, loads, caller
         self.pace, self.propose = pace, propose
-        self.keeper = Keeper(me, pace, seed, clock())
+        self.keeper = GrantManager(me, pace, seed, clock())
         self.peer_reachability = PeerReachability()
         self.placer = Placer(me, seed, zone)
         self.timer: asyncio.TimerHandle | None = None
@@ -67,18 +67,18 @@
 
     def on_lease(self, until: float, index: int) -> None:
         """This core was granted a lease until `until`; the leader's log had reached `index` then."""
-        self.keeper.leased(clock(), until, index)
+        self.keeper.on_lease_proven(clock(), until, index)
         self.perform_actions()
 
     def on_ledger_change(self, whole: bool = False) -> None:
         """An entry of the replicated ledger was applied, or (`whole`) the ledger was replaced."""
         ledger = self.consensus.state.ledger
-        self.keeper.look(clock(), ledger, None if whole else ledger.touched)
+        self.keeper.on_ledger(clock(), ledger, None if whole else ledger.changed)
         self.perform_actions()
 
     def on_nodes_changed(self) -> None:
         """The platform's list of nodes changed."""
-        self.keeper.nodes(clock(), self.board.nodes)
+        self.keeper.on_nodes_listed(clock(), self.board.nodes)
         listed = {node.address for node in self.board.nodes.values()}
         self.call_slots = {key: slot for key, slot in self.call_slots.items() if key[0] in listed}
         self.perform_actions()
@@ -104,8 +104,8 @@
             log_event(event)
             if isinstance(event, HolderCleared):
                 self.cleared_counts[event.evidence] += event.slices
-        while keeper.orders:
-            orders, keeper.orders = keeper.orders, []
+        while keeper.actions:
+            orders, keeper.actions = keeper.actions, []
             for order in orders:
                 match order:
                     case Grant():
@@ -116,7 +116,7 @@
                         self._spawn(self.propose(order.command))
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(max(0.005, min(0.5, keeper.wake - clock())), self.tick)
+        self.timer = asyncio.get_running_loop().call_later(max(0.005, min(0.5, keeper.wake_at - clock())), self.tick)
 
     def _spawn(self, work: Awaitable) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -153,14 +153,14 @@
             pass
         else:
             try:
-                until = order.expires if isinstance(order, Grant) else self.keeper.until
+                until = order.expires if isinstance(order, Grant) else self.keeper.lease_until
                 if not self.stopped and clock() < until:  # the slot may have come too late
                     status, handover = await self._send_call(order, step, payload)
             finally:
                 slot.release()
         self.call_counts[step, str(status or "silent")] += 1
         if not self.stopped:
-            self.keeper.answered(clock(), order, status, handover)
+            self.keeper.on_call_ended(clock(), order, status, handover)
             self.perform_actions()
 
     async def _send_call(self, order: Grant | Release, step: str, payload: dict) -> tuple[int | str | None, str | None]:
@@ -183,7 +183,7 @@
         while not self.stopped:
             await asyncio.sleep(PLACEMENT_INTERVAL_S)
             now = clock()
-            if now >= self.keeper.until or not self.board.nodes:
+            if now >= self.keeper.lease_until or not self.board.nodes:
                 continue
             try:
                 moves = self.plan_moves(now)
@@ -197,8 +197,8 @@
     def plan_moves(self, now: float) -> list[dict]:
         """The placer's moves, if anything that it depends on has changed."""
         ledger = self.consensus.state.ledger
-        unreachable = {id for id in self.board.nodes if self.keeper.unreachable(id)}
-        lapsed = self.keeper.lapsed(now)
+        unreachable = {id for id in self.board.nodes if self.keeper.is_unreachable(id)}
+        lapsed = self.keeper.lapsed_slices(now)
         avoided = frozenset(self.peer_reachability.unreached_since(now))
         inputs = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.outliers
         if not self.placer.is_due(now, inputs):
--- a/knotwalk/control_plane/status_report.py
+++ b/knotwalk/control_plane/status_report.py
@@ -99,7 +99,7 @@
                 "owner": slice.owner,
                 "fence": slice.fence,
                 "open": slice.open,
-                "before": [id for id, _ in slice.before],
+                "before": [id for id, _ in slice.previous_holders],
                 "node": node_to_wire(node, now) if node else None,
             }
         services.append(report)
--- a/tests/simulation/programs.py
+++ b/tests/simulation/programs.py
@@ -91,7 +91,7 @@
         put(control, "make_app", App)
         put(lifecycle.ProcessSignals, "install", lambda ending: None)
         put(Compaction, "should_compact", lambda made, *worth: _due(made, compact))
-        put(consensus_machine, "TRAIL", trail)
+        put(consensus_machine, "TRAILING_ENTRIES", trail)
         for room in (messages, claim_group, claim_groups):
             put(room, "PARTITION_COUNT", parts)
         put(claim_group, "HOLD_MARGIN_S", MARGIN)
--- a/tests/system/test_claim_groups.py
+++ b/tests/system/test_claim_groups.py
@@ -59,7 +59,7 @@
         """The machine that leads a partition's group in the newest term."""
 
         def leads() -> list[Place]:
-            return [place for place in self.world.running() if place.process.member(partition).settled]
+            return [place for place in self.world.running() if place.process.member(partition).is_commit_current]
 
         self.until(lambda: bool(leads()))
         return max(leads(), key=lambda place: place.process.member(partition).term)
--- a/tests/system/test_cli_tenants.py
+++ b/tests/system/test_cli_tenants.py
@@ -6,7 +6,7 @@
 
 from knotwalk.cli import show
 from knotwalk.configuration.documents import InvalidConfigurationError, parse_configuration
-from knotwalk.consensus.orders import Entry, Save
+from knotwalk.consensus.raft_types import Entry, Save
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane import status_report
 from knotwalk.control_plane.replicated_state import ReplicatedState
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -13,8 +13,8 @@
 from unittest import mock
 
 from knotwalk.configuration.documents import apply_patch, parse_configuration, to_document
-from knotwalk.consensus.orders import Pace, Save, Saved
-from knotwalk.consensus.store import NAME, Damaged, Refused, Store
+from knotwalk.consensus.raft_types import RaftSettings, Save, StoredState
+from knotwalk.consensus.store import FILE_NAME, Store, StoreDamagedError, StoreUnavailableError
 from knotwalk.control_plane import consensus_driver, control
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, NotLeaderError, open_store
 from knotwalk.control_plane.control import Control
@@ -26,7 +26,7 @@
 from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge.link import FIRST_WAIT, WAIT, Link
-from knotwalk.leases.orders import UNSENT, Grant, Pace as LeasePace
+from knotwalk.leases.actions import UNSENT, Grant, GrantTiming
 from knotwalk.runtime.compression import MIN_COMPRESSED_BYTES, decompress
 from knotwalk.runtime.errors import PeerError
 from tests.standins.jumps import JumpingCase
@@ -92,8 +92,8 @@
         self.wire = Wire()
         founders = {f"{at}#founder": at for at in ADDRESSES}
         for n, at in enumerate(ADDRESSES):
-            saved = Saved(f"{at}#founder", members=founders)
-            self.wire.ends[at] = ConsensusDriver(Disk(), saved, self.wire, Pace(), n, float("-inf"))
+            saved = StoredState(f"{at}#founder", members=founders)
+            self.wire.ends[at] = ConsensusDriver(Disk(), saved, self.wire, RaftSettings(), n, float("-inf"))
         for end in self.wire.ends.values():
             end.start()
 
@@ -107,8 +107,8 @@
                 await asyncio.sleep(0.001)  # lets timers of the loop come due; bounded by the timeout above
 
     async def leader(self) -> ConsensusDriver:
-        await self.until(lambda: any(end.machine.settled for end in self.wire.ends.values()))
-        return next(end for end in self.wire.ends.values() if end.machine.settled)
+        await self.until(lambda: any(end.machine.is_commit_current for end in self.wire.ends.values()))
+        return next(end for end in self.wire.ends.values() if end.machine.is_commit_current)
 
     async def test_a_follower_replies_in_the_answer_to_the_leaders_call(self):
         """Commits wait for the replies in the answer to a call. When replies waited for the next heartbeat, each commit
@@ -154,8 +154,8 @@
         own = next(at for at, end in self.wire.ends.items() if end is leader)
         self.wire.cut.add(own)
         reach, self.wire.ends[own].caller = self.wire, Cut()
-        await self.until(lambda: not leader.machine.settled)
-        await self.until(lambda: any(end.machine.settled for end in self.wire.ends.values()))
+        await self.until(lambda: not leader.machine.is_commit_current)
+        await self.until(lambda: any(end.machine.is_commit_current for end in self.wire.ends.values()))
         self.wire.cut.discard(own)
         leader.caller = reach
         fresh = await self.leader()
@@ -176,7 +176,7 @@
         self.assertEqual(answers[0].status, 503)  # it has stepped down, and does not know the leader
         for one in answers[1:]:
             self.assertNotEqual(one.headers.get("location"), f"http://{own.partition(':')[0]}:8/configuration")
-        await self.until(lambda: any(end.machine.settled for end in others))
+        await self.until(lambda: any(end.machine.is_commit_current for end in others))
         self.wire.cut.discard(own)
         leader.caller = reach
         fresh = await self.leader()
@@ -197,7 +197,7 @@
         def start(at: str, first: bool) -> ConsensusDriver:
             store = Store()
             end = wire.ends[at] = ConsensusDriver(
-                store, open_store(store, str(folder / at), first, at, founders), wire, Pace(), 1, float("-inf")
+                store, open_store(store, str(folder / at), first, at, founders), wire, RaftSettings(), 1, float("-inf")
             )
             end.machine.address, end.machine.contacts = at, [one for one in ADDRESSES if one != at]
             end.on_damage = lambda: damage.append(at)
@@ -213,7 +213,7 @@
 
         for at in ADDRESSES:
             start(at, True)
-        leads = lambda: next((one for one in wire.ends.values() if one.machine.settled), None)  # noqa: E731
+        leads = lambda: next((one for one in wire.ends.values() if one.machine.is_commit_current), None)  # noqa: E731
         await until(leads)
         leader = leads()
         self.assertEqual(
@@ -222,7 +222,7 @@
         )
         victim = next(one for one in wire.ends.values() if one is not leader)
         at = victim.machine.address
-        with mock.patch.object(victim.store, "write", side_effect=Damaged(victim.store.path, "malformed")):
+        with mock.patch.object(victim.store, "write", side_effect=StoreDamagedError(victim.store.path, "malformed")):
             await leader.propose(
                 {
                     "do": "configure",
@@ -233,15 +233,15 @@
                 }
             )
             await until(lambda: damage == [at])
-        self.assertFalse(victim.machine._may_stand())
+        self.assertFalse(victim.machine._can_stand())
         wire.cut.add(at)  # a process that has ended answers no calls
         await victim.close()
         await asyncio.to_thread(victim.writer.shutdown)
         victim.store.close()
-        path = folder / at / NAME
+        path = folder / at / FILE_NAME
         path.write_bytes(path.read_bytes()[:5000].ljust(path.stat().st_size, b"x"))
         with (
-            mock.patch.object(Store, "set_aside", side_effect=Refused(path, "no")),
+            mock.patch.object(Store, "set_aside", side_effect=StoreUnavailableError(path, "no")),
             self.assertRaises(StopIteration),
             self.assertLogs(level="WARNING"),
         ):
@@ -359,7 +359,7 @@
         self.platform, self.board, self.machine = (
             Platform(),
             ViewPublisher("b"),
-            SimpleNamespace(rumour=None, role="follower"),
+            SimpleNamespace(last_known_leader=None, role="follower"),
         )
         consensus = SimpleNamespace(machine=self.machine)
         list_poller = ListPoller(
@@ -399,9 +399,9 @@
             self.assertEqual(view.apply_provisional(0.0, one["provisional"]), {"config", "nodes"})
             self.assertTrue(view.is_complete and view.nodes["i-1"].draining)
         self.assertNotIn("provisional", await self.ask(bare=False))
-        self.machine.rumour = "a:1"
+        self.machine.last_known_leader = "a:1"
         self.assertNotIn("provisional", await self.ask())
-        self.machine.rumour, self.peer_api.fresh_until = None, 1.0
+        self.machine.last_known_leader, self.peer_api.fresh_until = None, 1.0
         self.assertNotIn("provisional", await self.ask())
         self.assertEqual(self.calls, 1)
 
@@ -666,8 +666,8 @@
                 await free.wait()
                 return 200, {}, b""
 
-        conductor = SliceManager("me", None, ViewPublisher("b"), LoadReports(), Node(), LeasePace(), 1, None)
-        conductor.keeper.answered = lambda at, order, status, *_: ends.append((order.fence, status))
+        conductor = SliceManager("me", None, ViewPublisher("b"), LoadReports(), Node(), GrantTiming(), 1, None)
+        conductor.keeper.on_call_ended = lambda at, order, status, *_: ends.append((order.fence, status))
         slots = MAX_CONCURRENT_CALLS["grant"]
         orders = [
             Grant("i-1", ("10.0.1.1", 80), 0, 31, n, 6.0, None, "s", (0,), 5.0 if n < slots + 2 else 2.0)
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from knotwalk.configuration.documents import to_document
-from knotwalk.consensus.orders import Pace, Save, Saved
+from knotwalk.consensus.raft_types import RaftSettings, Save, StoredState
 from knotwalk.control_plane import consensus_driver, control, list_poller, peer_api
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, OutcomeUnknownError
 from knotwalk.control_plane.control import Control
@@ -25,7 +25,7 @@
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge import link
 from knotwalk.edge.link import Link
-from knotwalk.leases.tenure import LEASE, PROOF
+from knotwalk.leases.conductor_leases import LEADERSHIP_PROOF_S, LEASE_S
 from knotwalk.runtime.errors import PeerError
 from tests.standins.jumps import Loop, clock
 from tests.system.test_control_plane import ADDRESSES, DOCUMENT
@@ -80,7 +80,7 @@
         self.world, self.at = world, at
         self.thawed = asyncio.Event()
         self.thawed.set()
-        self.consensus = ConsensusDriver(Disk(), saved, self, Pace(), seed, float("-inf"))
+        self.consensus = ConsensusDriver(Disk(), saved, self, RaftSettings(), seed, float("-inf"))
         self.consensus.writer = Inline()
         self.consensus.machine.address = at
         self.board, self.loads = ViewPublisher(f"b{seed}"), LoadReports()
@@ -108,7 +108,7 @@
 
     @property
     def leads(self):
-        return self.consensus.machine.settled
+        return self.consensus.machine.is_commit_current
 
     # --- as the caller of its components
 
@@ -183,7 +183,7 @@
     async def start(self):
         founders = {f"{at}#founder": at for at in ADDRESSES}
         for n, at in enumerate(ADDRESSES):
-            self.cores[at] = Core(self, at, Saved(f"{at}#founder", members=founders), n)
+            self.cores[at] = Core(self, at, StoredState(f"{at}#founder", members=founders), n)
         assert (await self.change_configuration("r3", "0"))[0] == 200
         await self.until(lambda: all(core.consensus.state.version == 3 for core in self.cores.values()))
         await self.until(lambda: all(core.peers.fresh_until > clock() for core in self.cores.values()))
@@ -429,7 +429,7 @@
                             if answer["fresh"]:
                                 fresh.append(clock() - start)
                             await asyncio.sleep(max(0.01, begun + 0.05 - clock()))
-                        self.assertLess(max(fresh, default=0.0), PROOF + MAX_LEADER_SILENCE_S + 0.01)
+                        self.assertLess(max(fresh, default=0.0), LEADERSHIP_PROOF_S + MAX_LEADER_SILENCE_S + 0.01)
 
                     run_story(story)
 
@@ -439,8 +439,8 @@
             me = leader.consensus.machine.me
             self.assertIsNotNone(leader.poller.grant_lease(me))
             leader.freeze()
-            last = leader.consensus.machine.majority_at
-            await asyncio.sleep(last + PROOF - 0.01 - clock())
+            last = leader.consensus.machine.majority_acked_at
+            await asyncio.sleep(last + LEADERSHIP_PROOF_S - 0.01 - clock())
             self.assertIsNotNone(leader.poller.grant_lease(me))
             await asyncio.sleep(0.02)
             self.assertEqual((leader.consensus.machine.role, leader.poller.grant_lease(me)), ("leader", None))
@@ -450,7 +450,7 @@
     def restart_isolated(self, world, at):
         """Restart core `at` with its disk, cut off from the other cores but not from edges."""
         machine = world.cores[at].consensus.machine
-        saved = Saved(
+        saved = StoredState(
             machine.me,
             machine.term,
             machine.vote,
@@ -515,7 +515,7 @@
             self.assertTrue(await has_provisional())
             with mock.patch.object(core.consensus.machine, "role", "outsider"):
                 self.assertFalse(await has_provisional())
-            with mock.patch.object(core.consensus.machine, "_hint", "10.0.0.2:7"):
+            with mock.patch.object(core.consensus.machine, "_leader_hint", "10.0.0.2:7"):
                 self.assertFalse(await has_provisional())
             reading = asyncio.Event()
 
@@ -526,7 +526,7 @@
             with mock.patch.object(core.poller, "own_nodes", slow):
                 call = asyncio.ensure_future(has_provisional())
                 await asyncio.sleep(0.1)
-                with mock.patch.object(core.consensus.machine, "_hint", "10.0.0.2:7"):
+                with mock.patch.object(core.consensus.machine, "_leader_hint", "10.0.0.2:7"):
                     reading.set()  # the list was read, and a leader became known meanwhile
                     self.assertFalse(await call)
             await asyncio.sleep(PROVISIONAL_PERIOD_S)
@@ -583,11 +583,11 @@
                 ):
                     poller.on_leadership(True)
                     tenure = poller.tenure
-                    tenure.since -= 10 * LEASE  # the leases of all conductors that were not heard have expired
-                    tenure.asked(clock(), a)
+                    tenure.since -= 10 * LEASE_S  # the leases of all conductors that were not heard have expired
+                    tenure.renew(clock(), a)
                     happens = {
                         "nothing": lambda: None,
-                        "is back": lambda: (tenure.asked(clock(), b), tenure.asked(clock(), c)),
+                        "is back": lambda: (tenure.renew(clock(), b), tenure.renew(clock(), c)),
                         "leadership lost": lambda: poller.on_leadership(False),
                         "leadership regained": lambda: poller.on_leadership(True),
                     }[what]
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -14,7 +14,7 @@
 from knotwalk.configuration.change_requests import ChangeHistory, decide_change
 from knotwalk.configuration.documents import format_version, to_document
 from knotwalk.configuration.history import LEGACY_MAX_REMEMBERED, MAX_REMEMBERED, ChangeStatus, fingerprint
-from knotwalk.consensus.orders import Pace, Saved
+from knotwalk.consensus.raft_types import RaftSettings, StoredState
 from knotwalk.control_plane import consensus_driver, control
 from knotwalk.control_plane.consensus_driver import ConsensusDriver, OutcomeUnknownError
 from knotwalk.control_plane.control import Control
@@ -249,7 +249,7 @@
 
     async def asyncSetUp(self):
         self.wire, founders = Lossy(), {f"{at}#founder": at for at in ADDRESSES}
-        self.disks = {at: Disk(Saved(f"{at}#founder", members=founders)) for at in ADDRESSES}
+        self.disks = {at: Disk(StoredState(f"{at}#founder", members=founders)) for at in ADDRESSES}
         self.ports = {}
         self.restart()
 
@@ -265,7 +265,7 @@
 
     def restart(self):
         for seed, (at, disk) in enumerate(self.disks.items()):
-            end = ConsensusDriver(disk, disk.read(), self.wire, Pace(), seed, float("-inf"))
+            end = ConsensusDriver(disk, disk.read(), self.wire, RaftSettings(), seed, float("-inf"))
             self.wire.ends[at], self.ports[at] = end, Control(end, 1)
         for end in self.wire.ends.values():
             end.start()
@@ -275,7 +275,7 @@
         async with asyncio.timeout(20):
             while True:
                 for at, end in self.wire.ends.items():
-                    if end.machine.settled and at != other_than:
+                    if end.machine.is_commit_current and at != other_than:
                         return at
                 await asyncio.sleep(0.001)  # lets timers of the loop come due; bounded by the timeout above
 
