--- a/knotwalk/control_plane/__main__.py
+++ b/knotwalk/control_plane/__main__.py
@@ -61,7 +61,12 @@
         self.caller = HttpClient()
         seed = crc32(f"{settings.node_name}{os.getpid()}{os.urandom(4).hex()}".encode())
         self.consensus = ConsensusDriver(
-            self.store, saved, self.caller, RaftSettings(target_members=settings.tolerance.members), seed, PROCESS_STARTED_AT
+            self.store,
+            saved,
+            self.caller,
+            RaftSettings(target_members=settings.tolerance.members),
+            seed,
+            PROCESS_STARTED_AT,
         )
         self.consensus.machine.address = own
         self.consensus.machine.contacts = [address for address in founders.values() if address != own]
--- a/knotwalk/control_plane/consensus_driver.py
+++ b/knotwalk/control_plane/consensus_driver.py
@@ -195,7 +195,9 @@
                         self._on_write_failure("a write hangs")
                         await work
                     break
-                except StoreDamagedError as error:  # the file must be read again, which the next start of the process does
+                except (
+                    StoreDamagedError
+                ) as error:  # the file must be read again, which the next start of the process does
                     log_warning(
                         "log file damaged", why=str(error), done="this process ends; the next one reads the whole file"
                     )
--- a/knotwalk/control_plane/metrics.py
+++ b/knotwalk/control_plane/metrics.py
@@ -125,7 +125,9 @@
     yield gauge("knotwalk_core_last_index", "the last entry of the log here", machine.log.last)
     yield gauge("knotwalk_core_configuration_version", "the configuration in force, 0 for none", state.version)
     yield gauge("knotwalk_core_disk_refuses", "1 while a write hangs or was refused", plane.consensus.disk_failing)
-    yield gauge("knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.keeper.lease_until - now)
+    yield gauge(
+        "knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.keeper.lease_until - now
+    )
     yield gauge("knotwalk_core_edges", "edges heard of in the last ten seconds", plane.loads.edge_count(now))
     yield slices(plane)
     yield nodes(now, plane)
--- a/knotwalk/edge/freshness.py
+++ b/knotwalk/edge/freshness.py
@@ -41,7 +41,9 @@
 
         `after`: seconds from the call's arrival to the core's last proof, below 0 if that was before; None where the
         core does not tell, so that it may be as old as a fresh core's can be."""
-        self.proven_at = max(self.proven_at, asked_at + (-MAX_LEADER_SILENCE_S - LEADERSHIP_PROOF_S if after is None else after))
+        self.proven_at = max(
+            self.proven_at, asked_at + (-MAX_LEADER_SILENCE_S - LEADERSHIP_PROOF_S if after is None else after)
+        )
 
     def holds(self, now: float) -> bool:
         """Whether the configuration here can be taken for the newest, but for one of the last `length` seconds."""
--- a/tests/system/test_freshness.py
+++ b/tests/system/test_freshness.py
@@ -125,7 +125,9 @@
         found = self.through(trouble)
         self.check(found)
         held = [at for at, held, _ in found["looks"] if held and found["begun"] <= at < found["over"]]
-        self.assertGreater(max(held) - found["begun"], REVOKE - MARGIN - WAIT - MAX_LEADER_SILENCE_S - LEADERSHIP_PROOF_S)
+        self.assertGreater(
+            max(held) - found["begun"], REVOKE - MARGIN - WAIT - MAX_LEADER_SILENCE_S - LEADERSHIP_PROOF_S
+        )
         self.assertFalse(all(held for _, held, _ in found["looks"]))
 
     def test_an_edge_whose_core_is_cut_off_or_frozen_hears_another_before_its_lease_ends(self):
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -208,7 +208,9 @@
         change, results = core.apply()
         for member, result in enumerate(results):
             if change in core.taken:
-                self.assertIn(result, (DONE,) if self.remembered(core, member, change) else (control.STATUS_UNKNOWN_MESSAGE,))
+                self.assertIn(
+                    result, (DONE,) if self.remembered(core, member, change) else (control.STATUS_UNKNOWN_MESSAGE,)
+                )
             else:
                 self.assertNotEqual(result, DONE)
         if results[-1] != DONE:
