--- a/knotwalk/control_plane/admissions.py
+++ b/knotwalk/control_plane/admissions.py
@@ -216,7 +216,7 @@
             return None
         status = self.answers.find(self.clock(), operation, other)
         if (other.incarnation, other.attempt) == (holder.incarnation, holder.attempt):
-            # Its run has ended already: this request came late, or a second time.
+            # UNAVAILABLE if its run has ended already: then this request came late, or a second time.
             return None if status.phase is Phase.RUNNING else UNAVAILABLE
         return self._response_for_holder(operation, other) if status.phase in (Phase.RUNNING, Phase.ANSWERED) else None
 
