--- a/knotwalk/control_plane/control.py
+++ b/knotwalk/control_plane/control.py
@@ -99,7 +99,9 @@
         except NotLeaderError:
             return await self.redirect_after_change(called_at)
         except OutcomeUnknownError:
-            return json_response({"error": "no majority answers; try another core or retry"}, 503, {"Retry-After": "0.3"})
+            return json_response(
+                {"error": "no majority answers; try another core or retry"}, 503, {"Retry-After": "0.3"}
+            )
         status, payload = read_response(self.consensus.state.configuration)
         return json_response(payload, status)
 
