--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -52,7 +52,7 @@
 from knotwalk.leases.ledger import Ledger, ranges
 from tests.simulation import crash_gap
 from tests.simulation.walk import measure
-from tests.system.cluster import Cluster, Violation, trouble
+from tests.system.cluster import Cluster, ViolationError, inject_faults
 from tests.system.model import explore, mistakes, worlds
 from tests.system.test_leases import World
 
@@ -140,7 +140,7 @@
     took = []
     for seed in range(seeds):
         cluster = Cluster(seed)
-        assert cluster.run(10, cluster.settled)
+        assert cluster.run(10, cluster.is_settled)
         cluster.run(cluster.random.uniform(0, 0.3))
         leader = cluster.leader()
         assert leader is not None
@@ -159,10 +159,10 @@
     for seed in range(seeds):
         cluster = Cluster(1000 + seed, (3, 3, 5)[seed % 3])
         try:
-            trouble(cluster, 60)
+            inject_faults(cluster, 60)
             cluster.heal()
-            settled = cluster.run(20, cluster.settled)
-        except Violation as violation:
+            settled = cluster.run(20, cluster.is_settled)
+        except ViolationError as violation:
             print(f"seed {seed}: {violation}")
             settled = False
         log = Counter(json.dumps(one.body) for one in cluster.checker.entries.values() if one.kind == "command")
@@ -185,21 +185,27 @@
         super().__init__(seed)
 
     def start(self, address: str) -> None:
-        keeper = GrantManager(address, GrantTiming(), self.seed, self.now)
-        keeper.on_nodes_listed(self.now, self.listed)
-        self.desks[address] = {"keeper": keeper, "ledger": Ledger(), "tenure": None, "asked": -9.0, "led": -9.0}
+        grant_manager = GrantManager(address, GrantTiming(), self.seed, self.now)
+        grant_manager.on_nodes_listed(self.now, self.listed)
+        self.desks[address] = {
+            "grant_manager": grant_manager,
+            "ledger": Ledger(),
+            "conductor_leases": None,
+            "asked": -9.0,
+            "led": -9.0,
+        }
         super().start(address)
-        self._work(address, self.nodes[address].life)
+        self._work(address, self.nodes[address].incarnation)
 
-    def _order(self, node: Any, machine: Machine, order: Any) -> None:
+    def _perform(self, node: Any, machine: Machine, order: Any) -> None:
         desk = self.desks[node.address]
         if isinstance(order, RoleChange):
-            desk["tenure"] = ConductorLeases(self.now) if order.role == "leader" else None
-        super()._order(node, machine, order)
+            desk["conductor_leases"] = ConductorLeases(self.now) if order.role == "leader" else None
+        super()._perform(node, machine, order)
         if isinstance(order, Apply):
             ledger = desk["ledger"]
             ledger.apply(order.entry.index, order.entry.body if order.entry.kind == "command" else {})
-            desk["keeper"].on_ledger(self.now, ledger, ledger.changed)
+            desk["grant_manager"].on_ledger(self.now, ledger, ledger.changed)
 
     def tell(self, address: str, command: dict) -> None:
         """Propose at the leader that a machine knows of."""
@@ -210,8 +216,8 @@
 
     def _work(self, address: str, life: int) -> None:
         node, desk = self.nodes[address], self.desks[address]
-        machine, keeper, ledger, now = node.machine, desk["keeper"], desk["ledger"], self.now
-        if machine is None or node.life != life:
+        machine, grant_manager, ledger, now = node.machine, desk["grant_manager"], desk["ledger"], self.now
+        if machine is None or node.incarnation != life:
             return
         if now >= desk["asked"] + LEASE_REQUEST_INTERVAL_S and machine.leader is not None:
             desk["asked"], leader = now, machine.leader
@@ -224,14 +230,14 @@
                 self.tell(address, {"do": "shard", "services": ["s"]})
             else:
                 leased = [x.conductor for x in line]
-                for to, found in reassign(desk["tenure"], now, leased).items():
+                for to, found in reassign(desk["conductor_leases"], now, leased).items():
                     for before in {leased[k] for first, last in found for k in range(first, last + 1)}:
                         named = ranges(
                             k for first, last in found for k in range(first, last + 1) if leased[k] == before
                         )
                         self.tell(address, {"do": "lease", "from": before, "to": to, "slices": {"s": named}})
         new = [k for k, x in enumerate(ledger.slices.get("s", ())) if x.conductor == address and not x.owner]
-        if new and now < keeper.lease_until:
+        if new and now < grant_manager.lease_until:
             self.tell(
                 address,
                 {
@@ -240,8 +246,8 @@
                     "moves": [["s", first, last, 0, f"n{first % 4}"] for first, last in ranges(new)],
                 },
             )
-        keeper.tick(now)
-        orders, keeper.actions = keeper.actions, []
+        grant_manager.tick(now)
+        orders, grant_manager.actions = grant_manager.actions, []
         for order in orders:
             if isinstance(order, Propose):
                 self.tell(address, order.command)
@@ -254,22 +260,22 @@
         return (
             node.machine is not None
             and node.machine.is_commit_current
-            and self.desks[address]["tenure"] is not None
+            and self.desks[address]["conductor_leases"] is not None
             and self.now + node.offset - node.machine.majority_acked_at < LEADERSHIP_PROOF_S
         )
 
     def _lease(self, leader: str, asking: str, life: int, sent: float) -> None:
-        if self._proven(leader) and self.nodes[asking].life == life:
-            until = sent + self.desks[leader]["tenure"].renew(self.now, asking)
+        if self._proven(leader) and self.nodes[asking].incarnation == life:
+            until = sent + self.desks[leader]["conductor_leases"].renew(self.now, asking)
             last = self.nodes[leader].machine.log.last  # type: ignore[union-attr]
-            keeper = self.desks[asking]["keeper"]
-            self._later(0.001, lambda: keeper.on_lease_proven(self.now, until, last))
+            grant_manager = self.desks[asking]["grant_manager"]
+            self._later(0.001, lambda: grant_manager.on_lease_proven(self.now, until, last))
 
     def _call(self, address: str, life: int, order: Grant | Release) -> None:
         for k in order.slices:
             self.held[k] = self.now + order.hold if isinstance(order, Grant) else 0.0
-        if self.nodes[address].life == life:
-            self.desks[address]["keeper"].on_call_ended(self.now + 0.001, order, 200)
+        if self.nodes[address].incarnation == life:
+            self.desks[address]["grant_manager"].on_call_ended(self.now + 0.001, order, 200)
 
     def served(self) -> bool:
         """Whether all keys are held."""
@@ -312,16 +318,16 @@
     for name, (world, depth, most) in worlds(not quick).items():
         walked = explore(world.start, world.follow, depth, min(most, 12_000) if quick else most)
         print(
-            f"{name}: {walked.states} states, {walked.depth} deep{', all there are' if walked.whole else ''}",
+            f"{name}: {walked.states} states, {walked.depth} deep{', all there are' if walked.is_complete else ''}",
             *walked.trace,
-            *walked.broken,
+            *walked.violations,
             sep="\n  ",
             flush=True,
         )
         found["model_states"] += walked.states
-        found["model_broken"] += bool(walked.broken)
+        found["model_broken"] += bool(walked.violations)
     named = mistakes()
-    shown = [name for name, (world, depth, _) in named.items() if explore(world.start, world.follow, depth).broken]
+    shown = [name for name, (world, depth, _) in named.items() if explore(world.start, world.follow, depth).violations]
     found |= measure(4 if quick else 200)
     found["seeded"] = len(named) + found["walk_seeded"]
     found["seeded_found"] = len(shown) + found["walk_seeded_found"]
--- a/knotwalk/consensus/machine.py
+++ b/knotwalk/consensus/machine.py
@@ -53,8 +53,8 @@
         """
         self._expire(now)
         handle = getattr(self, "_on_" + str(message.get("type")), None)
-        silent = self.leaving and self.role == OUTSIDER
-        if handle is not None and message.get("to") in (self.me, "") and message["from"] != self.me and not silent:
+        has_left = self.leaving and self.role == OUTSIDER
+        if handle is not None and message.get("to") in (self.me, "") and message["from"] != self.me and not has_left:
             handle(now, message)
         elif handle is not None and self.role == OUTSIDER and not self.leaving and self._leader_address is None:
             # The sender calls the former incarnation at this address, so it may know the group: it will be asked to
@@ -86,23 +86,23 @@
 
     def on_saved(self, now: float, number: int) -> None:
         """Every Save up to `number` is durable."""
-        flight = self._pending_save
-        if flight is None or number < flight.number:
+        pending = self._pending_save
+        if pending is None or number < pending.number:
             return
         self._expire(now)
-        self._pending_save, self._saved_number, self._store_failed = None, flight.number, False
-        self._saved_term = flight.term
-        rose = flight.last_index > self._stored_index
-        self._stored_index = max(self._stored_index, flight.last_index)
-        ready = [one for one in self._held_messages if one[0] <= self._saved_number]
+        self._pending_save, self._saved_number, self._store_failed = None, pending.number, False
+        self._saved_term = pending.term
+        has_advanced = pending.last_index > self._stored_index
+        self._stored_index = max(self._stored_index, pending.last_index)
+        releasable = [one for one in self._held_messages if one[0] <= self._saved_number]
         self._held_messages = [one for one in self._held_messages if one[0] > self._saved_number]
-        self.actions += [Send(address, message) for _, address, message in ready]
+        self.actions += [Send(address, message) for _, address, message in releasable]
         if self.role == LEADER:
             self._commit_majority(now)
         elif self.role == CANDIDATE and not self._is_prevote and self._saved_term == self.term:
             self._votes.add(self.me)
             self._count_votes(now)
-        elif (rose or self._owes_answer) and self._leader_id is not None:
+        elif (has_advanced or self._owes_answer) and self._leader_id is not None:
             self._acknowledge()
         self._finish_call(now)
 
--- a/knotwalk/consensus/machine_state.py
+++ b/knotwalk/consensus/machine_state.py
@@ -195,7 +195,7 @@
         vote: str | None = None,
     ) -> None:
         before = (self.role, self.term, self.leader)
-        was = self.role
+        previous_role = self.role
         if role == FOLLOWER and self.me not in self.members:
             role = OUTSIDER
         if term > self.term:
@@ -213,7 +213,7 @@
         if self._leader_id is not None and leader_id is None:
             self._leaderless_since = now
         self.role, self._leader_id, self._leader_address = role, leader_id, leader
-        if was == LEADER and role != LEADER:
+        if previous_role == LEADER and role != LEADER:
             for ticket in self._tickets.values():
                 self.actions.append(Answer(ticket, "lost", None))
             for ticket in [one[0] for one in self._reads] + self._queued_reads:
@@ -223,11 +223,11 @@
             self._leaderless_since = now
         if role == CANDIDATE:
             self._votes = {self.me} if self._is_prevote else set()
-            wait = self.random.uniform(self.settings.vote_retry_min, self.settings.vote_retry_max)
-            self._election_deadline = now + wait * (
+            delay_s = self.random.uniform(self.settings.vote_retry_min, self.settings.vote_retry_max)
+            self._election_deadline = now + delay_s * (
                 1 if self._is_prevote else 2 ** min(self._election_rounds, MAX_BACKOFF_DOUBLINGS)
             )
-        elif was in (LEADER, CANDIDATE) and role != LEADER:
+        elif previous_role in (LEADER, CANDIDATE) and role != LEADER:
             self._election_deadline = now + self._election_timeout()
         if role == LEADER:
             self._incoming.clear()
@@ -252,12 +252,12 @@
 
     def _expire(self, now: float) -> None:
         """Apply what the passage of time has ended, before anything is read or done at `now`."""
-        frozen = now - self._last_call_at > STALL_S and now - self.wake_at > TIMER_SLACK_S
+        was_stalled = now - self._last_call_at > STALL_S and now - self.wake_at > TIMER_SLACK_S
         self._last_call_at = now
         if self.role == LEADER:
             if now - max(self._majority_answered_at(), self._elected_at) > self.settings.election_timeout_min:
                 self._become(now, FOLLOWER, self.term)
-        elif frozen:
+        elif was_stalled:
             if self.role == CANDIDATE:
                 self._become(now, FOLLOWER, self.term)
             self._election_deadline = max(
@@ -270,7 +270,7 @@
         if self._dirty and self._pending_save is None:
             self._save_number += 1
             first = self.log.last + 1 if self._dirty_from is None else max(self._dirty_from, self.snapshot[0] + 1)
-            cut = first if first <= self._issued_index else None
+            cut_from = first if first <= self._issued_index else None
             entries = self.log.entries[first - self.log.base - 1 :]
             self.actions.append(
                 Save(
@@ -278,7 +278,7 @@
                     self.term,
                     self.vote,
                     entries,
-                    cut,
+                    cut_from,
                     self.snapshot if self._new_snapshot else None,
                     self.commit,
                 )
@@ -300,11 +300,11 @@
 
     def _send_after_save(self, address: str, type: str, to: str, /, **rest: Any) -> None:
         """Send once all changes made so far are stored."""
-        need = self._save_number + 1 if self._dirty else self._save_number
-        if need <= self._saved_number:
+        needed_save = self._save_number + 1 if self._dirty else self._save_number
+        if needed_save <= self._saved_number:
             self._send(address, type, to, **rest)
         else:
-            self._held_messages.append((need, address, self._build_message(type, to, **rest)))
+            self._held_messages.append((needed_save, address, self._build_message(type, to, **rest)))
 
     def _known_leader(self) -> str | None:
         return self.leader or self._leader_hint
--- a/knotwalk/consensus/membership_rules.py
+++ b/knotwalk/consensus/membership_rules.py
@@ -70,20 +70,27 @@
         }
         leaving = [one for one in voters.values() if one.leaving]
         unheard = [one for one in voters.values() if max(one.answered_at, one.first_heard_at) < now - removal_timeout]
-        for one in leaving + unheard:
-            if _can_spare(len(members), is_log_stored + len(holding - {one.id})):
-                return {id: address for id, address in members.items() if id != one.id}
-    for one in learners:
-        if one.id in members or one.leaving or one.match_index < commit or one.answered_at < now - max_answer_age:
+        for voter in leaving + unheard:
+            if _can_spare(len(members), is_log_stored + len(holding - {voter.id})):
+                return {id: address for id, address in members.items() if id != voter.id}
+    for learner in learners:
+        if (
+            learner.id in members
+            or learner.leaving
+            or learner.match_index < commit
+            or learner.answered_at < now - max_answer_age
+        ):
             continue
-        old = [id for id, address in members.items() if address == one.address]
-        if not old:
-            return {**members, one.id: one.address}
-        if old[0] == me or voters[old[0]].answered_at >= one.first_heard_at:
+        former_ids = [id for id, address in members.items() if address == learner.address]
+        if not former_ids:
+            return {**members, learner.id: learner.address}
+        if former_ids[0] == me or voters[former_ids[0]].answered_at >= learner.first_heard_at:
             continue  # the former id is alive: whatever claims its address does not replace it
-        heard = 1 + sum(other.answered_at >= one.first_heard_at for other in voters.values() if other.id != old[0])
-        if heard >= quorum(len(members)):
-            return {one.id if id == old[0] else id: address for id, address in members.items()}
+        answered = 1 + sum(
+            other.answered_at >= learner.first_heard_at for other in voters.values() if other.id != former_ids[0]
+        )
+        if answered >= quorum(len(members)):
+            return {learner.id if id == former_ids[0] else id: address for id, address in members.items()}
     return None
 
 
--- a/knotwalk/consensus/store.py
+++ b/knotwalk/consensus/store.py
@@ -99,11 +99,11 @@
 def _is_wal_header_valid(header: bytes) -> bool:
     """Whether the first 32 bytes of a write-ahead log match their checksum (sqlite.org/fileformat2.html, 4.2)."""
     words = struct.unpack(">8I" if header[3] & 1 else "<8I", header)
-    one = two = 0
+    sum_1 = sum_2 = 0
     for first, second in zip(words[:6:2], words[1:6:2]):
-        one = one + first + two & 0xFFFFFFFF
-        two = two + second + one & 0xFFFFFFFF
-    return header[:3] == b"\x37\x7f\x06" and struct.pack(">2I", one, two) == header[24:]
+        sum_1 = sum_1 + first + sum_2 & 0xFFFFFFFF
+        sum_2 = sum_2 + second + sum_1 & 0xFFFFFFFF
+    return header[:3] == b"\x37\x7f\x06" and struct.pack(">2I", sum_1, sum_2) == header[24:]
 
 
 def _fsync_folder(folder: Path) -> None:
--- a/knotwalk/control_plane/figures.py
+++ b/knotwalk/control_plane/figures.py
@@ -23,7 +23,7 @@
 
 def slices(plane: ControlPlane) -> Figure:
     """The slices that this core leases, by where each stands on its way to an owner."""
-    found = Counter((x.service, x.state.value) for x in plane.conductor.keeper.slice_leases.values())
+    found = Counter((x.service, x.state.value) for x in plane.conductor.grant_manager.slice_leases.values())
     samples: dict[tuple[str, ...], float] = {
         (service, state.value): found[service, state.value]
         for service in plane.consensus.state.ledger.slices
@@ -36,12 +36,12 @@
 
 def nodes(now: float, plane: ControlPlane) -> Figure:
     """Nodes of the platform's list, and those in trouble; a node may count under several."""
-    board, keeper = plane.board, plane.conductor.keeper
+    board, grant_manager = plane.board, plane.conductor.grant_manager
     found = {
         "listed": len(board.nodes),
         "draining": sum(node.draining for node in board.nodes.values()),
         "ailing": len(board.ailing & board.nodes.keys()),
-        "unreachable": len(keeper.unreached(now)),
+        "unreachable": len(grant_manager.unreached(now)),
         "unreached by others": len(plane.conductor.peers_reach.since(now)),
     }
     samples: dict[tuple[str, ...], float] = {(state,): count for state, count in found.items()}
@@ -116,7 +116,9 @@
     yield gauge("knotwalk_core_configuration_version", "the configuration in force, 0 for none", state.version)
     yield gauge("knotwalk_core_disk_refuses", "1 while a write hangs or was refused", plane.consensus.hung)
     yield gauge(
-        "knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.keeper.lease_until - now
+        "knotwalk_core_lease_seconds",
+        "left of this core's lease of its slices",
+        manager.grant_manager.lease_until - now,
     )
     yield gauge("knotwalk_core_edges", "edges heard of in the last ten seconds", plane.loads.count(now))
     yield slices(plane)
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -39,7 +39,7 @@
 
     def __init__(self, settings: Settings, consensus: ConsensusDriver, board: Board, caller: Caller, me: str):
         self.settings, self.consensus, self.board, self.caller, self.me = settings, consensus, board, caller, me
-        self.tenure: ConductorLeases | None = None
+        self.conductor_leases: ConductorLeases | None = None
         self.turn_of_list = 0
         self.own_list: asyncio.Task | None = None
         self.own_list_at = float("-inf")
@@ -47,14 +47,14 @@
 
     def role(self, leads: bool) -> None:
         """This machine leads from now on, or does no more."""
-        self.tenure = ConductorLeases(clock()) if leads else None
+        self.conductor_leases = ConductorLeases(clock()) if leads else None
 
     @property
     def proven(self) -> bool:
         """Whether no other can lead now: a majority answered this leader a moment ago."""
         machine = self.consensus.machine
         return (
-            self.tenure is not None
+            self.conductor_leases is not None
             and machine.role == "leader"
             and machine.is_commit_current
             and clock() - machine.majority_acked_at < LEADERSHIP_PROOF_S
@@ -66,7 +66,7 @@
             return None
         machine = self.consensus.machine
         return {
-            "lease": self.tenure.renew(clock(), conductor),
+            "lease": self.conductor_leases.renew(clock(), conductor),
             "commit": machine.commit,
             "last": machine.log.last,
             "term": machine.term,
@@ -75,8 +75,8 @@
 
     def leave(self, conductor: str) -> None:
         """A conductor said that it acts no more."""
-        if self.tenure is not None:
-            self.tenure.on_left(clock(), conductor)
+        if self.conductor_leases is not None:
+            self.conductor_leases.on_left(clock(), conductor)
 
     # --- slices without a conductor ---------------------------------------------------------------
 
@@ -87,48 +87,48 @@
             if not self.proven or self.consensus.machine.applied < self.consensus.machine.commit:
                 continue
             self.lease(self.me)
-            tenure = self.tenure
+            conductor_leases = self.conductor_leases
             for service in list(self.consensus.state.ledger.slices):
-                await self.mind(tenure, service)
+                await self.mind(conductor_leases, service)
 
-    def holds(self, tenure: ConductorLeases) -> bool:
+    def holds(self, conductor_leases: ConductorLeases) -> bool:
         """Whether what `tenure` says still counts: this machine has led ever since, and is proven."""
-        return self.tenure is tenure and self.proven
+        return self.conductor_leases is conductor_leases and self.proven
 
-    async def mind(self, tenure: ConductorLeases, service: str) -> None:
+    async def mind(self, conductor_leases: ConductorLeases, service: str) -> None:
         """One look at a service's leases. Each proposal waits for its commit; meanwhile leadership may be lost, also
         won anew, and a conductor that seemed gone may be given a lease: all is asked again before the next."""
         slices = self.consensus.state.ledger.slices.get(service)
-        if not self.holds(tenure) or slices is None:
+        if not self.holds(conductor_leases) or slices is None:
             return
         now = clock()
         leased = [s.conductor for s in slices]
-        tenure.end_replaced(now, leased, self.consensus.machine.members)
-        for conductor, found in reassign(tenure, now, leased).items():
+        conductor_leases.end_replaced(now, leased, self.consensus.machine.members)
+        for conductor, found in reassign(conductor_leases, now, leased).items():
             log_info("slices leased", service=service, to=conductor, runs=found)
             for before, runs in by_conductor(leased, found).items():
-                if not await self.take_from(tenure, service, before, conductor, runs):
+                if not await self.take_from(conductor_leases, service, before, conductor, runs):
                     return
         slices = self.consensus.state.ledger.slices.get(service, ())
-        if self.holds(tenure) and (hand := hand_over(tenure, clock(), slices)):
+        if self.holds(conductor_leases) and (hand := hand_over(conductor_leases, clock(), slices)):
             log_info("slices handed over", service=service, by=hand[0], to=hand[1], runs=hand[2])
-            tenure.note_hand_over(clock())
+            conductor_leases.note_hand_over(clock())
             await self.give(service, *hand)
 
     async def take_from(
-        self, tenure: ConductorLeases, service: str, before: str, to: str, runs: list[list[int]]
+        self, conductor_leases: ConductorLeases, service: str, before: str, to: str, runs: list[list[int]]
     ) -> bool:
         """Lease what `before` leased to `to`, if by now the one surely may not act and the other may; says whether."""
         now = clock()
-        gone = not before or not tenure.is_alive(now, before) and tenure.has_ended(now, before)
-        if not self.holds(tenure) or not gone or not tenure.is_alive(now, to):
+        gone = not before or not conductor_leases.is_alive(now, before) and conductor_leases.has_ended(now, before)
+        if not self.holds(conductor_leases) or not gone or not conductor_leases.is_alive(now, to):
             return False
         return await self.give(service, before, to, runs)
 
     async def give(self, service: str, before: str, to: str, runs: list[list[int]]) -> bool:
         """Have it agreed on that slices which `before` leased are leased by `to`; whether it was."""
-        tenure = self.tenure
-        if tenure is None:
+        conductor_leases = self.conductor_leases
+        if conductor_leases is None:
             return False
         try:
             await self.consensus.propose(
@@ -136,7 +136,7 @@
                     "do": "lease",
                     "from": before,
                     "to": to,
-                    "early": tenure.has_recent_hand_over(clock()),
+                    "early": conductor_leases.has_recent_hand_over(clock()),
                     "slices": {service: runs},
                 }
             )
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -54,7 +54,7 @@
     ):
         self.me, self.consensus, self.board, self.loads, self.caller = me, consensus, board, loads, caller
         self.pace, self.propose = pace, propose
-        self.keeper = GrantManager(me, pace, seed, clock())
+        self.grant_manager = GrantManager(me, pace, seed, clock())
         self.peers_reach = PeerReachability()
         self.placer = Placer(me, seed, zone)
         self.timer: asyncio.TimerHandle | None = None
@@ -66,25 +66,25 @@
 
     def leased(self, until: float, index: int) -> None:
         """A lease until then, given when the leader's log went to `index`."""
-        self.keeper.on_lease_proven(clock(), until, index)
+        self.grant_manager.on_lease_proven(clock(), until, index)
         self.carry_out()
 
     def look(self, whole: bool = False) -> None:
         """The agreed ledger took an entry, or stands anew."""
         ledger = self.consensus.state.ledger
-        self.keeper.on_ledger(clock(), ledger, None if whole else ledger.changed)
+        self.grant_manager.on_ledger(clock(), ledger, None if whole else ledger.changed)
         self.carry_out()
 
     def listed(self) -> None:
         """The platform's list is another."""
-        self.keeper.on_nodes_listed(clock(), self.board.nodes)
+        self.grant_manager.on_nodes_listed(clock(), self.board.nodes)
         listed = {node.address for node in self.board.nodes.values()}
         self.lanes = {key: lane for key, lane in self.lanes.items() if key[0] in listed}
         self.carry_out()
 
     def tick(self) -> None:
         """Let the keeper see the time."""
-        self.keeper.tick(clock())
+        self.grant_manager.tick(clock())
         self.carry_out()
 
     def stop(self) -> None:
@@ -97,14 +97,14 @@
         """Log what the keeper found, make its calls, and see when to call it next."""
         if self.stopped:
             return
-        keeper = self.keeper
-        events, keeper.events = keeper.events, []
+        grant_manager = self.grant_manager
+        events, grant_manager.events = grant_manager.events, []
         for event in events:
             log_event(event)
             if isinstance(event, HolderCleared):
                 self.cleared[event.evidence] += event.slices
-        while keeper.actions:
-            orders, keeper.actions = keeper.actions, []
+        while grant_manager.actions:
+            orders, grant_manager.actions = grant_manager.actions, []
             for order in orders:
                 match order:
                     case Grant():
@@ -115,7 +115,9 @@
                         self._spawn(self.propose(order.command))
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(max(0.005, min(0.5, keeper.wake_at - clock())), self.tick)
+        self.timer = asyncio.get_running_loop().call_later(
+            max(0.005, min(0.5, grant_manager.wake_at - clock())), self.tick
+        )
 
     def _spawn(self, work: Awaitable) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -152,14 +154,14 @@
             pass
         else:
             try:
-                until = order.expires if isinstance(order, Grant) else self.keeper.lease_until
+                until = order.expires if isinstance(order, Grant) else self.grant_manager.lease_until
                 if not self.stopped and clock() < until:  # its turn may have come late
                     status, handover = await self._sent(order, step, body)
             finally:
                 lane.release()
         self.calls[step, str(status or "silent")] += 1
         if not self.stopped:
-            self.keeper.on_call_ended(clock(), order, status, handover)
+            self.grant_manager.on_call_ended(clock(), order, status, handover)
             self.carry_out()
 
     async def _sent(self, order: Grant | Release, step: str, body: dict) -> tuple[int | str | None, str | None]:
@@ -182,7 +184,7 @@
         while not self.stopped:
             await asyncio.sleep(STEP)
             now = clock()
-            if now >= self.keeper.lease_until or not self.board.nodes:
+            if now >= self.grant_manager.lease_until or not self.board.nodes:
                 continue
             try:
                 moves = self.moves(now)
@@ -196,8 +198,8 @@
     def moves(self, now: float) -> list[dict]:
         """What the placer wants moved, if there is anything new to look at."""
         ledger = self.consensus.state.ledger
-        unreachable = {id for id in self.board.nodes if self.keeper.is_unreachable(id)}
-        lapsed = self.keeper.lapsed_slices(now)
+        unreachable = {id for id in self.board.nodes if self.grant_manager.is_unreachable(id)}
+        lapsed = self.grant_manager.lapsed_slices(now)
         avoided = frozenset(self.peers_reach.since(now))
         news = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.ailing
         if not self.placer.due(now, news):
@@ -206,7 +208,7 @@
 
     def unreached(self, now: float) -> UnreachedNodes | None:
         """What to tell the other cores of nodes that this one does not reach; None where it reaches all."""
-        nodes = self.keeper.unreached(now)
+        nodes = self.grant_manager.unreached(now)
         return UnreachedNodes(self.me, nodes) if nodes else None
 
     def report(
--- a/knotwalk/discovery/reachability.py
+++ b/knotwalk/discovery/reachability.py
@@ -2,7 +2,7 @@
 
 Each core finds out by its own calls to nodes. Once a second, with the loads that it passes on anyway, it tells the
 others which nodes did not answer it, and for how long. A node that another core does not reach is given no more keys
-while there are others; it keeps those that it has, and no holder is cleared by it (`leases.slice_tenure`).
+while there are others; it keeps those that it has, and no holder is cleared by it (`leases.slice_lease`).
 
 Pure: `now` is a steady clock's, in seconds.
 """
--- a/tests/simulation/crash_gap.py
+++ b/tests/simulation/crash_gap.py
@@ -48,7 +48,7 @@
     node = world.nodes[name]
     node.process.kill()
     world.wire.dark.add(node.process.host)
-    world.owners.died(name)
+    world.owners.on_node_died(name)
     world.loop.world.soon(lambda: world.nodes.pop(name), wait=LISTED)
     return name
 
--- a/tests/simulation/mistakes.py
+++ b/tests/simulation/mistakes.py
@@ -238,13 +238,15 @@
     return OPENED(store, data_dir, True, *rest)
 
 
-def _refused_is_gone(keeper: GrantManager, now: float, order: Any, status: Any, handover: str | None = None) -> None:
+def _refused_is_gone(
+    grant_manager: GrantManager, now: float, order: Any, status: Any, handover: str | None = None
+) -> None:
     """Takes a refused connection for the end of the node (incident inc1)."""
-    ANSWERED(keeper, now, order, status, handover)
+    ANSWERED(grant_manager, now, order, status, handover)
     if status == REFUSED:
-        for tenure in keeper.slice_leases.values():
-            if order.node in tenure.holders:
-                tenure.holders[order.node].held_until = now
+        for slice_lease in grant_manager.slice_leases.values():
+            if order.node in slice_lease.holders:
+                slice_lease.holders[order.node].held_until = now
 
 
 def _one(point: int, room: Any, name: str, made: Any, seed: int = 0) -> Mistake:
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -226,7 +226,7 @@
         """A node dies."""
         node = self.nodes.pop(name)
         node.process.kill()
-        self.owners.died(name)
+        self.owners.on_node_died(name)
 
     async def _listed(self, request: Any) -> Any:
         instances = {
@@ -283,7 +283,7 @@
             self.seen[k] = asked["fence"]
             until = at + seconds(asked["hold"]) / self.process.rate
             self.held[k] = max(until, self.held.get(k, until)) if self.keeps_longest else until
-            self.world.owners.begins(at, self.name, k, self.held[k])
+            self.world.owners.on_hold_started(at, self.name, k, self.held[k])
         return SimpleNamespace(status=200, headers={}, body=b"{}")
 
     async def release(self, request: Any) -> Any:
@@ -293,5 +293,5 @@
                 continue
             self.seen[k] = asked["fence"]
             if self.held.pop(k, 0) > at:
-                self.world.owners.ends(self.name, k)
+                self.world.owners.on_hold_ended(self.name, k)
         return SimpleNamespace(status=200, headers={"Handover": f"h-{self.name}"}, body=b"{}")
--- a/tests/system/cluster.py
+++ b/tests/system/cluster.py
@@ -1,6 +1,8 @@
-"""A cluster of machines in memory under one seed: links, disks, clocks and stops that misbehave, and a checker.
+"""A simulated cluster of Raft machines under one seed, with faults of links, disks, clocks and processes, and a
+checker.
 
-The checker reads only what machines order and what their disks hold; it shares no rule with the code it judges.
+The checker reads only the actions that machines return and what their disks hold. It shares no rule with the code under
+test.
 """
 
 import hashlib
@@ -25,24 +27,24 @@
 )
 
 
-class Violation(AssertionError):
-    """What must never happen has."""
+class ViolationError(AssertionError):
+    """An invariant is broken."""
 
 
-def chain(digest: str, entry: Entry) -> str:
-    """The digest of a sequence of entries, one further."""
+def chain_digest(digest: str, entry: Entry) -> str:
+    """Extend the digest of a sequence of entries by one entry."""
     line = json.dumps([digest, entry.index, entry.term, entry.kind, entry.body], sort_keys=True)
     return hashlib.sha256(line.encode()).hexdigest()[:16]
 
 
 @dataclass
 class Disk:
-    """What is durable under one id."""
+    """The durable state of one id."""
 
     saved: StoredState
 
     def write(self, save: Save) -> None:
-        """Take a save in whole."""
+        """Store a save as a whole."""
         saved = self.saved
         entries = [one for one in saved.entries if save.cut_from is None or one.index < save.cut_from]
         entries += save.entries
@@ -53,25 +55,25 @@
         saved.term, saved.vote, saved.commit = save.term, save.vote, save.commit
         numbers = [one.index for one in saved.entries]
         if numbers != list(range(saved.snapshot_index + 1, saved.snapshot_index + 1 + len(numbers))):
-            raise Violation(f"{saved.me} wrote {numbers} after {saved.snapshot_index}")
+            raise ViolationError(f"{saved.me} wrote {numbers} after {saved.snapshot_index}")
 
     def read(self) -> StoredState:
-        """A copy for a new life."""
+        """A copy for a new incarnation."""
         return replace(self.saved, members=dict(self.saved.members), entries=list(self.saved.entries))
 
 
 @dataclass
 class Node:
-    """A place where a machine runs: an address, a disk, a clock of its own, an application."""
+    """An address at which a machine runs, with its disk, its own clock and an application."""
 
     address: str
     offset: float
     disk: Disk
     machine: Machine | None = None
-    life: int = 0
-    lives: int = 0
+    incarnation: int = 0
+    incarnations: int = 0
     frozen: float = 0.0
-    slow: float = 0.0  # seconds a write takes at most, beyond 1 ms
+    slow: float = 0.0  # longest additional time of a write in seconds, beyond 1 ms
     hangs: bool = False
     writing: Save | None = None
     due: float = -1.0
@@ -81,56 +83,56 @@
 
 
 class Checker:
-    """What must hold over all machines at all times."""
+    """Checks the invariants over all machines."""
 
-    def __init__(self, promises: bool = True) -> None:
-        self.promises = promises
+    def __init__(self, checks_promises: bool = True) -> None:
+        self.checks_promises = checks_promises
         self.leaders: dict[int, str] = {}
         self.entries: dict[int, Entry] = {}
         self.digests: dict[int, str] = {0: ""}
-        self.told = 0  # highest index told committed
-        self.dead: set[str] = set()
+        self.reported_index = 0  # highest index reported as committed
+        self.wiped_ids: set[str] = set()
 
-    def leads(self, machine: Machine) -> None:
-        """A machine leads: the only one of its term, with all that is committed."""
+    def check_leader(self, machine: Machine) -> None:
+        """A machine leads: it must be the only one of its term, and have everything committed."""
         if self.leaders.setdefault(machine.term, machine.me) != machine.me:
-            raise Violation(f"two leaders in term {machine.term}")
+            raise ViolationError(f"two leaders in term {machine.term}")
         for index, entry in self.entries.items():
             if index > machine.log.base and (index > machine.log.last or machine.log.entry_at(index) != entry):
-                raise Violation(f"{machine.me} leads term {machine.term} without entry {index}")
+                raise ViolationError(f"{machine.me} leads term {machine.term} without entry {index}")
 
-    def applies(self, node: Node, entry: Entry) -> None:
-        """A machine takes an entry as committed."""
+    def check_apply(self, node: Node, entry: Entry) -> None:
+        """A machine applies an entry as committed."""
         if entry.index != node.applied + 1:
-            raise Violation(f"{node.address} applies {entry.index} after {node.applied}")
+            raise ViolationError(f"{node.address} applies {entry.index} after {node.applied}")
         if self.entries.setdefault(entry.index, entry) != entry:
-            raise Violation(f"{node.address}: entry {entry.index} is {entry}, was {self.entries[entry.index]}")
-        node.applied, node.digest = entry.index, chain(node.digest, entry)
+            raise ViolationError(f"{node.address}: entry {entry.index} is {entry}, was {self.entries[entry.index]}")
+        node.applied, node.digest = entry.index, chain_digest(node.digest, entry)
         if self.digests.setdefault(entry.index, node.digest) != node.digest:
-            raise Violation(f"{node.address} came another way to {entry.index}")
+            raise ViolationError(f"{node.address} came another way to {entry.index}")
 
-    def loads(self, node: Node, state: dict | None, index: int) -> None:
-        """A machine takes a snapshot for its state."""
+    def check_restore(self, node: Node, state: dict | None, index: int) -> None:
+        """A machine replaces its state by a snapshot."""
         if index and (state is None or self.digests.get(index) != state["digest"]):
-            raise Violation(f"{node.address} loads another state as of {index}")
+            raise ViolationError(f"{node.address} loads another state as of {index}")
         node.applied, node.digest = index, state["digest"] if state else ""
 
-    def sends(self, node: Node, message: dict) -> None:
-        """A machine speaks: what it promises is on its disk."""
-        if message["from"] in self.dead and message["type"] in ("voted", "appended"):
-            raise Violation(f"{message['from']} was wiped and says {message['type']}")
-        if not self.promises:
+    def check_send(self, node: Node, message: dict) -> None:
+        """A machine sends a message: what it promises must be on its disk."""
+        if message["from"] in self.wiped_ids and message["type"] in ("voted", "appended"):
+            raise ViolationError(f"{message['from']} was wiped and says {message['type']}")
+        if not self.checks_promises:
             return
         saved = node.disk.saved
         if message["type"] == "voted" and message["granted"]:
             if saved.term < message["term"] or saved.term == message["term"] and saved.vote != message["to"]:
-                raise Violation(f"{saved.me} votes before its disk holds it")
+                raise ViolationError(f"{saved.me} votes before its disk holds it")
         if message["type"] == "appended" and message["ok"]:
             if saved.term < message["term"] or saved.snapshot_index + len(saved.entries) < message["match"]:
-                raise Violation(f"{saved.me} acks {message['match']} before its disk holds it")
+                raise ViolationError(f"{saved.me} acks {message['match']} before its disk holds it")
 
-    def leases(self, nodes: list[Node], now: float, length: float) -> None:
-        """No two machines hold a proof of leadership at a time."""
+    def check_leases(self, nodes: list[Node], now: float, length: float) -> None:
+        """No two machines may have a proof of leadership at the same time."""
         holders = [
             node.address
             for node in nodes
@@ -139,53 +141,53 @@
             and now + node.offset - node.machine.majority_acked_at < length
         ]
         if len(holders) > 1:
-            raise Violation(f"{holders} both hold a lease")
+            raise ViolationError(f"{holders} both hold a lease")
 
 
 class Cluster:
-    """Machines under one seed, and time that only events move."""
+    """Machines under one seed; time advances only by events."""
 
     def __init__(
         self,
         seed: int,
         count: int = 3,
-        kind: type[Machine] = Machine,
-        pace: RaftSettings = RaftSettings(),
-        promises: bool = True,
+        machine_class: type[Machine] = Machine,
+        settings: RaftSettings = RaftSettings(),
+        checks_promises: bool = True,
         keeps_id: bool = False,
     ) -> None:
         self.random = random.Random(f"cluster {seed}")
-        self.seed, self.kind, self.pace, self.keeps_id = seed, kind, pace, keeps_id
+        self.seed, self.machine_class, self.settings, self.keeps_id = seed, machine_class, settings, keeps_id
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.serial = 0
-        self.checker = Checker(promises)
-        self.loss = self.double = 0.0
-        self.late = 0.001  # seconds by which delays spread
+        self.event_number = 0
+        self.checker = Checker(checks_promises)
+        self.loss = self.duplication = 0.0
+        self.jitter_s = 0.001  # range of random message delays in seconds
         self.cuts: set[tuple[str, str]] = set()
         self.answers: dict[Any, Answer] = {}
-        self.asked: dict[Any, int] = {}
+        self.tickets: dict[Any, int] = {}
         self.commands: dict[Any, dict] = {}
-        self.sent: dict[str, int] = {}
+        self.sent_counts: dict[str, int] = {}
         founders = {f"m{one}#founder": f"m{one}" for one in range(count)}
         self.founders = founders
         self.nodes: dict[str, Node] = {}
         for id, address in founders.items():
-            self._place(address, StoredState(id, members=dict(founders)))
+            self._add_node(address, StoredState(id, members=dict(founders)))
 
     # ---- events
 
-    def _later(self, wait: float, act: Callable[[], None]) -> None:
-        self.serial += 1
-        heapq.heappush(self.events, (self.now + wait, self.serial, act))
+    def _later(self, wait: float, callback: Callable[[], None]) -> None:
+        self.event_number += 1
+        heapq.heappush(self.events, (self.now + wait, self.event_number, callback))
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
-        """Let time pass; True once `until` holds."""
+        """Let time pass; return True as soon as `until` holds."""
         end = self.now + seconds
         while self.events and self.events[0][0] <= end:
-            self.now, _, act = heapq.heappop(self.events)
-            act()
-            self.checker.leases(list(self.nodes.values()), self.now, self.pace.election_timeout_min)
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
+            self.checker.check_leases(list(self.nodes.values()), self.now, self.settings.election_timeout_min)
             if until is not None and until():
                 return True
         self.now = end
@@ -193,39 +195,39 @@
 
     # ---- machines
 
-    def _place(self, address: str, saved: StoredState) -> Node:
+    def _add_node(self, address: str, saved: StoredState) -> Node:
         node = Node(address, self.random.uniform(0, 1000), Disk(saved))
         self.nodes[address] = node
         self.start(address)
         return node
 
     def start(self, address: str) -> None:
-        """Start the machine of a place from its disk."""
+        """Start the machine of a node from its disk."""
         node = self.nodes[address]
-        node.life, node.lives = node.lives + 1, node.lives + 1
+        node.incarnation, node.incarnations = node.incarnations + 1, node.incarnations + 1
         node.frozen, node.hangs = 0.0, False
         node.waiting.clear()
         saved = node.disk.read()
-        node.machine = self.kind(saved, self.pace, self.seed + node.lives, self.now + node.offset)
+        node.machine = self.machine_class(saved, self.settings, self.seed + node.incarnations, self.now + node.offset)
         node.machine.address = address
         node.machine.contacts = [one for one in self.nodes if one != address] + sorted(self.founders.values())
         node.due = -1.0
-        self.checker.loads(node, saved.snapshot, saved.snapshot_index)
-        self._carry(node)
+        self.checker.check_restore(node, saved.snapshot, saved.snapshot_index)
+        self._carry_out(node)
 
     def stop(self, address: str) -> None:
-        """Kill the machine: the save under way is lost, or just made it."""
+        """Kill the machine: the save being written is lost, or was just completed."""
         node = self.nodes[address]
         if node.writing is not None and self.random.random() < 0.3:
             node.disk.write(node.writing)
-        node.machine, node.writing, node.life = None, None, 0
+        node.machine, node.writing, node.incarnation = None, None, 0
 
     def wipe(self, address: str) -> None:
-        """Stop a machine and take its disk; it starts under a fresh id, unless `keeps_id`."""
+        """Stop a machine and empty its disk; it starts under a new id, unless `keeps_id`."""
         self.stop(address)
         node = self.nodes[address]
         old = node.disk.saved
-        self.checker.dead.add(old.me)
+        self.checker.wiped_ids.add(old.me)
         if self.keeps_id:
             node.disk = Disk(StoredState(old.me, members=dict(self.founders)))
         else:
@@ -233,101 +235,107 @@
         self.start(address)
 
     def add(self, address: str) -> None:
-        """A new place with an empty disk."""
-        self._place(address, StoredState(f"{address}#{self.random.randrange(1 << 32):08x}"))
+        """Add a node with an empty disk."""
+        self._add_node(address, StoredState(f"{address}#{self.random.randrange(1 << 32):08x}"))
 
     def freeze(self, address: str, seconds: float) -> None:
-        """The process does nothing for a while; then finds what came all at once."""
+        """The process does nothing for a while, and then finds all waiting messages at once."""
         node = self.nodes[address]
         node.frozen = self.now + seconds
-        life = node.life
+        incarnation = node.incarnation
 
         def thaw() -> None:
-            if node.machine is None or node.life != life or node.frozen > self.now:
+            if node.machine is None or node.incarnation != incarnation or node.frozen > self.now:
                 return
             waiting, node.waiting = node.waiting, []
             if self.random.random() < 0.5:
-                self._tick(node, life)
+                self._tick(node, incarnation)
             for message in waiting:
                 self._deliver(node.address, message)
-            self._tick(node, life)
+            self._tick(node, incarnation)
 
         self._later(seconds, thaw)
 
-    def _carry(self, node: Node) -> None:
+    def _carry_out(self, node: Node) -> None:
         machine = node.machine
         assert machine is not None
         while machine.actions:
-            orders, machine.actions = machine.actions, []
-            for order in orders:
-                self._order(node, machine, order)
+            actions, machine.actions = machine.actions, []
+            for action in actions:
+                self._perform(node, machine, action)
         if node.due < self.now or machine.wake_at + 1e-9 < node.due + node.offset:
-            life = node.life
+            incarnation = node.incarnation
             wait = max(machine.wake_at - node.offset - self.now, 0.0) + 1e-6
             node.due = self.now + wait
-            self._later(wait, lambda: self._tick(node, life))
+            self._later(wait, lambda: self._tick(node, incarnation))
 
-    def _tick(self, node: Node, life: int) -> None:
-        if node.life != life or node.machine is None or node.frozen > self.now:
+    def _tick(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation or node.machine is None or node.frozen > self.now:
             return
         node.due = -1.0
         node.machine.tick(self.now + node.offset)
-        self._carry(node)
+        self._carry_out(node)
 
-    def _order(self, node: Node, machine: Machine, order: Any) -> None:
-        if isinstance(order, Send):
-            self.checker.sends(node, order.message)
-            self._post(node.address, order.to_address, json.dumps(order.message))
-        elif isinstance(order, Save):
+    def _perform(self, node: Node, machine: Machine, action: Any) -> None:
+        if isinstance(action, Send):
+            self.checker.check_send(node, action.message)
+            self._post(node.address, action.to_address, json.dumps(action.message))
+        elif isinstance(action, Save):
             if node.writing is not None:
-                raise Violation("two saves at a time")
-            node.writing = order
+                raise ViolationError("two saves at a time")
+            node.writing = action
             if not node.hangs:
                 self._write(node)
-        elif isinstance(order, Apply):
-            self.checker.applies(node, order.entry)
-        elif isinstance(order, Restore):
-            self.checker.loads(node, order.state, order.index)
-        elif isinstance(order, RoleChange):
-            if order.role == "leader":
-                self.checker.leads(machine)
-        elif isinstance(order, Answer):
-            self._answered(order)
+        elif isinstance(action, Apply):
+            self.checker.check_apply(node, action.entry)
+        elif isinstance(action, Restore):
+            self.checker.check_restore(node, action.state, action.index)
+        elif isinstance(action, RoleChange):
+            if action.role == "leader":
+                self.checker.check_leader(machine)
+        elif isinstance(action, Answer):
+            self._on_answer(action)
 
     def _write(self, node: Node) -> None:
-        life, save = node.life, node.writing
-
-        def done() -> None:
-            if node.life != life or node.machine is None or save is None or node.writing is not save or node.hangs:
+        incarnation, save = node.incarnation, node.writing
+
+        def on_written() -> None:
+            if (
+                node.incarnation != incarnation
+                or node.machine is None
+                or save is None
+                or node.writing is not save
+                or node.hangs
+            ):
                 return
             if node.frozen > self.now:
-                self._later(node.frozen - self.now + 1e-4, done)
+                self._later(node.frozen - self.now + 1e-4, on_written)
                 return
             node.writing = None
             node.disk.write(save)
             node.machine.on_saved(self.now + node.offset, save.number)
-            self._carry(node)
+            self._carry_out(node)
 
-        self._later(0.001 + self.random.uniform(0, node.slow), done)
+        self._later(0.001 + self.random.uniform(0, node.slow), on_written)
 
     def hang(self, address: str, hangs: bool) -> None:
-        """The disk stops, and the machine is told; or works again."""
+        """The disk stops, and the machine learns of that; or it works again."""
         node = self.nodes[address]
         if node.hangs == hangs or node.machine is None:
             return
         node.hangs = hangs
         if hangs:
             node.machine.on_save_failed(self.now + node.offset)
-            self._carry(node)
+            self._carry_out(node)
         elif node.writing is not None:
             self._write(node)
 
     def _post(self, sender: str, address: str, text: str) -> None:
-        kind = json.loads(text)["type"]
-        self.sent[kind] = self.sent.get(kind, 0) + 1
-        for _ in range(2 if self.random.random() < self.double else 1):
+        message_type = json.loads(text)["type"]
+        self.sent_counts[message_type] = self.sent_counts.get(message_type, 0) + 1
+        for _ in range(2 if self.random.random() < self.duplication else 1):
             if self.random.random() >= self.loss and (sender, address) not in self.cuts:
-                wait = 0.0005 + self.random.uniform(0, self.late)
+                wait = 0.0005 + self.random.uniform(0, self.jitter_s)
                 self._later(wait, lambda: self._deliver(address, json.loads(text)))
 
     def _deliver(self, address: str, message: dict) -> None:
@@ -338,72 +346,75 @@
             node.waiting.append(message)
             return
         node.machine.receive(self.now + node.offset, message)
-        self._carry(node)
+        self._carry_out(node)
 
     # ---- clients
 
-    def _answered(self, answer: Answer) -> None:
+    def _on_answer(self, answer: Answer) -> None:
         if answer.ticket in self.answers:
-            raise Violation(f"{answer.ticket} answered twice")
+            raise ViolationError(f"{answer.ticket} answered twice")
         self.answers[answer.ticket] = answer
         checker = self.checker
         if answer.outcome == "committed":
             if checker.entries[answer.value].body != self.commands[answer.ticket]:
-                raise Violation(f"{answer.ticket} told committed as another's entry")
-            checker.told = max(checker.told, answer.value)
+                raise ViolationError(f"{answer.ticket} answered committed for another's entry")
+            checker.reported_index = max(checker.reported_index, answer.value)
         elif answer.outcome == "readable":
-            if answer.value < self.asked[answer.ticket]:
-                raise Violation(f"{answer.ticket} reads {answer.value}, {self.asked[answer.ticket]} was told before")
-            checker.told = max(checker.told, answer.value)  # what was read once is never unread
+            if answer.value < self.tickets[answer.ticket]:
+                raise ViolationError(
+                    f"{answer.ticket} reads {answer.value}, {self.tickets[answer.ticket]} was reported before"
+                )
+            # what was read once must never be undone
+            checker.reported_index = max(checker.reported_index, answer.value)
 
     def propose(self, address: str, command: dict) -> int | None:
-        """Propose at one machine; the ticket."""
-        return self._ask(address, command)
+        """Propose a command at one machine; returns the ticket."""
+        return self._submit(address, command)
 
     def read(self, address: str) -> int | None:
-        """Read at one machine; the ticket."""
-        return self._ask(address, None)
+        """Read at one machine; returns the ticket."""
+        return self._submit(address, None)
 
-    def _ask(self, address: str, command: dict | None) -> int | None:
+    def _submit(self, address: str, command: dict | None) -> int | None:
         node = self.nodes[address]
         if node.machine is None or node.frozen > self.now:
             return None
-        ticket = len(self.asked)
-        self.asked[ticket] = self.checker.told
+        ticket = len(self.tickets)
+        self.tickets[ticket] = self.checker.reported_index
         if command is None:
             node.machine.read(self.now + node.offset, ticket)
         else:
             self.commands[ticket] = command
             node.machine.propose(self.now + node.offset, command, ticket)
-        self._carry(node)
+        self._carry_out(node)
         return ticket
 
     def compact(self, address: str) -> None:
-        """The application gives its snapshot."""
+        """The application compacts the log with its snapshot."""
         node = self.nodes[address]
         if node.machine is not None and node.applied:
             node.machine.compact(node.applied, {"digest": node.digest})
-            self._carry(node)
+            self._carry_out(node)
 
     def leave(self, address: str) -> None:
-        """SIGTERM."""
+        """The machine is asked to leave, as on SIGTERM."""
         node = self.nodes[address]
         if node.machine is not None:
             node.machine.leave(self.now + node.offset)
-            self._carry(node)
+            self._carry_out(node)
 
-    # ---- what tests look at
+    # ---- queries
 
     def leader(self) -> Node | None:
-        """The leader of the highest term among the running, if it has committed in its term."""
+        """The leader of the highest term among the running machines."""
         leaders = [node for node in self.nodes.values() if node.machine and node.machine.role == "leader"]
         leaders = [node for node in leaders if node.frozen <= self.now]
         return max(leaders, key=lambda node: node.machine.term if node.machine else 0, default=None)
 
     def heal(self) -> None:
-        """All links and disks well, all machines running."""
-        self.loss = self.double = 0.0
-        self.late = 0.001
+        """Repair all links and disks, and start all machines."""
+        self.loss = self.duplication = 0.0
+        self.jitter_s = 0.001
         self.cuts.clear()
         for node in self.nodes.values():
             node.slow = 0.0
@@ -411,8 +422,8 @@
             if node.machine is None:
                 self.start(node.address)
 
-    def settled(self) -> bool:
-        """One leader whose members are all running, with the same entries applied everywhere."""
+    def is_settled(self) -> bool:
+        """Whether there is one leader whose members are all running, with the same entries applied everywhere."""
         leader = self.leader()
         if leader is None or leader.machine is None:
             return False
@@ -425,11 +436,11 @@
             and all(homes[id].machine.role in ("leader", "follower") for id in machine.members)
         )
 
-    def spares(self) -> bool:
-        """Whether any one disk may be lost and a majority of the members is left."""
+    def can_lose_a_disk(self) -> bool:
+        """Whether a majority of the members remains if any one disk is lost."""
         leader = self.leader()
         return (
-            self.settled()
+            self.is_settled()
             and leader is not None
             and leader.machine is not None
             and len(leader.machine.members) > 2
@@ -437,45 +448,45 @@
         )
 
 
-def trouble(cluster: Cluster, steps: int, wipes: bool = True) -> None:
-    """Random misfortune, a step about every 0.1 s, with clients all along."""
-    chance = cluster.random
+def inject_faults(cluster: Cluster, steps: int, wipes: bool = True) -> None:
+    """Inject random faults, about one every 0.1 s, with clients active all the time."""
+    rng = cluster.random
     for step in range(steps):
-        address = chance.choice(sorted(cluster.nodes))
+        address = rng.choice(sorted(cluster.nodes))
         node = cluster.nodes[address]
-        what = chance.random()
-        if what < 0.06:
+        draw = rng.random()
+        if draw < 0.06:
             cluster.stop(address)
-        elif what < 0.20:
+        elif draw < 0.20:
             for one in cluster.nodes.values():
-                if one.machine is None and chance.random() < 0.7:
+                if one.machine is None and rng.random() < 0.7:
                     cluster.start(one.address)
-        elif what < 0.26:
-            other = chance.choice(sorted(cluster.nodes))
+        elif draw < 0.26:
+            other = rng.choice(sorted(cluster.nodes))
             cluster.cuts.add((address, other))
-            if chance.random() < 0.5:
+            if rng.random() < 0.5:
                 cluster.cuts.add((other, address))
-        elif what < 0.36:
+        elif draw < 0.36:
             cluster.cuts.clear()
-        elif what < 0.40:
-            cluster.freeze(address, chance.choice((0.1, 0.5, 2.0)))
-        elif what < 0.45:
-            node.slow = chance.choice((0.0, 0.01, 0.3))
-        elif what < 0.49:
+        elif draw < 0.40:
+            cluster.freeze(address, rng.choice((0.1, 0.5, 2.0)))
+        elif draw < 0.45:
+            node.slow = rng.choice((0.0, 0.01, 0.3))
+        elif draw < 0.49:
             cluster.hang(address, not node.hangs)
-        elif what < 0.53:
-            cluster.loss, cluster.double = chance.choice(((0.0, 0.0), (0.05, 0.05), (0.2, 0.1)))
-            cluster.late = chance.choice((0.001, 0.02, 0.2))
-        elif what < 0.60:
+        elif draw < 0.53:
+            cluster.loss, cluster.duplication = rng.choice(((0.0, 0.0), (0.05, 0.05), (0.2, 0.1)))
+            cluster.jitter_s = rng.choice((0.001, 0.02, 0.2))
+        elif draw < 0.60:
             cluster.compact(address)
-        elif what < 0.62 and wipes and cluster.spares():
+        elif draw < 0.62 and wipes and cluster.can_lose_a_disk():
             cluster.wipe(address)
-        for _ in range(chance.choice((0, 1, 5))):
-            cluster.propose(address, {"n": len(cluster.asked)})
+        for _ in range(rng.choice((0, 1, 5))):
+            cluster.propose(address, {"n": len(cluster.tickets)})
         leader = cluster.leader()
         if leader is not None:
-            for _ in range(chance.choice((0, 1, 5))):
-                cluster.propose(leader.address, {"n": len(cluster.asked)})
+            for _ in range(rng.choice((0, 1, 5))):
+                cluster.propose(leader.address, {"n": len(cluster.tickets)})
             cluster.read(leader.address)
         cluster.read(address)
-        cluster.run(chance.choice((0.002, 0.05, 0.3)))
+        cluster.run(rng.choice((0.002, 0.05, 0.3)))
--- a/tests/system/model.py
+++ b/tests/system/model.py
@@ -1,13 +1,14 @@
-"""Small models checked whole: every state that two bounded worlds can come to, breadth first.
+"""Exhaustive checks of two small bounded models: every reachable state, breadth first.
 
-The machines, keepers and ledgers are the real ones, not a second text. A world's state is a tuple of small values; what
-one machine does next depends on its own state and the event alone, so each such step is run once and remembered, and
-walking a world is looking steps up. Two states are one where what is left out of their keys cannot tell them apart.
+The state machines, grant managers and ledgers are the real ones. A world's state is a tuple of small values. What one
+machine does next depends only on its own state and the event, so each such step is run once and its result is stored;
+exploring a world means looking steps up. Two states count as equal if what their keys leave out can't tell them apart.
 
-`Agreement`: machines whose messages stay on the wire for ever once sent, so that loss, repetition and any order are
-all in; a timer fires whenever the walk likes; a save is kept, or not, before a crash. Pre-vote rounds go at once.
-`Keys`: two conductors, two nodes, two slices; steps of one second; a conductor that is not stepped is frozen, one that
-does not read lags; calls arrive, are answered or given up in any order that the time-outs allow.
+`Agreement`: Raft machines. A message stays on the wire forever once it is sent, so that loss, repetition and any order
+are covered. Timers may fire at any time. A save is completed, or not, before a crash. Pre-vote rounds complete at once.
+
+`Keys`: two conductors, two nodes, two slices, in steps of one second. A conductor that is not stepped is frozen, and
+one that does not read the log lags. Calls arrive, are answered or given up in any order that the timeouts allow.
 """
 
 import json
@@ -27,62 +28,64 @@
 from knotwalk.leases.slice_lease import Holder
 from tests.system.cluster import Disk
 
-Step = tuple[str, Any, list[str]]  # what was done, the state after, what is broken by it
+Step = tuple[str, Any, list[str]]  # description, resulting state, violations
 
 
 @dataclass
-class Found:
-    """What a walk found: `trace` is the way to the first broken state."""
+class Exploration:
+    """The result of an exploration: `trace` is the path to the first state with a violation."""
 
     states: int = 0
     depth: int = 0
-    whole: bool = False  # no state is left within the world's bounds
-    broken: list[str] = field(default_factory=list)
+    is_complete: bool = False  # no unexplored state is left within the world's bounds
+    violations: list[str] = field(default_factory=list)
     trace: list[str] = field(default_factory=list)
 
 
-def explore(start: Any, follow: Callable[[Any], Iterator[Step]], depth: int, most: int = 10_000_000) -> Found:
-    """All states within `depth` steps of `start`, or until one is broken or there are `most`."""
-    came: dict[Any, tuple[Any, str] | None] = {start: None}
-    edge, found = [start], Found(1)
-    while edge and found.depth < depth:
+def explore(
+    start: Any, follow: Callable[[Any], Iterator[Step]], depth: int, max_states: int = 10_000_000
+) -> Exploration:
+    """Explore all states within `depth` steps of `start`, until one has a violation or there are `max_states`."""
+    predecessors: dict[Any, tuple[Any, str] | None] = {start: None}
+    frontier, found = [start], Exploration(1)
+    while frontier and found.depth < depth:
         found.depth += 1
         following = []
-        for state in edge:
-            for done, after, broken in follow(state):
-                if after in came and not broken:
+        for state in frontier:
+            for done, after, violations in follow(state):
+                if after in predecessors and not violations:
                     continue
-                if broken:
-                    found.broken, found.trace, found.states = broken, [done], len(came)
-                    back = came[state]
-                    while back is not None:
-                        found.trace.insert(0, back[1])
-                        back = came[back[0]]
+                if violations:
+                    found.violations, found.trace, found.states = violations, [done], len(predecessors)
+                    step = predecessors[state]
+                    while step is not None:
+                        found.trace.insert(0, step[1])
+                        step = predecessors[step[0]]
                     return found
-                came[after] = (state, done)
+                predecessors[after] = (state, done)
                 following.append(after)
-            if len(came) >= most:
-                found.states = len(came)
+            if len(predecessors) >= max_states:
+                found.states = len(predecessors)
                 return found
-        edge = following
-    found.states, found.whole = len(came), not edge
+        frontier = following
+    found.states, found.is_complete = len(predecessors), not frontier
     return found
 
 
 def walk(world: Any, seed: int, steps: int) -> Any:
-    """The state after so many steps by chance; AssertionError where one breaks something."""
-    state, chance = world.start, random.Random(seed)
+    """The state after a number of random steps; AssertionError if one causes a violation."""
+    state, rng = world.start, random.Random(seed)
     for _ in range(steps):
         following = list(world.follow(state))
         if not following:
             break
-        done, state, broken = chance.choice(following)
-        assert not broken, (seed, done, broken)
+        done, state, violations = rng.choice(following)
+        assert not violations, (seed, done, violations)
     return state
 
 
-class Still:
-    """Chance that has none: timers are the walk's."""
+class ConstantRandom:
+    """A random number generator without randomness: the exploration decides when timers fire."""
 
     def uniform(self, low: float, _high: float) -> float:
         return low
@@ -91,36 +94,36 @@
         return 0.0
 
 
-def _hold(order: Grant | Release) -> float:
-    """Seconds of a grant's hold; 0 for a release."""
-    return order.hold if isinstance(order, Grant) else 0.0
+def _hold(action: Grant | Release) -> float:
+    """The duration of a grant's hold in seconds; 0 for a release."""
+    return action.hold if isinstance(action, Grant) else 0.0
 
 
-class Locals:
-    """States of single machines, each kept once, and the steps between them."""
+class StateStore:
+    """States of single machines, each stored once, and the steps between them."""
 
     def __init__(self) -> None:
         self.ids: dict[str, int] = {}
-        self.kept: list[bytes] = []
+        self.pickles: list[bytes] = []
         self.facts: list[Any] = []
         self.steps: dict[tuple, tuple] = {}
 
     def put(self, key: str, one: Any, facts: Any) -> int:
-        """The number of a state; `facts` are what the walk asks of it."""
-        number = self.ids.setdefault(key, len(self.kept))
-        if number == len(self.kept):
-            self.kept.append(pickle.dumps(one, -1))
+        """The number of a state; `facts` are what the exploration needs to know about it."""
+        number = self.ids.setdefault(key, len(self.pickles))
+        if number == len(self.pickles):
+            self.pickles.append(pickle.dumps(one, -1))
             self.facts.append(facts)
         return number
 
     def get(self, number: int) -> Any:
-        """A copy of a state, to be changed."""
-        return pickle.loads(self.kept[number])
+        """A copy of a state, to be modified."""
+        return pickle.loads(self.pickles[number])
 
 
-# ---- agreement
+# ---- Raft
 
-# No lease ends by itself and nobody is sticky: safety of the log must not rest on time.
+# No lease ends by itself, and nobody waits for a leader heard recently: the safety of the log must not depend on time.
 WALK = RaftSettings(
     heartbeat_interval=1000.0,
     election_timeout_min=1e5,
@@ -154,12 +157,12 @@
     "_votes",
     "_leader_hint",
 }
-EPOCH = 0.001  # time moves only when a disk is wiped: what was answered before is told from what was after
+EPOCH = 0.001  # time advances only when a disk is wiped, to tell answers before it from answers after it
 
 
 @dataclass
 class Place:
-    """A machine, its disk, and the save under way."""
+    """A machine, its disk, and the save being written."""
 
     disk: Disk
     machine: Machine
@@ -168,48 +171,50 @@
 
 @dataclass
 class Agreement:
-    """`count` machines from their first start; `kind` may be a mistaken one, `keeps_id` a wiped disk that votes on."""
+    """`count` machines from their first start. `machine_class` may have a defect; with `keeps_id` a machine whose disk
+    was wiped keeps voting.
+    """
 
     count: int = 3
-    kind: type[Machine] = Machine
+    machine_class: type[Machine] = Machine
     keeps_id: bool = False
     terms: int = 2
     commands: int = 1
     crashes: int = 1
     wipes: int = 0
     beats: bool = True
-    stood: int = 2  # how many machines ever stand for election
-    newcomers: int = 0  # machines with empty disks at addresses of their own
-    leaves: int = 0  # how many get a SIGTERM, and come back if they crash
-    target_members: int = 3  # members wanted
+    max_candidates: int = 2  # how many machines may stand for election
+    newcomers: int = 0  # machines with empty disks at new addresses
+    leaves: int = 0  # how many are asked to leave; they come back if they crash
+    target_members: int = 3  # target number of members
 
     def __post_init__(self) -> None:
-        self.local = Locals()
+        self.states = StateStore()
         self.wire: dict[str, int] = {}
         self.messages: list[tuple[int, dict]] = []
         founders = {f"m{one}#founder": f"m{one}" for one in range(self.count)}
         self.founders = founders
         self.total = self.count + self.newcomers
-        self.homes = {f"m{one}": one for one in range(self.total)}
+        self.numbers_by_address = {f"m{one}": one for one in range(self.total)}
         disks = [Disk(StoredState(id, members=dict(founders))) for id in founders]
         disks += [Disk(StoredState(f"m{one}#new")) for one in range(self.count, self.total)]
-        places = [self._keep(self._born(disk, address, 0.0)) for disk, address in zip(disks, self.homes)]
+        places = [self._store(self._start(disk, address, 0.0)) for disk, address in zip(disks, self.numbers_by_address)]
         #              machines         wire  committed  leaders  commands, crashes, wipes, leaves
         self.start = (tuple(places), 0, (), (), 0, 0, 0, 0)
 
-    def _born(self, disk: Disk, address: str, now: float) -> Place:
-        machine = self.kind(disk.read(), replace(WALK, target_members=self.target_members), 0, now)
-        machine.random, machine.address = Still(), address  # type: ignore[assignment]
-        machine.contacts = sorted(self.homes)
+    def _start(self, disk: Disk, address: str, now: float) -> Place:
+        machine = self.machine_class(disk.read(), replace(WALK, target_members=self.target_members), 0, now)
+        machine.random, machine.address = ConstantRandom(), address  # type: ignore[assignment]
+        machine.contacts = sorted(self.numbers_by_address)
         return Place(disk, machine)
 
-    def _keep(self, place: Place) -> int:
-        m, done = place.machine, place.machine._saved_number
-        flight = m._pending_save and (
-            m._pending_save.number - done,
-            m._pending_save.last_index,
-            m._pending_save.term,
-            m._pending_save.vote,
+    def _store(self, place: Place) -> int:
+        machine, done = place.machine, place.machine._saved_number
+        flight = machine._pending_save and (
+            machine._pending_save.number - done,
+            machine._pending_save.last_index,
+            machine._pending_save.term,
+            machine._pending_save.vote,
         )
         save = place.writing and (
             place.writing.term,
@@ -219,130 +224,140 @@
             place.writing.snapshot,
         )
         held = list(
-            {repr((one[0] - done, *one[1:])): None for one in m._held_messages}
-        )  # said twice is on the wire once
+            {repr((one[0] - done, *one[1:])): None for one in machine._held_messages}
+        )  # a message sent twice is on the wire once
         key = repr(
             (
-                [one for one in sorted(vars(m).items()) if one[0] not in TIMERS],
-                m.log.base,
-                m.log.base_term,
-                m.log.entries,
-                m._save_number - done,
+                [one for one in sorted(vars(machine).items()) if one[0] not in TIMERS],
+                machine.log.base,
+                machine.log.base_term,
+                machine.log.entries,
+                machine._save_number - done,
                 flight,
                 held,
-                sorted(m._votes),
+                sorted(machine._votes),
                 place.disk.saved,
                 save,
             )
         )
-        return self.local.put(key, place, (m.role, m.term, place.writing is not None, m.commit, m.me))
+        return self.states.put(
+            key, place, (machine.role, machine.term, place.writing is not None, machine.commit, machine.me)
+        )
 
     def step(self, number: int, event: tuple, now: float) -> tuple[int, tuple[int, ...], tuple]:
-        """One machine takes one event: its state after, the messages it sends, and what it says of log and office."""
+        """Apply one event to one machine: its new state, the messages it sends, and its reports about log and
+        leadership.
+        """
         asked = (number, event, now)
-        known = self.local.steps.get(asked)
+        known = self.states.steps.get(asked)
         if known is None:
-            known = self.local.steps[asked] = self._step(self.local.get(number), event, now)
+            known = self.states.steps[asked] = self._step(self.states.get(number), event, now)
         return known  # type: ignore[return-value]
 
     def _step(self, place: Place, event: tuple, now: float) -> tuple[int, tuple[int, ...], tuple]:
-        m = place.machine
-        m._sticky_since, m._request_at, m._heartbeat_at, m._election_deadline = -1e9, 1e9, 1e9, now + 1.0
+        machine = place.machine
+        machine._sticky_since, machine._request_at, machine._heartbeat_at, machine._election_deadline = (
+            -1e9,
+            1e9,
+            1e9,
+            now + 1.0,
+        )
         match event:
             case ("receive", which):
-                m.receive(now, json.loads(json.dumps(self.messages[which][1])))
+                machine.receive(now, json.loads(json.dumps(self.messages[which][1])))
             case ("stand",):
-                m._election_deadline = now
-                m.tick(now)
+                machine._election_deadline = now
+                machine.tick(now)
             case ("beat",):
-                m._heartbeat_at = now
-                m.tick(now)
+                machine._heartbeat_at = now
+                machine.tick(now)
             case ("ask",):
-                m._request_at = now
-                m.tick(now)
+                machine._request_at = now
+                machine.tick(now)
             case ("leave",):
-                m.leave(now)
+                machine.leave(now)
             case ("propose", n):
-                m.propose(now, {"n": n}, n)
+                machine.propose(now, {"n": n}, n)
             case ("kept",):
                 save, place.writing = place.writing, None
                 assert save is not None
                 place.disk.write(save)
-                m.on_saved(now, save.number)
+                machine.on_saved(now, save.number)
             case ("crash", made):
                 if made and place.writing is not None:
                     place.disk.write(place.writing)
-                place = self._born(place.disk, m.address, now)
+                place = self._start(place.disk, machine.address, now)
             case ("wipe", life):
                 saved = (
-                    StoredState(m.me, members=dict(self.founders))
+                    StoredState(machine.me, members=dict(self.founders))
                     if self.keeps_id
-                    else StoredState(f"{m.address}#{life}")
+                    else StoredState(f"{machine.address}#{life}")
                 )
-                place = self._born(Disk(saved), m.address, now)
-        m, sent, said = place.machine, [], []
-        while m.actions:
-            orders, m.actions = m.actions, []
-            for order in orders:
-                if isinstance(order, Send):
-                    if order.to_address in self.homes:
-                        sent.append(self._message(order))
-                elif isinstance(order, Save):
+                place = self._start(Disk(saved), machine.address, now)
+        machine, sent, reports = place.machine, [], []
+        while machine.actions:
+            actions, machine.actions = machine.actions, []
+            for action in actions:
+                if isinstance(action, Send):
+                    if action.to_address in self.numbers_by_address:
+                        sent.append(self._intern_message(action))
+                elif isinstance(action, Save):
                     assert place.writing is None
-                    place.writing = order
-                elif isinstance(order, Apply):
-                    one = order.entry
-                    said.append(("apply", one.index, (one.term, one.kind, json.dumps(one.body)), m.term))
-                elif isinstance(order, RoleChange) and order.role == "leader":
-                    log = tuple((one.term, one.kind, json.dumps(one.body)) for one in m.log.entries)
-                    said.append(("lead", m.term, m.me, log))
-        return self._keep(place), tuple(sent), tuple(said)
-
-    def _message(self, order: Send) -> int:
-        text = json.dumps([order.to_address, order.message], sort_keys=True)
+                    place.writing = action
+                elif isinstance(action, Apply):
+                    one = action.entry
+                    reports.append(("apply", one.index, (one.term, one.kind, json.dumps(one.body)), machine.term))
+                elif isinstance(action, RoleChange) and action.role == "leader":
+                    log = tuple((one.term, one.kind, json.dumps(one.body)) for one in machine.log.entries)
+                    reports.append(("lead", machine.term, machine.me, log))
+        return self._store(place), tuple(sent), tuple(reports)
+
+    def _intern_message(self, action: Send) -> int:
+        text = json.dumps([action.to_address, action.message], sort_keys=True)
         number = self.wire.setdefault(text, len(self.messages))
         if number == len(self.messages):
-            self.messages.append((self.homes[order.to_address], order.message))
+            self.messages.append((self.numbers_by_address[action.to_address], action.message))
         return number
 
     def _after(self, state: tuple, changes: list[tuple[int, tuple]], done: str, counts: tuple[int, ...]) -> Step:
-        """The world after machines took steps; what they said is held against what others did."""
+        """The world after some machines took steps; what they report is compared with what others did."""
         places, wire, committed, leaders = list(state[0]), *state[1:4]
-        broken = []
-        for place, (number, sent, said) in changes:
+        violations = []
+        for place, (number, sent, reports) in changes:
             places[place] = number
             for one in sent:
                 if self.messages[one][1]["type"] not in ("prevote", "prevoted", "redirect"):
                     wire |= 1 << one
-            for what in said:
-                if what[0] == "apply":
-                    _, index, entry, term = what
+            for report in reports:
+                if report[0] == "apply":
+                    _, index, entry, term = report
                     if index > len(committed) + 1:
-                        broken.append(f"entry {index} is applied before {len(committed) + 1}")
+                        violations.append(f"entry {index} is applied before {len(committed) + 1}")
                     elif index == len(committed) + 1:
                         committed += ((entry, term),)
                     elif committed[index - 1][0] != entry:
-                        broken.append(f"entry {index} is {entry}, was committed as {committed[index - 1][0]}")
+                        violations.append(f"entry {index} is {entry}, was committed as {committed[index - 1][0]}")
                 else:
-                    _, term, id, log = what
+                    _, term, id, log = report
                     if any(t == term and other != id for t, other in leaders):
-                        broken.append(f"two leaders in term {term}")
+                        violations.append(f"two leaders in term {term}")
                     for index, (entry, by) in enumerate(committed):
                         if by < term and (index >= len(log) or log[index] != entry):
-                            broken.append(f"{id} leads term {term} without entry {index + 1}, which was committed")
+                            violations.append(f"{id} leads term {term} without entry {index + 1}, which was committed")
                     leaders = tuple(sorted({*leaders, (term, id)}))
-        return done, (tuple(places), wire, committed, leaders, *counts), broken
+        return done, (tuple(places), wire, committed, leaders, *counts), violations
 
     def follow(self, state: tuple) -> Iterator[Step]:
-        """Whatever may happen next."""
+        """Every step that may happen next."""
         places, wire, _, _, commands, crashes, wipes, leaves = state
-        now, counts, facts = wipes * EPOCH, state[4:], self.local.facts
+        now, counts, facts = wipes * EPOCH, state[4:], self.states.facts
         first = state == self.start
         for place, number in enumerate(places):
             role, term, writing, _, me = facts[number]
-            if role in ("follower", "candidate") and term < self.terms and place < self.stood:
+            if role in ("follower", "candidate") and term < self.terms and place < self.max_candidates:
                 for other in range(self.total):
-                    if other != place and not (first and (place, other) != (0, 1)):  # all alike at the start
+                    # the machines are equal at the start
+                    if other != place and not (first and (place, other) != (0, 1)):
                         step = self._stand(places, place, other, now)
                         if step is not None:
                             yield self._after(state, step, f"{me} stands, heard by m{other}", counts)
@@ -395,36 +410,36 @@
                 yield self._after(state, [(place, step)], f"m{place} gets {json.dumps(message)}", counts)
 
     def _stand(self, places: tuple, place: int, other: int, now: float) -> list[tuple[int, tuple]] | None:
-        """A pre-vote that one other answers at once; None where it would not have it."""
-        number, asked, said = self.step(places[place], ("stand",), now)
+        """A pre-vote that one other machine answers at once; None if that machine refuses."""
+        number, asked, reports = self.step(places[place], ("stand",), now)
         if not asked and number != places[place] and other == (place + 1) % self.total:
-            return [(place, (number, asked, said))]  # nobody else is a member
+            return [(place, (number, asked, reports))]  # there is no other member
         for which in asked:
             if self.messages[which][0] == other and self.messages[which][1]["type"] == "prevote":
                 heard = self.step(places[other], ("receive", which), now)
                 for answer in heard[1]:
                     if self.messages[answer][1].get("granted"):
                         begun = self.step(number, ("receive", answer), now)
-                        return [(place, (number, (), said)), (other, (heard[0], (), heard[2])), (place, begun)]
+                        return [(place, (number, (), reports)), (other, (heard[0], (), heard[2])), (place, begun)]
         return None
 
 
-# ---- keys
+# ---- leases of keys
 
-# A slack between the steps: at the very moment that it ends, a call may not both arrive and be held impossible.
+# The slack lies between the steps: at the moment when it ends, a call must not both arrive and count as unable to.
 KEYS = GrantTiming(hold=2.0, renew_interval=1.0, call_timeout=1.0, delivery_slack=1.5, release_timeout=1.0)
 NODES = {name: Node(name, "s", ("10.0.0.1", port), "z", 2) for port, name in enumerate(("n", "m"))}
-SLOWEST = 0.98  # a node's clock
+SLOWEST = 0.98  # rate of a node's clock
 
 
 @dataclass
-class Desk:
-    """A conductor: its keeper, the ledger as far as it has read, and its calls that wait for an answer."""
+class ConductorState:
+    """A conductor: its grant manager, the ledger as far as it has read the log, and its calls without a result."""
 
-    keeper: GrantManager
+    manager: GrantManager
     ledger: Ledger
-    read: int  # entries of the log
-    base: int = 0  # entries that a mistaken one does not count
+    read: int  # log entries read
+    base: int = 0  # entries that a defective conductor does not count
     calls: dict[int, Grant | Release] = field(default_factory=dict)
 
 
@@ -434,25 +449,26 @@
 
 @dataclass
 class Keys:
-    """Conductors `a` and `b`, nodes `n` and `m`; in the beginning `a` leases both slices and `n` owns them.
+    """Conductors `a` and `b`, nodes `n` and `m`; at the start `a` leases both slices and `n` owns them.
 
-    Bounds: seconds, entries of the log, moves that placement asks for, starts, changes of the leader."""
+    Bounds: seconds, log entries, moves by placement, starts, changes of leader.
+    """
 
-    kind: type[GrantManager] = GrantManager
-    counts_anew: bool = False  # a mistake: a conductor's ledger counts entries from the start of its life
-    grants_early: bool = False  # a mistake: a move is acted on when it is proposed
+    manager_class: type[GrantManager] = GrantManager
+    counts_anew: bool = False  # defect: a conductor's ledger counts entries from its own start
+    grants_early: bool = False  # defect: a move takes effect when it is proposed
     seconds: int = 6
     entries: int = 8
     moves: int = 1
     starts: int = 1
     leaders: int = 0
-    asks: str = "ab"  # who renews its lease after the beginning
+    asks: str = "ab"  # conductors that renew their lease after the start
     reassigns: int = 1
-    swift: bool = False  # calls take less than a second and none is lost, for a deeper walk
-    refuses: bool = False  # calls may be refused at connect, though the node lives
+    swift: bool = False  # calls take less than a second and none is lost, for a deeper exploration
+    refuses: bool = False  # calls may be refused although the node is running
 
     def __post_init__(self) -> None:
-        self.local = Locals()
+        self.states = StateStore()
         self.ledgers: dict[tuple, Ledger] = {}
         everything = {"s": [[0, 1]]}
         log = tuple(
@@ -464,12 +480,12 @@
                 {"do": "granted", "by": "a", "fence": 3, "slices": everything},
             )
         )
-        # Both conductors were away for long, and what was granted ended; now both have a lease again.
+        # Both conductors were away for long, and all grants have ended; now both have a lease again.
         nodes = ((0.0, 3), (0.0, 3)), ((0.0, 0), (0.0, 0))
-        tenure = ConductorLeases(-9.0)
+        lease_table = ConductorLeases(-9.0)
         for name in "ab":
-            tenure.renew(0.0, name)
-        begun = [self._begin(name, log, -9.0, 0.0)[0] for name in "ab"]
+            lease_table.renew(0.0, name)
+        begun = [self._start_conductor(name, log, -9.0, 0.0)[0] for name in "ab"]
         asked = [self.step(number, ("leased", 0.0, LEASE_S, len(log))) for number in begun]
         self.start = (
             0.0,
@@ -478,7 +494,7 @@
             nodes,
             asked[0][1] + asked[1][1],
             frozenset(),
-            (-9.0, tuple(sorted(tenure.ends_at.items()))),
+            (-9.0, tuple(sorted(lease_table.ends_at.items()))),
             (3, 3),
             0,
             0,
@@ -490,147 +506,160 @@
 
     def _ledger(self, log: tuple[str, ...]) -> Ledger:
         ledger = Ledger()
-        ledger.slices["s"] = [Slice(), Slice()]  # two in place of 512
+        ledger.slices["s"] = [Slice(), Slice()]  # two instead of 2,048
         for index, text in enumerate(log, 1):
             ledger.apply(index, json.loads(text))
         return ledger
 
-    def _begin(self, name: str, log: tuple[str, ...], born: float, now: float) -> tuple:
-        keeper = self.kind(name, KEYS, 0, born)
-        keeper._random = Still()  # type: ignore[assignment]
-        keeper.on_nodes_listed(born, NODES)
-        desk = Desk(keeper, self._ledger(log), len(log))
+    def _start_conductor(self, name: str, log: tuple[str, ...], born: float, now: float) -> tuple:
+        manager = self.manager_class(name, KEYS, 0, born)
+        manager._random = ConstantRandom()  # type: ignore[assignment]
+        manager.on_nodes_listed(born, NODES)
+        conductor = ConductorState(manager, self._ledger(log), len(log))
         if self.counts_anew and born == now:
-            desk.base, desk.ledger.index = len(log), 0
-        keeper.on_ledger(born, desk.ledger)
-        return self._close(desk, now)
+            conductor.base, conductor.ledger.index = len(log), 0
+        manager.on_ledger(born, conductor.ledger)
+        return self._finish_step(conductor, now)
 
     def step(self, number: int, event: tuple) -> tuple:
-        """One conductor takes one event: its state after, its calls and its proposals."""
+        """Apply one event to one conductor: its new state, its calls and its proposals."""
         asked = (number, event)
-        known = self.local.steps.get(asked)
+        known = self.states.steps.get(asked)
         if known is None:
-            known = self.local.steps[asked] = self._step(self.local.get(number), event)
+            known = self.states.steps[asked] = self._step(self.states.get(number), event)
         return known
 
-    def _step(self, desk: Desk, event: tuple) -> tuple:
-        keeper, now = desk.keeper, event[1]
+    def _step(self, conductor: ConductorState, event: tuple) -> tuple:
+        manager, now = conductor.manager, event[1]
         match event:
             case ("start", _, log):
-                return self._begin(keeper.me, log, now, now)
+                return self._start_conductor(manager.me, log, now, now)
             case ("read", _, entries):
                 for text in entries:
-                    desk.read += 1
-                    desk.ledger.apply(desk.read - desk.base, json.loads(text))
-                    keeper.on_ledger(now, desk.ledger, desk.ledger.changed)
+                    conductor.read += 1
+                    conductor.ledger.apply(conductor.read - conductor.base, json.loads(text))
+                    manager.on_ledger(now, conductor.ledger, conductor.ledger.changed)
             case ("early", _, text):
-                desk.ledger.apply(desk.read + 1, json.loads(text))
-                keeper.on_ledger(now, desk.ledger, desk.ledger.changed)
+                conductor.ledger.apply(conductor.read + 1, json.loads(text))
+                manager.on_ledger(now, conductor.ledger, conductor.ledger.changed)
             case ("leased", _, until, index):
-                keeper.on_lease_proven(now, until, index - desk.base)
+                manager.on_lease_proven(now, until, index - conductor.base)
             case ("answered", _, call, status):
-                order = desk.calls.pop(call)
-                keeper.on_call_ended(now, order, status, "h" if status == 200 and isinstance(order, Release) else None)
-        return self._close(desk, now)
-
-    def _close(self, desk: Desk, now: float) -> tuple:
-        keeper = desk.keeper
-        keeper.tick(now)
-        orders, keeper.actions = keeper.actions, []
+                action = conductor.calls.pop(call)
+                manager.on_call_ended(
+                    now, action, status, "h" if status == 200 and isinstance(action, Release) else None
+                )
+        return self._finish_step(conductor, now)
+
+    def _finish_step(self, conductor: ConductorState, now: float) -> tuple:
+        manager = conductor.manager
+        manager.tick(now)
+        actions, manager.actions = manager.actions, []
         calls, proposals = [], []
-        for order in orders:
-            if isinstance(order, Propose):
-                proposals.append(json.dumps(order.command))
+        for action in actions:
+            if isinstance(action, Propose):
+                proposals.append(json.dumps(action.command))
                 continue
-            number = next(n for n in range(99) if n not in desk.calls)
-            desk.calls[number] = order
-            kind = type(order).__name__
-            calls.append((now, keeper.me, number, kind, order.node, order.slices, order.fence, None, _hold(order)))
-        wake = keeper.wake_at
-        slices = tuple((x.conductor == keeper.me, x.owner, x.fence) for x in desk.ledger.slices["s"])
+            number = next(call_number for call_number in range(99) if call_number not in conductor.calls)
+            conductor.calls[number] = action
+            kind = type(action).__name__
+            calls.append((now, manager.me, number, kind, action.node, action.slices, action.fence, None, _hold(action)))
+        wake = manager.wake_at
+        slices = tuple((x.conductor == manager.me, x.owner, x.fence) for x in conductor.ledger.slices["s"])
         key = repr(
             (
-                self._key(keeper, now),
-                desk.read,
-                desk.base,
-                desk.ledger.slices,
-                [(n, type(o).__name__, o.node, o.slices, o.fence, _hold(o)) for n, o in sorted(desk.calls.items())],
+                self._key(manager, now),
+                conductor.read,
+                conductor.base,
+                conductor.ledger.slices,
+                [
+                    (call_number, type(call).__name__, call.node, call.slices, call.fence, _hold(call))
+                    for call_number, call in sorted(conductor.calls.items())
+                ],
                 now,
             )
         )
-        return self.local.put(key, desk, (keeper.me, wake, desk.read, slices)), tuple(calls), tuple(proposals)
+        return (
+            self.states.put(key, conductor, (manager.me, wake, conductor.read, slices)),
+            tuple(calls),
+            tuple(proposals),
+        )
 
     @staticmethod
-    def _key(keeper: GrantManager, now: float) -> list:
-        def holder(x: Holder) -> tuple:
+    def _key(manager: GrantManager, now: float) -> list:
+        def holder_key(holder: Holder) -> tuple:
             return (
-                _shift(x.held_until, now),
-                _shift(x.deliverable_until, now),
-                x.grants_in_flight,
-                x.is_releasing,
-                x.has_accepted,
-                x.last_outcome.value,
-                _shift(x.next_release_at, now),
-                min(x.release_tries, 2),
+                _shift(holder.held_until, now),
+                _shift(holder.deliverable_until, now),
+                holder.grants_in_flight,
+                holder.is_releasing,
+                holder.has_accepted,
+                holder.last_outcome.value,
+                _shift(holder.next_release_at, now),
+                min(holder.release_tries, 2),
             )
 
         rows = [
-            _shift(keeper.lease_until, now),
-            _shift(keeper._started_at, now),
-            keeper._ledger_index,
-            keeper._pending_proofs,
-            keeper._changed,
+            _shift(manager.lease_until, now),
+            _shift(manager._started_at, now),
+            manager._ledger_index,
+            manager._pending_proofs,
+            manager._changed,
         ]
-        for key, x in sorted(keeper.slice_leases.items()):
+        for key, slice_lease in sorted(manager.slice_leases.items()):
             rows.append(
                 (
                     key,
-                    x.lease_index,
-                    x.owner,
-                    x.fence,
-                    x.state.value,
-                    x.former_holders,
-                    x.handover,
-                    x.handover_rank,
-                    _shift(x.proposed_at, now),
-                    _shift(x.granted_at, now),
-                    _shift(x.due_at, now),
-                    min(x.tries, 2),
-                    _shift(x.wake_at, now),
-                    sorted((id, holder(h)) for id, h in x.holders.items()),
+                    slice_lease.lease_index,
+                    slice_lease.owner,
+                    slice_lease.fence,
+                    slice_lease.state.value,
+                    slice_lease.former_holders,
+                    slice_lease.handover,
+                    slice_lease.handover_rank,
+                    _shift(slice_lease.proposed_at, now),
+                    _shift(slice_lease.granted_at, now),
+                    _shift(slice_lease.due_at, now),
+                    min(slice_lease.tries, 2),
+                    _shift(slice_lease.wake_at, now),
+                    sorted((id, holder_key(holder)) for id, holder in slice_lease.holders.items()),
                 )
             )
-        return [keeper.me, rows, sorted((_shift(at, now), s, k) for at, s, k in keeper._wake_heap)]
+        return [
+            manager.me,
+            rows,
+            sorted((_shift(at, now), service, number) for at, service, number in manager._wake_heap),
+        ]
 
     # -- the world
 
     def follow(self, state: tuple) -> Iterator[Step]:
-        """Whatever may happen next."""
-        now, log, desks, nodes, calls, proposals, tenure, tops, moves, starts, leaders, leases = state
-        facts = self.local.facts
+        """Every step that may happen next."""
+        now, log, conductors, nodes, calls, proposals, lease_table, tops, moves, starts, leaders, leases = state
+        facts = self.states.facts
 
-        def after(done: str, broken: tuple = (), **new: Any) -> Step:
+        def after(done: str, violations: tuple = (), **new: Any) -> Step:
             names = (
                 "now",
                 "log",
-                "desks",
+                "conductors",
                 "nodes",
                 "calls",
                 "proposals",
-                "tenure",
+                "lease_table",
                 "tops",
                 "moves",
                 "starts",
                 "leaders",
                 "leases",
             )
-            return done, tuple(new.get(name, old) for name, old in zip(names, state)), list(broken)
+            return done, tuple(new.get(name, old) for name, old in zip(names, state)), list(violations)
 
         def stepped(which: int, event: tuple, done: str, **new: Any) -> Step:
-            number, sent, proposed = self.step(desks[which], event)
+            number, sent, proposed = self.step(conductors[which], event)
             return after(
                 done,
-                desks=desks[:which] + (number,) + desks[which + 1 :],
+                conductors=conductors[:which] + (number,) + conductors[which + 1 :],
                 calls=tuple(sorted(new.pop("calls", calls) + sent, key=repr)),
                 proposals=new.pop("proposals", proposals) | frozenset(proposed),
                 **new,
@@ -639,67 +668,67 @@
         if now < self.seconds and not (self.swift and calls):
             later = now + 1.0
             left = tuple(one for one in calls if one[2] >= 0 or one[0] + KEYS.max_delivery >= later)
-            ends = tuple((name, max(end, later)) for name, end in tenure[1])  # ended is ended
+            ends = tuple((name, max(end, later)) for name, end in lease_table[1])  # a lease that has ended stays ended
             yield after(
                 f"it is {later:.0f} s",
                 now=later,
                 calls=left,
-                tenure=(tenure[0], ends),
+                lease_table=(lease_table[0], ends),
                 nodes=tuple(tuple((until if until > later else 0.0, fence) for until, fence in row) for row in nodes),
             )
-        for which, number in enumerate(desks):
-            name, wake, at, slices = facts[number]
+        for which, number in enumerate(conductors):
+            name, wake, read_count, slices = facts[number]
             if wake <= now:
                 yield stepped(which, ("tick", now), f"{name} wakes")
-            if at < len(log):
-                yield stepped(which, ("read", now, log[at:]), f"{name} reads to {len(log)}")
-            if name in self.asks and dict(tenure[1]).get(name, 0.0) < now + LEASE_S:
-                table = ConductorLeases(tenure[0], dict(tenure[1]))
+            if read_count < len(log):
+                yield stepped(which, ("read", now, log[read_count:]), f"{name} reads to {len(log)}")
+            if name in self.asks and dict(lease_table[1]).get(name, 0.0) < now + LEASE_S:
+                table = ConductorLeases(lease_table[0], dict(lease_table[1]))
                 given = table.renew(now, name)
                 yield stepped(
                     which,
                     ("leased", now, now + given, len(log)),
                     f"{name} renews its lease",
-                    tenure=(tenure[0], tuple(sorted(table.ends_at.items()))),
+                    lease_table=(lease_table[0], tuple(sorted(table.ends_at.items()))),
                 )
             if starts < self.starts:
                 lost = tuple((*one[:2], -1, *one[3:]) if one[1] == name else one for one in calls)
                 yield stepped(
                     which,
-                    ("start", now, log[:at]),
+                    ("start", now, log[:read_count]),
                     f"{name} starts anew",
                     calls=tuple(one for one in lost if one[2] >= 0 or one[7] is None),
                     starts=starts + 1,
                 )
             if moves < self.moves and len(log) < self.entries:
-                for k, (mine, owner, fence) in enumerate(slices):
+                for index, (mine, owner, fence) in enumerate(slices):
                     if mine:
                         target = "m" if owner == "n" else "n"
-                        text = json.dumps({"do": "move", "by": name, "moves": [["s", k, k, fence, target]]})
+                        text = json.dumps({"do": "move", "by": name, "moves": [["s", index, index, fence, target]]})
                         if self.grants_early:
                             yield stepped(
                                 which,
                                 ("early", now, text),
-                                f"{name} would move {k} to {target}",
+                                f"{name} would move {index} to {target}",
                                 proposals=proposals | {text},
                                 moves=moves + 1,
                             )
                         else:
-                            yield after(f"{name} moves {k} to {target}", log=log + (text,), moves=moves + 1)
+                            yield after(f"{name} moves {index} to {target}", log=log + (text,), moves=moves + 1)
         if len(log) < self.entries:
             for text in sorted(proposals):
                 yield after(f"{text} is committed", log=log + (text,), proposals=proposals - {text})
             if leases < self.reassigns:
                 yield from self._reassign(state, after)
         if leaders < self.leaders:
-            yield after("another leads", tenure=(now, ()), leaders=leaders + 1)
+            yield after("another leads", lease_table=(now, ()), leaders=leaders + 1)
         for call in calls:
             yield from self._call_steps(state, call, after, stepped)
 
     def _call_steps(
         self, state: tuple, call: tuple, after: Callable[..., Step], stepped: Callable[..., Step]
     ) -> Iterator[Step]:
-        """What may become of a call: it arrives, is answered, refused at connect, or given up."""
+        """The possible results of a call: it arrives, is answered, is refused, or is given up."""
         now, calls = state[0], state[4]
         sent, name, number, kind, node, slices, fence, status, _ = call
         which, rest = "ab".index(name), tuple(one for one in calls if one is not call)
@@ -720,104 +749,122 @@
         now, nodes, tops = state[0], [list(row) for row in state[3]], list(state[7])
         _, _, number, kind, node, slices, fence, _, hold = call
         row, other = nodes["nm".index(node)], nodes["mn".index(node)]
-        broken, status = [], 200
-        if kind == "Grant" and any(row[k][1] > fence for k in slices):
+        violations, status = [], 200
+        if kind == "Grant" and any(row[index][1] > fence for index in slices):
             status = 409
         else:
-            for k in slices:
+            for index in slices:
                 if kind == "Release":
-                    row[k] = (0.0, row[k][1])
+                    row[index] = (0.0, row[index][1])
                     continue
-                if other[k][0] > now:
-                    broken.append(f"{node} gets {k} under {fence}, which the other holds until {other[k][0]:.2f}")
-                if fence < tops[k]:
-                    broken.append(f"{node} gets {k} under {fence} after {tops[k]}")
-                row[k], tops[k] = (now + hold / SLOWEST, fence), max(tops[k], fence)
+                if other[index][0] > now:
+                    violations.append(
+                        f"{node} gets {index} under {fence}, which the other holds until {other[index][0]:.2f}"
+                    )
+                if fence < tops[index]:
+                    violations.append(f"{node} gets {index} under {fence} after {tops[index]}")
+                row[index], tops[index] = (now + hold / SLOWEST, fence), max(tops[index], fence)
         back = ((*call[:7], status, hold),) if number >= 0 else ()
         return after(
             f"{what} arrives",
-            tuple(broken),
+            tuple(violations),
             nodes=tuple(tuple(one) for one in nodes),
             tops=tuple(tops),
             calls=tuple(sorted(rest + back, key=repr)),
         )
 
     def _reassign(self, state: tuple, after: Callable[..., Step]) -> Iterator[Step]:
-        """The leader gives slices whose conductor's lease has surely ended to others."""
-        now, log, tenure = state[0], state[1], state[6]
+        """The leader assigns the slices of conductors whose lease has ended to others."""
+        now, log, lease_table = state[0], state[1], state[6]
         ledger = self.ledgers.get(log)
         if ledger is None:
             ledger = self.ledgers[log] = self._ledger(log)
         leased = [x.conductor for x in ledger.slices["s"]]
-        for to, runs in reassign(ConductorLeases(tenure[0], dict(tenure[1])), now, leased).items():
+        for to, runs in reassign(ConductorLeases(lease_table[0], dict(lease_table[1])), now, leased).items():
             text = json.dumps({"do": "lease", "from": leased[runs[0][0]], "to": to, "slices": {"s": runs}})
             yield after(f"{text} is committed", log=log + (text,), leases=state[11] + 1)
 
 
-# ---- what is walked, and mistakes that a walk must find
+# ---- worlds to explore, and defects that an exploration must find
 
 
-def worlds(big: bool = False) -> dict[str, tuple[Agreement | Keys, int, int]]:
-    """By name: a world, how many steps deep, and how many states at most; `big` takes some minutes."""
-    most = 600_000 if big else 10_000_000
+def worlds(thorough: bool = False) -> dict[str, tuple[Agreement | Keys, int, int]]:
+    """Worlds by name, each with its depth in steps and the maximum number of states; `thorough` takes some minutes."""
+    max_states = 600_000 if thorough else 10_000_000
     return {
-        "elections": (Agreement(terms=1, commands=0, stood=3 if big else 2, beats=False), 99 if big else 13, most),
-        "entries": (Agreement(), 13 if big else 10, most),
-        "wiped disks": (Agreement(crashes=0, wipes=1, commands=0, stood=2 if big else 1), 99 if big else 13, most),
-        "newcomers": (Agreement(count=1, newcomers=1, terms=1, commands=0), 99 if big else 18, most),
-        "leavers": (Agreement(count=2, target_members=1, leaves=1, terms=1, commands=0), 99 if big else 19, most),
-        "calls": (Keys(), 10 if big else 7, most),
-        "refusals": (Keys(swift=True, refuses=True, asks="a", starts=0, reassigns=0), 99 if big else 12, most),
-        "leases": (Keys(swift=True, leaders=1, moves=1), 99 if big else 10, most),
+        "elections": (
+            Agreement(terms=1, commands=0, max_candidates=3 if thorough else 2, beats=False),
+            99 if thorough else 13,
+            max_states,
+        ),
+        "entries": (Agreement(), 13 if thorough else 10, max_states),
+        "wiped disks": (
+            Agreement(crashes=0, wipes=1, commands=0, max_candidates=2 if thorough else 1),
+            99 if thorough else 13,
+            max_states,
+        ),
+        "newcomers": (Agreement(count=1, newcomers=1, terms=1, commands=0), 99 if thorough else 18, max_states),
+        "leavers": (
+            Agreement(count=2, target_members=1, leaves=1, terms=1, commands=0),
+            99 if thorough else 19,
+            max_states,
+        ),
+        "calls": (Keys(), 10 if thorough else 7, max_states),
+        "refusals": (
+            Keys(swift=True, refuses=True, asks="a", starts=0, reassigns=0),
+            99 if thorough else 12,
+            max_states,
+        ),
+        "leases": (Keys(swift=True, leaders=1, moves=1), 99 if thorough else 10, max_states),
     }
 
 
 class VotesEarly(Machine):
-    """Mistake: a vote leaves before the disk holds it."""
+    """Defect: sends a vote before it is stored."""
 
     def _send_after_save(self, address: str, type: str, to: str, /, **rest: Any) -> None:
         self._send(address, type, to, **rest)
 
 
 class FromSending(GrantManager):
-    """Mistake: a hold is counted from when the grant was sent, not from its latest arrival."""
+    """Defect: counts a hold from the sending of the grant, and not from its latest arrival."""
 
     def tick(self, now: float) -> None:
         super().tick(now)
         self.sent = getattr(self, "sent", {}) | {x: now for x in self.actions if isinstance(x, Grant)}
 
-    def _on_grant_ended(self, now: float, x: Any, holder: Holder, order: Grant, status: Any, *more: float) -> None:
+    def _on_grant_ended(self, now: float, x: Any, holder: Holder, action: Grant, status: Any, *more: float) -> None:
         until = holder.held_until
-        super()._on_grant_ended(now, x, holder, order, status, *more)
+        super()._on_grant_ended(now, x, holder, action, status, *more)
         if holder.held_until > until:
-            holder.held_until = max(until, self.sent[order] + order.hold * CLOCK_SLOWDOWN)
+            holder.held_until = max(until, self.sent[action] + action.hold * CLOCK_SLOWDOWN)
 
 
 class TrustsPredecessor(GrantManager):
-    """Mistake: who takes a slice over does not count what was granted before."""
+    """Defect: a conductor that takes a slice over ignores earlier grants."""
 
     def _take_over(self, now: float, key: tuple[str, int], x: Slice) -> Any:
-        tenure = super()._take_over(now, key, x)
-        for holder in tenure.holders.values():
+        slice_lease = super()._take_over(now, key, x)
+        for holder in slice_lease.holders.values():
             holder.held_until = holder.deliverable_until = now
-        return tenure
+        return slice_lease
 
 
 class ClearsRefused(GrantManager):
-    """Mistake: a refused connection counts as the end of the node (incident inc1)."""
+    """Defect: takes a refused connection for the end of the node (incident inc1)."""
 
-    def on_call_ended(self, now: float, order: Any, status: Any, handover: str | None = None) -> None:
-        super().on_call_ended(now, order, status, handover)
-        for tenure in self.slice_leases.values() if status == REFUSED else ():
-            if order.node in tenure.holders:
-                tenure.holders[order.node].held_until = now
+    def on_call_ended(self, now: float, action: Any, status: Any, handover: str | None = None) -> None:
+        super().on_call_ended(now, action, status, handover)
+        for slice_lease in self.slice_leases.values() if status == REFUSED else ():
+            if action.node in slice_lease.holders:
+                slice_lease.holders[action.node].held_until = now
 
 
 def mistakes() -> dict[str, tuple[Agreement | Keys, int, str]]:
-    """By name: a world with a mistake, how deep it shows at most, and what is then broken."""
+    """Worlds with a defect by name, each with the depth within which it shows, and the violation that it causes."""
     one = {"terms": 1, "commands": 0, "beats": False}
     return {
-        "votes before the disk holds it": (Agreement(kind=VotesEarly, **one), 9, "two leaders"),  # type: ignore
+        "votes before the disk holds it": (Agreement(machine_class=VotesEarly, **one), 9, "two leaders"),  # type: ignore
         "a wiped disk votes": (Agreement(keeps_id=True, crashes=0, wipes=1, **one), 11, "two leaders"),  # type: ignore
         "grants before the move is committed": (
             Keys(grants_early=True, swift=True, asks="b", starts=0, seconds=4),
@@ -830,14 +877,14 @@
             "after 3",
         ),
         "a hold counted from the sending": (
-            Keys(kind=FromSending, asks="a", starts=0, reassigns=0),
+            Keys(manager_class=FromSending, asks="a", starts=0, reassigns=0),
             9,
             "which the other holds",
         ),
         "takes a refused connection for an end": (
-            Keys(kind=ClearsRefused, refuses=True, swift=True, asks="a", starts=0, reassigns=0),
+            Keys(manager_class=ClearsRefused, refuses=True, swift=True, asks="a", starts=0, reassigns=0),
             14,
             "which the other holds",
         ),
-        "takes over without waiting": (Keys(kind=TrustsPredecessor, reassigns=0), 7, "which the other holds"),
+        "takes over without waiting": (Keys(manager_class=TrustsPredecessor, reassigns=0), 7, "which the other holds"),
     }
--- a/tests/system/test_catch_up.py
+++ b/tests/system/test_catch_up.py
@@ -1,4 +1,6 @@
-"""Who is far behind catches up: by parts, over slow and broken links, across leaders, lives and faults of disks."""
+"""A machine that is far behind catches up: by parts, over slow and broken links, across leaders, restarts and disk
+faults.
+"""
 
 import asyncio
 import json
@@ -31,16 +33,17 @@
 from knotwalk.control_plane import compaction
 from knotwalk.control_plane.consensus_driver import PATIENCE, ConsensusDriver
 from tests.standins.disk import FULL, REFUSED, FaultyDisk
-from tests.system.cluster import Cluster, Node, Violation, trouble
+from tests.system.cluster import Cluster, Node, ViolationError, inject_faults
 
-TWO_MBIT = 250_000  # bytes a second
-HEADS = 600  # bytes of a message beside what a part or its entries hold
+TWO_MBIT = 250_000  # bytes per second
+MAX_HEAD_BYTES = 600  # bytes of a message beside its part or entries
 FOUNDERS = {"10.1.0.15#founder": "10.1.0.15:7700"}
 
 
 class SlowCluster(Cluster):
-    """A cluster with large states, and links to one machine that carry so many bytes a second, one after another: a
-    message whose call would be given up has taken its room, and is lost."""
+    """A cluster with large states, and links to one machine that carry a limited number of bytes per second, one
+    message after another. A message whose call would time out uses the link's capacity nevertheless, and is lost.
+    """
 
     def __init__(self, seed: int, filler: int = 1_000_000, **named: Any) -> None:
         self.rates: dict[str, int] = {}
@@ -61,21 +64,21 @@
         link = address + sender
         begin = max(self.now, self.free.get(link, 0.0))
         if begin - self.now > PATIENCE:
-            return  # given up before a byte of it left
+            return  # timed out before its first byte was sent
         end = begin + len(text) / rate
         self.free[link] = min(end, self.now + PATIENCE)
         if end - self.now <= PATIENCE:
             self._later(end - self.now, lambda: Cluster._post(self, sender, address, text))
 
     def compact(self, address: str) -> None:
-        """The application gives its snapshot."""
+        """The application compacts the log with its snapshot."""
         node = self.nodes[address]
         assert node.machine is not None
         node.machine.compact(node.applied, {"digest": node.digest, "filler": self.filler})
-        self._carry(node)
+        self._carry_out(node)
 
     def lead(self) -> Node:
-        """Wait for a leader that has committed in its term."""
+        """Wait for a leader that has committed an entry of its term."""
         self.run(
             10, lambda: (one := self.leader()) is not None and one.machine is not None and one.machine.is_commit_current
         )
@@ -84,7 +87,7 @@
         return found
 
     def change(self, count: int, length: int = 10) -> Node:
-        """So many changes agreed on."""
+        """Commit a number of changes."""
         leader = self.lead()
         for number in range(count):
             self.propose(leader.address, {"n": number, "x": "y" * length})
@@ -94,8 +97,9 @@
         return leader
 
     def behind(self, rate: int | None = None, compact: tuple[str, ...] = ()) -> Node:
-        """One that was away while hundreds of changes were made and the leader (or all of `compact`) put them down
-        whole; it is back now, at the end of a link with this rate."""
+        """Return a machine that was down while many changes were committed and the leader (or all of `compact`)
+        compacted its log; it has just restarted, behind a link of this rate.
+        """
         leader = self.lead()
         lost = next(node for node in self.nodes.values() if node is not leader)
         self.stop(lost.address)
@@ -109,16 +113,16 @@
         return lost
 
     def caught_up(self, node: Node) -> Callable[[], bool]:
-        """Whether a machine has all that is committed."""
+        """Whether a machine has everything committed."""
         return lambda: (leader := self.leader()) is not None and node.applied == leader.applied > 0
 
     def offset(self) -> int:
-        """How far the parts sent reach."""
+        """The offset of the last part sent."""
         return self.parts[-1]["offset"] if self.parts else 0
 
 
 class TestLinks(unittest.TestCase):
-    """What comes between a leader and one that catches up."""
+    """Faults between a leader and a machine that catches up."""
 
     def test_two_megabit_carry_a_snapshot_without_an_election(self) -> None:
         cluster = SlowCluster(1)
@@ -153,9 +157,9 @@
         cluster = SlowCluster(3)
         cluster.lead()
         cluster.change(1, 3 * MAX_BATCH_BYTES)
-        self.assertTrue(cluster.run(2, cluster.settled))
-        self.assertIn("part", cluster.sent)
-        self.assertLess(max(cluster.lengths), MAX_BATCH_BYTES + HEADS)
+        self.assertTrue(cluster.run(2, cluster.is_settled))
+        self.assertIn("part", cluster.sent_counts)
+        self.assertLess(max(cluster.lengths), MAX_BATCH_BYTES + MAX_HEAD_BYTES)
 
     def test_a_snapshot_cut_off_in_the_middle_goes_on_where_it_was(self) -> None:
         for seconds in (0.05, 1.0, 20.0):
@@ -178,9 +182,9 @@
             with self.subTest(seed):
                 cluster = SlowCluster(seed, 200_000)
                 lost = cluster.behind()
-                cluster.loss, cluster.double, cluster.late = 0.2, 0.3, 0.1
+                cluster.loss, cluster.duplication, cluster.jitter_s = 0.2, 0.3, 0.1
                 cluster.run(5)
-                cluster.late = 0.02
+                cluster.jitter_s = 0.02
                 self.assertTrue(cluster.run(60, cluster.caught_up(lost)))
                 cluster.run(0.5)
                 self.assertGreater(lost.disk.saved.snapshot_index, 1000)
@@ -196,13 +200,13 @@
         with mock.patch.object(leading, "encode", wraps=encode) as encoded:
             for node in others:
                 cluster.start(node.address)
-            self.assertTrue(cluster.run(20, cluster.settled))
+            self.assertTrue(cluster.run(20, cluster.is_settled))
         self.assertEqual(encoded.call_count, 1)
         self.assertEqual({one["to"] for one in cluster.parts}, {node.disk.saved.me for node in others})
 
 
 class TestChanges(unittest.TestCase):
-    """What changes at either end while a snapshot is on its way."""
+    """Changes at either end while a snapshot is being transferred."""
 
     def half(self, cluster: SlowCluster, **named: Any) -> Node:
         lost = cluster.behind(TWO_MBIT, **named)
@@ -223,9 +227,9 @@
         cluster = SlowCluster(7)
         lost = self.half(cluster)
         old = cluster.lead()
-        heir = next(node for node in cluster.nodes.values() if node is not old and node is not lost)
+        successor = next(node for node in cluster.nodes.values() if node is not old and node is not lost)
         cluster.change(800)
-        cluster.compact(heir.address)
+        cluster.compact(successor.address)
         cluster.stop(old.address)
         self.assertTrue(cluster.run(60, cluster.caught_up(lost)))
         self.assertEqual(len({one["digest"] for one in cluster.parts}), 2)
@@ -251,7 +255,7 @@
                     cluster.stop(lost.address)
                     cluster.run(0.3)
                     cluster.start(lost.address)
-                self.assertTrue(cluster.run(60, cluster.settled))
+                self.assertTrue(cluster.run(60, cluster.is_settled))
                 cluster.run(0.5)
                 self.assertGreater(lost.disk.saved.snapshot_index, 1000)
 
@@ -262,7 +266,7 @@
                     cluster = SlowCluster(10)
                     lost = self.half(cluster)
                     cluster.freeze((lost, cluster.lead())[which].address, seconds)
-                    self.assertTrue(cluster.run(90, cluster.settled))
+                    self.assertTrue(cluster.run(90, cluster.is_settled))
 
     def test_a_disk_that_stalls_while_it_comes(self) -> None:
         cluster = SlowCluster(11)
@@ -272,11 +276,11 @@
         cluster.run(5)
         self.assertEqual(lost.disk.saved.snapshot_index, 0)
         cluster.hang(lost.address, False)
-        self.assertTrue(cluster.run(30, cluster.settled))
+        self.assertTrue(cluster.run(30, cluster.is_settled))
         self.assertEqual(cluster.lead().machine.term, term)
 
     def test_a_seeded_mistake_is_seen(self) -> None:
-        """Parts that are put together in any order make another state: the checker, or no state at all, says so."""
+        """Parts joined in the wrong order produce another state: the checker, or a missing state, must show it."""
         with (
             mock.patch.object(IncomingTransfer, "add_part", lambda self, part, order: not self.texts.append(part.text)),
             mock.patch.object(
@@ -284,21 +288,21 @@
                 "take_content",
                 lambda self, part: decode("".join(self.texts[-3:]), part.digest) if self.texts else 0,
             ),
-            self.assertRaises((Violation, AssertionError)),
+            self.assertRaises((ViolationError, AssertionError)),
         ):
             cluster = SlowCluster(12)
             lost = cluster.behind(TWO_MBIT)
             self.assertTrue(cluster.run(10, cluster.caught_up(lost)))
 
 
-class Older(Machine):
-    """A machine of the text before, to which parts are messages of an unknown type."""
+class OlderMachine(Machine):
+    """A machine of the previous version, for which a part is a message of an unknown type."""
 
     _on_part = None  # type: ignore[assignment]
 
 
 class TestMix(unittest.TestCase):
-    """Members of two texts."""
+    """Members that run two versions."""
 
     def test_an_older_member_is_not_harmed_and_catches_up_once_it_runs_this_text(self) -> None:
         cluster = SlowCluster(13)
@@ -308,7 +312,7 @@
         cluster.stop(old.address)
         cluster.change(1200)
         cluster.compact(leader.address)
-        cluster.kind = Older
+        cluster.machine_class = OlderMachine
         cluster.start(old.address)
         term = leader.machine.term
         cluster.change(3, 2 * MAX_BATCH_BYTES)
@@ -316,9 +320,9 @@
         self.assertEqual((leader.machine.term, old.machine.role, old.applied < 100), (term, "follower", True))
         self.assertEqual(leader.applied, leader.machine.log.last, "the others go on")
         cluster.stop(old.address)
-        cluster.kind = Machine
+        cluster.machine_class = Machine
         cluster.start(old.address)
-        self.assertTrue(cluster.run(20, cluster.settled))
+        self.assertTrue(cluster.run(20, cluster.is_settled))
         self.assertEqual(cluster.lead().machine.term, term)
 
     def test_a_whole_snapshot_of_an_older_leader_is_taken(self) -> None:
@@ -328,14 +332,14 @@
         cluster.stop(lost.address)
         cluster.change(1200)
         cluster.compact(leader.address)
-        with mock.patch.object(Machine, "_send_part", whole):
+        with mock.patch.object(Machine, "_send_part", send_whole_snapshot):
             cluster.start(lost.address)
-            self.assertTrue(cluster.run(10, cluster.settled))
-        self.assertEqual((cluster.sent["snapshot"] > 0, cluster.sent.get("part", 0)), (True, 0))
+            self.assertTrue(cluster.run(10, cluster.is_settled))
+        self.assertEqual((cluster.sent_counts["snapshot"] > 0, cluster.sent_counts.get("part", 0)), (True, 0))
 
 
-def whole(leader: Machine, now: float, peer: Any, kind: str) -> None:
-    """What the text before sent to a peer that its log does not reach any more."""
+def send_whole_snapshot(leader: Machine, now: float, peer: Any, kind: str) -> None:
+    """Send what the previous version sent to a peer that its log no longer reaches."""
     assert kind == "snapshot"
     index, term, members, state = leader.snapshot
     held = {"index": index, "index_term": term, "members": members, "state": state}
@@ -343,7 +347,7 @@
 
 
 class TestWalks(unittest.TestCase):
-    """All that goes wrong at once, with snapshots and entries so long against a message that most go in parts."""
+    """All kinds of faults at once, with snapshots and entries so long compared with a message that most go in parts."""
 
     def test_nothing_told_is_lost_and_all_settles(self) -> None:
         for batch, least in ((45, 1000), (MAX_BATCH_BYTES, 100)):
@@ -359,15 +363,15 @@
                     mock.patch.object(OutgoingTransfer.__init__, "__defaults__", (0, 64, None)),
                 ):
                     cluster = Cluster(seed, 3 + 2 * (seed % 2))
-                    trouble(cluster, 60)
+                    inject_faults(cluster, 60)
                     cluster.heal()
-                    self.assertTrue(cluster.run(60, cluster.settled))
-                    parts += cluster.sent.get("part", 0)
+                    self.assertTrue(cluster.run(60, cluster.is_settled))
+                    parts += cluster.sent_counts.get("part", 0)
             self.assertGreater(parts, least)
 
 
 class TestParts(unittest.TestCase):
-    """Both ends by themselves."""
+    """Each end of a transfer by itself."""
 
     def part(self, outgoing: OutgoingTransfer, now: float) -> Part:
         found = outgoing.next_part(now)
@@ -426,14 +430,16 @@
 
 
 class TestDisk(unittest.TestCase):
-    """Faults at each numbered write, sync, removal and change of length while a snapshot is put down or taken in."""
+    """Faults at each numbered write, sync, removal and truncation while a snapshot is stored or received."""
 
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, self.folder)
 
     def saves(self, installs: bool) -> list[Save]:
-        """Entries, then a snapshot: of what is there, or of what is far ahead and in place of entries that lost."""
+        """Entries, then a snapshot: of those entries, or of an index far ahead, replacing entries that were not
+        committed.
+        """
         entries = [Entry(index, 1, "command", {"x": "y" * 900}) for index in range(1, 201)]
         after = 5000 if installs else 200
         snapshot = (after, 2, FOUNDERS, {"state": "z" * 100_000})
@@ -456,8 +462,8 @@
                 continue
         self.fail("refused for ever")
 
-    def life(self, disk: FaultyDisk, installs: bool) -> tuple[Store, list[int]]:
-        """One life; what is refused is tried again. The counts of acts after each save kept."""
+    def incarnation(self, disk: FaultyDisk, installs: bool) -> tuple[Store, list[int]]:
+        """Run one incarnation, repeat what is refused; return the number of disk operations after each stored save."""
         store = Store(4)
         self.until(lambda: store.open(self.folder, True, "10.1.0.15", FOUNDERS))
         counts = []
@@ -467,7 +473,9 @@
         return store, counts
 
     def holds(self, files: dict[str, bytes], kept: int, installs: bool) -> None:
-        """A start from such files has what was told as kept whole: the entries, or the snapshot in their place."""
+        """A start from these files must have everything reported as stored: the entries, or the snapshot that replaces
+        them.
+        """
         folder = Path(tempfile.mkdtemp(dir=self.folder))
         for name, content in files.items():
             (folder / name).write_bytes(content)
@@ -486,14 +494,14 @@
     def test_power_lost_after_each(self) -> None:
         for installs in (False, True):
             self.setUp()
-            disk, chance = FaultyDisk(), random.Random(1)
+            disk, rng = FaultyDisk(), random.Random(1)
             with disk.own(self.folder):
-                store, counts = self.life(disk, installs)
+                store, counts = self.incarnation(disk, installs)
             with FaultyDisk():
                 for number in range(counts[0], len(disk.done) + 1):
                     kept = sum(count <= number for count in counts)
                     with self.subTest((installs, number)):
-                        self.holds(disk.left(number, chance, chance.random() < 0.3), kept, installs)
+                        self.holds(disk.left(number, rng, rng.random() < 0.3), kept, installs)
             store._connection.close()
 
     def test_each_refused_or_the_disk_full(self) -> None:
@@ -501,14 +509,14 @@
             self.setUp()
             disk = FaultyDisk()
             with disk.own(self.folder):
-                store, counts = self.life(disk, installs)
+                store, counts = self.incarnation(disk, installs)
                 store._connection.close()
             for number in range(counts[0], counts[-1], 5):
                 self.setUp()
                 disk, code = FaultyDisk(), (REFUSED.get, lambda kind: FULL)[number // 5 % 2]
                 disk.refuse = lambda at, kind: (code(kind) or 0) if number <= at < number + 3 else 0
                 with disk.own(self.folder), self.subTest((installs, number)):
-                    store, _ = self.life(disk, installs)
+                    store, _ = self.incarnation(disk, installs)
                     files = {one.name: one.read_bytes() for one in self.folder.iterdir() if one.is_file()}
                     store._connection.close()
                 with FaultyDisk(), self.subTest((installs, number)):
@@ -529,7 +537,7 @@
 
 
 def change(version: int, routes: int) -> dict:
-    """A command of the log: the first whole, then one route's priority."""
+    """A configuration command: the first one complete, later ones with one route's priority changed."""
 
     def route(number: int) -> dict:
         fields = {
@@ -553,8 +561,8 @@
     return command | {"difference": less}
 
 
-class Kept:
-    """A store in memory that does as the file does."""
+class MemoryStore:
+    """A store in memory that behaves like the file."""
 
     disk_mb = 64
 
@@ -570,8 +578,8 @@
         saved.term, saved.vote, saved.commit = save.term, save.vote, save.commit
 
 
-class Stuck:
-    """Calls to a peer of which those with a part get no answer."""
+class UnansweredCaller:
+    """Calls to a peer that never answers those with a part."""
 
     def __init__(self) -> None:
         self.sent: list[list[dict]] = []
@@ -584,10 +592,10 @@
 
 
 class TestLanes(unittest.IsolatedAsyncioTestCase):
-    """What a driver sends to a peer that a part is on its way to."""
+    """What a driver sends to a peer while a part is unanswered."""
 
     async def test_heartbeats_do_not_wait_for_a_part_and_one_part_at_most_waits(self) -> None:
-        caller, store = Stuck(), Kept()
+        caller, store = UnansweredCaller(), MemoryStore()
         driver = ConsensusDriver(store, store.saved, caller, RaftSettings(target_members=1), 1, float("-inf"))
         for number in range(50):
             for kind in ("part", "append"):
@@ -604,7 +612,7 @@
 
 
 class TestCompaction(unittest.TestCase):
-    """When the state is put down whole."""
+    """When the log is compacted."""
 
     def test_it_is_due_by_entries_bytes_or_work_and_not_on_all_machines_at_once(self) -> None:
         for name, size, work, most in (
@@ -624,12 +632,12 @@
 
 
 class TestStart(unittest.IsolatedAsyncioTestCase):
-    """A start after 2,700 changes, the changes of a day."""
+    """A start after 2,700 changes, the number of one day."""
 
     async def test_it_replays_a_bounded_part_of_them_and_tells_of_the_configuration_once(self) -> None:
         for routes, work, most in ((3, compaction.WORK, 2702), (100, 10_000, 101)):
             with self.subTest(routes), mock.patch.object(compaction, "WORK", work):
-                store = Kept()
+                store = MemoryStore()
                 driver = ConsensusDriver(store, store.saved, None, RaftSettings(target_members=1), 1, float("-inf"))
                 machine = driver.machine
                 machine.tick(machine.wake_at)
@@ -649,14 +657,14 @@
                     machine.on_saved(machine.wake_at, save.number)
                 await driver.close()
                 again = ConsensusDriver(store, store.saved, None, RaftSettings(target_members=1), 2, float("-inf"))
-                told, seen = [], []
-                again.on_config = lambda: told.append(again.state.version)
+                reported, seen = [], []
+                again.on_config = lambda: reported.append(again.state.version)
                 again.on_change = lambda index, changes: seen.append(index)
                 again.carry_out()
                 await again.close()
                 self.assertGreaterEqual(again.state.version, 2699)
                 self.assertLessEqual(len(seen), most)
-                self.assertEqual(told, [again.state.version] if seen else [])
+                self.assertEqual(reported, [again.state.version] if seen else [])
                 if again.state.version == 2700:
                     self.assertEqual(again.state.to_dict(), driver.state.to_dict())
 
--- a/tests/system/test_consensus_store.py
+++ b/tests/system/test_consensus_store.py
@@ -1,7 +1,7 @@
-"""The consensus log's file: what a loss of power, at any moment, may leave of it, and what is then read back.
+"""The consensus store's file: what a power loss at any moment may leave of it, and what is then read back.
 
-A copy of the files is taken while each write was synced; sectors written after it are put back, zeroed or mixed, as a
-disk may do that had them in its cache.
+The files are copied at moments at which each write was synced; sectors written after that are reverted, zeroed or
+mixed, as a disk may do with what was in its cache.
 """
 
 import contextlib
@@ -34,29 +34,29 @@
 
 
 def save(number: int, count: int = 1, term: int = 1, size: int = 40) -> Save:
-    """The save that brings entry `number` and those after it."""
+    """A save with `count` entries from `number` on."""
     entries = [Entry(one, term, "command", {"n": one, "x": "é" * size}) for one in range(number, number + count)]
     return Save(number, term, "10.1.0.15#founder", entries, None, None)
 
 
 class StoreCase(unittest.TestCase):
-    """A folder to write in."""
+    """A test with a folder of its own."""
 
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp(dir="/dev/shm" if os.path.isdir("/dev/shm") else None))
         self.addCleanup(shutil.rmtree, self.folder)
 
     def open(self, folder: Path | None = None, **how) -> tuple[Store, StoredState]:  # type: ignore[no-untyped-def]
-        """Open the store of a folder."""
+        """Open the store in a folder."""
         store = Store(**how)
         return store, store.open(folder or self.folder, True, "10.1.0.15", FOUNDERS)
 
     def files(self) -> Files:
-        """What the folder holds now."""
+        """The files of the folder now."""
         return {one.name: one.read_bytes() for one in self.folder.iterdir()}
 
     def after(self, files: Files) -> StoredState | None:
-        """What a start reads from such files; None where it calls them broken."""
+        """What a start reads from these files; None if it reports them as damaged."""
         folder = Path(tempfile.mkdtemp(dir=self.folder.parent))
         try:
             for name, content in files.items():
@@ -71,31 +71,31 @@
             shutil.rmtree(folder)
 
 
-def torn(old: bytes, new: bytes, chance: random.Random) -> bytes:
-    """A file written from `old` to `new` without a sync: any of its sectors may be either, or zero past the old end."""
-    size = chance.choice((len(old), len(new), chance.randint(min(len(old), len(new)), len(new))))
+def torn(old: bytes, new: bytes, rng: random.Random) -> bytes:
+    """A file written from `old` to `new` without a sync: each sector may be either, or zeros past the old end."""
+    size = rng.choice((len(old), len(new), rng.randint(min(len(old), len(new)), len(new))))
     new = new.ljust(size, b"\0")
     parts = []
     for start in range(0, size, SECTOR):
         end = min(start + SECTOR, size)
         before = old[start:end].ljust(end - start, b"\0")
-        parts.append(before if chance.random() < 0.5 else new[start:end])
+        parts.append(before if rng.random() < 0.5 else new[start:end])
     return b"".join(parts)
 
 
 class TestPower(StoreCase):
-    """Power fails."""
+    """Power losses."""
 
     def test_what_was_kept_outlives_a_torn_write(self) -> None:
-        chance = random.Random(1)
+        rng = random.Random(1)
         store, _ = self.open()
         before = self.files()
         for number in range(1, 40):
-            store.write(save(number, size=chance.choice((10, 300, 3000))))
+            store.write(save(number, size=rng.choice((10, 300, 3000))))
             now = self.files()
             self.assertEqual(now[FILE_NAME], before[FILE_NAME], "the write-ahead log alone is written")
             for _ in range(6):
-                wal = torn(before.get(FILE_NAME + "-wal", b""), now[FILE_NAME + "-wal"], chance)
+                wal = torn(before.get(FILE_NAME + "-wal", b""), now[FILE_NAME + "-wal"], rng)
                 saved = self.after({**now, FILE_NAME + "-wal": wal})
                 self.assertIsNotNone(saved)
                 assert saved is not None
@@ -108,10 +108,10 @@
         store.close()
 
     def test_what_was_kept_outlives_a_torn_checkpoint(self) -> None:
-        chance = random.Random(2)
+        rng = random.Random(2)
         store, _ = self.open()
         for number in range(1, 60):
-            store.write(save(number, size=chance.choice((10, 300, 3000))))
+            store.write(save(number, size=rng.choice((10, 300, 3000))))
             before = self.files()
             if number % 6:
                 continue
@@ -119,15 +119,15 @@
             middle = self.files()
             self.assertNotEqual(before[FILE_NAME], middle[FILE_NAME])
             self.assertEqual(before[FILE_NAME + "-wal"], middle[FILE_NAME + "-wal"])
-            for _ in range(6):  # the file is synced before the log starts over
-                saved = self.after({**before, FILE_NAME: torn(before[FILE_NAME], middle[FILE_NAME], chance)})
+            for _ in range(6):  # the file is synced before the log restarts
+                saved = self.after({**before, FILE_NAME: torn(before[FILE_NAME], middle[FILE_NAME], rng)})
                 self.assertEqual(saved and len(saved.entries), number)
-            store.write(save(number, term=2))  # the log starts over, over the old frames
+            store.write(save(number, term=2))  # the log restarts, over its old frames
             now = self.files()
             self.assertEqual(now[FILE_NAME], middle[FILE_NAME])
-            for _ in range(12):  # its head is synced before its frames are written
-                begun = now[FILE_NAME + "-wal"][:32] + middle[FILE_NAME + "-wal"][32:]
-                saved = self.after({**now, FILE_NAME + "-wal": torn(begun, now[FILE_NAME + "-wal"], chance)})
+            for _ in range(12):  # its header is synced before its frames are written
+                started = now[FILE_NAME + "-wal"][:32] + middle[FILE_NAME + "-wal"][32:]
+                saved = self.after({**now, FILE_NAME + "-wal": torn(started, now[FILE_NAME + "-wal"], rng)})
                 assert saved is not None
                 self.assertEqual(len(saved.entries), number)
                 self.assertIn(saved.entries[-1].term, (1, 2))
@@ -151,7 +151,9 @@
         self.assertEqual(saved and len(saved.entries), 20)
 
     def test_why_not_a_journal_that_is_removed(self) -> None:
-        """Below EXTRA a removal is not synced: the journal comes back, and takes back a commit that was told."""
+        """Below synchronous=EXTRA the removal of a journal is not synced: the journal can come back, and take back a
+        commit already reported.
+        """
         path = self.folder / "other.sqlite"
         connection = sqlite3.connect(path, isolation_level=None)
         for pragma in ("journal_mode=DELETE", "synchronous=FULL", "cache_size=1"):
@@ -180,12 +182,12 @@
 
 
 class TestNumbered(StoreCase):
-    """Faults at each write, change of length, sync and removal by its number, from the first start on."""
+    """Faults at each numbered write, truncation, sync and removal, from the first start on."""
 
     ACTS = 20
 
     def act(self, store: Store, number: int) -> None:
-        """One of the saves of a life: entries small and large, one cut, a snapshot now and then, a note."""
+        """One step of an incarnation: small and large entries, now and then a truncation, a snapshot or a note."""
         if number % 10 == 9:
             store.write(
                 Save(
@@ -203,9 +205,11 @@
         else:
             store.write(save(number, term=number, size=(10, 300, 3000)[number % 3]))
 
-    def life(self, disk: FaultyDisk, told: dict[int, int]) -> Store:
-        """Three lives on one folder, the last left open; whatever is refused is tried again. `told`: done -> act
-        kept."""
+    def run_incarnations(self, disk: FaultyDisk, stored_steps: dict[int, int]) -> Store:
+        """Run three incarnations on one folder, the last left open; repeat whatever is refused.
+
+        `stored_steps`: number of disk operations -> last step reported as stored.
+        """
 
         def until(work: Callable[[], Any]) -> Any:
             for _ in range(9):
@@ -217,13 +221,13 @@
             store = Store()
             saved = until(lambda: store.open(self.folder, start == 0, "10.1.0.15", FOUNDERS))
             self.assertEqual(saved.me, "10.1.0.15#founder")
-            told[len(disk.done)] = start * self.ACTS
+            stored_steps[len(disk.done)] = start * self.ACTS
             for number in range(start * self.ACTS + 1, (start + 1) * self.ACTS + 1):
                 until(lambda: self.act(store, number))
-                told[len(disk.done)] = number
+                stored_steps[len(disk.done)] = number
             if start == 0:
                 until(store.close)
-            elif start == 1:  # killed: what SQLite does when it closes comes never
+            elif start == 1:  # killed: SQLite's work on closing never happens
                 files, at = self.files(), len(disk.done)
                 store._connection.close()
                 for name, content in files.items():
@@ -231,48 +235,48 @@
                 del disk.done[at:]
         return store
 
-    def holds(self, files: Files, told: int, begun: int) -> None:
-        """A start from such files reads all that was told and nothing but what was begun."""
+    def holds(self, files: Files, stored_steps: int, started: int) -> None:
+        """A start from these files reads everything reported as stored, and nothing but what was started."""
         saved = self.after(files)
         self.assertIsNotNone(saved, "called damaged")
         assert saved is not None
         self.assertEqual(saved.me, "10.1.0.15#founder")
-        self.assertIn(saved.term, range(told, begun + 1))
+        self.assertIn(saved.term, range(stored_steps, started + 1))
         self.assertEqual(saved.entries[-1].index if saved.entries else 0, saved.term)
 
     def test_power_lost_after_each(self) -> None:
-        disk, told, chance = FaultyDisk(), {0: 0}, random.Random(5)
+        disk, stored_steps, rng = FaultyDisk(), {0: 0}, random.Random(5)
         with disk.own(self.folder):
-            self.life(disk, told)
-        acts, most = 0, len(disk.done)
+            self.run_incarnations(disk, stored_steps)
+        step, most = 0, len(disk.done)
         with FaultyDisk():
             for number in range(most):
-                acts = told.get(number, acts)
+                step = stored_steps.get(number, step)
                 with self.subTest(number, done=disk.done[number - 1][:2]):
-                    self.holds(disk.left(number, chance, chance.random() < 0.3), acts, acts + 1)
+                    self.holds(disk.left(number, rng, rng.random() < 0.3), step, step + 1)
         self.assertGreater(most, 500)
 
     def test_each_refused_or_the_disk_full_and_then_power_lost(self) -> None:
-        disk, chance = FaultyDisk(), random.Random(6)
+        disk, rng = FaultyDisk(), random.Random(6)
         with disk.own(self.folder):
-            self.life(disk, {})
+            self.run_incarnations(disk, {})
         most = len(disk.done)
         for number in range(0, most, 11):
             self.setUp()
-            disk, told, codes = FaultyDisk(), {0: 0}, (REFUSED.get, lambda kind: FULL)
-            times = chance.choice((1, 2, 4))
+            disk, stored_steps, codes = FaultyDisk(), {0: 0}, (REFUSED.get, lambda kind: FULL)
+            times = rng.choice((1, 2, 4))
             disk.refuse = lambda at, kind: codes[number % 2](kind) or 0 if number <= at < number + times else 0
             with disk.own(self.folder), self.subTest(number):
-                store = self.life(disk, told)  # noqa: F841  not closed: the disk fails under a life that goes on
+                store = self.run_incarnations(disk, stored_steps)  # noqa: F841  not closed: the disk fails under a running incarnation
             with FaultyDisk(), self.subTest(number):
                 self.holds(self.files(), 3 * self.ACTS, 3 * self.ACTS)
-                for cut in (number, number + times, *(chance.randrange(number, len(disk.done)) for _ in range(2))):
-                    acts = told[max(at for at in told if at <= cut)]
-                    self.holds(disk.left(cut, chance, chance.random() < 0.3), acts, acts + 1)
+                for cut in (number, number + times, *(rng.randrange(number, len(disk.done)) for _ in range(2))):
+                    step = stored_steps[max(at for at in stored_steps if at <= cut)]
+                    self.holds(disk.left(cut, rng, rng.random() < 0.3), step, step + 1)
 
 
 class TestFolder(StoreCase):
-    """Folders that the store makes, as a group's are."""
+    """Folders that the store creates, as a claim group's are."""
 
     def test_each_folder_made_has_its_name_synced_before_the_file_is_there(self) -> None:
         with FolderNames() as names:
@@ -296,7 +300,7 @@
 
 
 class TestFile(StoreCase):
-    """What the file holds, and refuses."""
+    """What the file holds and refuses."""
 
     def test_identities(self) -> None:
         saved = self.open()[1]
@@ -339,7 +343,7 @@
         store.close()
         store, saved = self.open()
         self.assertEqual(saved.commit, 4)
-        store._connection.execute("DELETE FROM meta WHERE key = 'commit'")  # as the text before this row left it
+        store._connection.execute("DELETE FROM meta WHERE key = 'commit'")  # as versions before this row left it
         store.write(Save(2, 1, None, [], None, (2, 1, {}, {})))
         store.close()
         store, saved = self.open()
@@ -384,13 +388,13 @@
                 leftover.unlink()
             with self.subTest(change), self.assertRaisesRegex(StoreError, FILE_NAME):
                 self.open()
-        whole = self.after({FILE_NAME: good})
-        chance = random.Random(3)
+        intact = self.after({FILE_NAME: good})
+        rng = random.Random(3)
         for _ in range(60):
             bad = bytearray(good)
-            start = chance.randrange(0, len(bad), SECTOR)
-            bad[start : start + SECTOR] = bytes(SECTOR) if chance.random() < 0.5 else os.urandom(SECTOR)
-            self.assertIn(self.after({FILE_NAME: bytes(bad)}), (None, whole))
+            start = rng.randrange(0, len(bad), SECTOR)
+            bad[start : start + SECTOR] = bytes(SECTOR) if rng.random() < 0.5 else os.urandom(SECTOR)
+            self.assertIn(self.after({FILE_NAME: bytes(bad)}), (None, intact))
         self.assertIsNone(self.after({FILE_NAME: good[: len(good) // 2]}))
 
     def test_one_process_at_a_time(self) -> None:
@@ -406,21 +410,21 @@
         now = self.files()
         store.close()
         self.assertIsNone(
-            self.after({FILE_NAME: now[FILE_NAME]}), "by itself the file reads as whole, and as of earlier"
+            self.after({FILE_NAME: now[FILE_NAME]}), "by itself the file reads as intact, and from an earlier time"
         )
         self.assertIsNone(self.after({FILE_NAME + "-wal": now[FILE_NAME + "-wal"]}))
-        whole, length = self.after(now), len(now[FILE_NAME + "-wal"])
+        intact, length = self.after(now), len(now[FILE_NAME + "-wal"])
         for start in range(32 + SECTOR, length, 4 * SECTOR):
             log = bytearray(now[FILE_NAME + "-wal"])
             log[start : start + SECTOR] = bytes(255 - one for one in log[start : start + SECTOR])
             saved = self.after({**now, FILE_NAME + "-wal": bytes(log)})
             if start < length - 6 * 4120:
                 self.assertIsNone(saved, start)
-            else:  # it may be a commit that was torn
-                self.assertTrue(saved is None or saved == whole or len(saved.entries) in (17, 18), start)
+            else:  # it may be a torn commit
+                self.assertTrue(saved is None or saved == intact or len(saved.entries) in (17, 18), start)
 
     def test_what_is_set_aside_makes_another_machine_even_at_a_first_start(self) -> None:
-        disk, chance = FaultyDisk(), random.Random(7)
+        disk, rng = FaultyDisk(), random.Random(7)
         with disk.own(self.folder):
             store, _ = self.open()
             store.write(save(1, 30))
@@ -431,19 +435,19 @@
                 disk.refuse = lambda at, one: int(one == kind)
                 with self.assertRaises(StoreUnavailableError if kind == "rename" else StoreDamagedError):
                     store.set_aside() if kind == "rename" else self.open()
-            disk.refuse, begun = lambda at, one: 0, len(disk.done)
+            disk.refuse, started = lambda at, one: 0, len(disk.done)
             store.set_aside()
             saved = self.open()[1]
             self.assertTrue(saved.me.startswith("10.1.0.15#") and saved.me not in FOUNDERS)
             self.assertEqual((saved.members, saved.entries), ({}, []))
             self.assertIn(DAMAGED_FILE_NAME, self.files())
         with FaultyDisk():
-            for number in range(begun, len(disk.done)):
-                for _ in range(4):  # whatever a loss of power brings back, the old one is never whole again
-                    files = disk.left(number, chance, chance.random() < 0.3)
+            for number in range(started, len(disk.done)):
+                for _ in range(4):  # whatever a power loss brings back, the old file never reads as intact again
+                    files = disk.left(number, rng, rng.random() < 0.3)
                     after = self.after(files)
                     if FILE_NAME in files and files[FILE_NAME] == good:
-                        continue  # the damage itself was no write of this disk's
+                        continue  # the damage itself was not written through this disk
                     self.assertTrue(after is None or after.me not in FOUNDERS, number)
         small, _ = self.open(Path(tempfile.mkdtemp(dir=self.folder)), disk_mb=0.03)
         small._connection.close()
@@ -468,7 +472,7 @@
         store.close()
 
     def test_a_disk_of_that_size_is_never_full(self) -> None:
-        """Compacted as the program does it, after a quarter of the disk, with a record of a quarter."""
+        """Compacted as the program does it: after a quarter of the disk, with a snapshot of a quarter."""
         disk, last = FaultyDisk(), 0
         with disk.own(self.folder):
             disk.most = 3_000_000
@@ -482,7 +486,7 @@
             store._connection.close()
 
     def test_three_of_the_largest_orders_at_once_leave_room(self) -> None:
-        """They come before the state is put down once, and again after each restart, beside a state of that size."""
+        """They come before the log is compacted once, and again after each restart, beside a state of that size."""
         disk, last = FaultyDisk(), 0
         largest = int(3_000_000 * DISK_PART) // 2
         with disk.own(self.folder):
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -652,7 +652,7 @@
                 return 200, {}, b""
 
         conductor = SliceManager("me", None, Board("b"), Loads(), Node(), GrantTiming(), 1, None)
-        conductor.keeper.on_call_ended = lambda at, order, status, *_: ends.append((order.fence, status))
+        conductor.grant_manager.on_call_ended = lambda at, order, status, *_: ends.append((order.fence, status))
         lanes = LANES["grant"]
         orders = [
             Grant("i-1", ("10.0.1.1", 80), 0, 31, n, 6.0, None, "s", (0,), 5.0 if n < lanes + 2 else 2.0)
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -560,17 +560,17 @@
                     mock.patch.object(poller, "give", give),
                 ):
                     poller.role(True)
-                    tenure = poller.tenure
-                    tenure.since -= 10 * LEASE_S  # all that were not heard have surely ended
-                    tenure.renew(clock(), a)
+                    conductor_leases = poller.conductor_leases
+                    conductor_leases.since -= 10 * LEASE_S  # all that were not heard have surely ended
+                    conductor_leases.renew(clock(), a)
                     happens = {
                         "nothing": lambda: None,
-                        "is back": lambda: (tenure.renew(clock(), b), tenure.renew(clock(), c)),
+                        "is back": lambda: (conductor_leases.renew(clock(), b), conductor_leases.renew(clock(), c)),
                         "office lost": lambda: poller.role(False),
                         "office anew": lambda: poller.role(True),
                     }[what]
                     given.clear()
-                    await poller.mind(tenure, "s")
+                    await poller.mind(conductor_leases, "s")
                     self.assertEqual(len(given), taken)
 
         play(story)
