--- a/tests/system/test_leases.py
+++ b/tests/system/test_leases.py
@@ -1,6 +1,8 @@
-"""Ledger and keeper: units, and a world in memory in which calls are lost and programs die, freeze and lag.
+"""Ledger and grant manager: unit tests, and a simulated world in which calls are lost and programs crash, freeze and
+lag.
 
-Nothing sleeps: time is the world's. The checker knows nodes and arrivals only, nothing of the keeper."""
+Nothing sleeps: time is simulated. The checker knows only nodes and arrivals, and nothing of the grant manager.
+"""
 
 import heapq
 import itertools
@@ -32,25 +34,25 @@
 
 
 class OwnerChecker:
-    """OWNER on true arrivals: no two nodes that are up hold a slice."""
+    """Checks OWNER on actual arrivals: no two running nodes hold a slice."""
 
     def __init__(self):
         self.holds = {}  # slice -> {node: end}
         self.broken = []
 
-    def begins(self, at, id, slice, until):
-        line = self.holds.setdefault(slice, {})
-        for other, end in line.items():
-            if other != id and end > at:
-                self.broken.append(f"{at:.3f}: {id} gets {slice}, which {other} holds until {end:.3f}")
-        line[id] = until
+    def on_hold_started(self, now, id, slice, until):
+        holds = self.holds.setdefault(slice, {})
+        for other, end in holds.items():
+            if other != id and end > now:
+                self.broken.append(f"{now:.3f}: {id} gets {slice}, which {other} holds until {end:.3f}")
+        holds[id] = until
 
-    def ends(self, id, slice):
+    def on_hold_ended(self, id, slice):
         self.holds.get(slice, {}).pop(id, None)
 
-    def died(self, id):
-        for line in self.holds.values():
-            line.pop(id, None)
+    def on_node_died(self, id):
+        for holds in self.holds.values():
+            holds.pop(id, None)
 
 
 class TrueNode:
@@ -58,228 +60,249 @@
         self.world, self.id, self.address, self.sharded = world, id, address, sharded
         self.rate = world.random.choice((1.0, 0.98))
         self.seen, self.held = {}, {}
-        self.release_counts = world.random.random() < 0.5  # whether a release counts as a fence that was seen
+        self.release_counts = world.random.random() < 0.5  # whether a release counts as a fence seen
         self.keeps_longest = (
             int(id[1:]) % 2 == 0
-        )  # of two grants under one fence: pages don't say whether a hold shrinks
+        )  # of two grants under one fence: the protocol does not say whether the second may shorten the hold
         self.draining = False
 
-    def take(self, order):
-        """A call arrives; its status and handover, and how long the answer takes."""
-        at = self.world.now
+    def take(self, action):
+        """Handle a call; return its status and handover, and how long the answer takes."""
+        now = self.world.now
         if not self.sharded:
             return 404, None, 0.0
-        if isinstance(order, Grant):
-            if any(self.seen.get(k, 0) > order.fence for k in order.slices):
+        if isinstance(action, Grant):
+            if any(self.seen.get(number, 0) > action.fence for number in action.slices):
                 return 409, None, 0.0
-            for k in order.slices:
-                until = at + order.hold / self.rate
-                longest = max(until, self.held.get(k, until)) if self.keeps_longest else until
-                self.seen[k], self.held[k] = order.fence, longest
-                self.world.checker.begins(at, self.id, k, self.held[k])
+            for number in action.slices:
+                until = now + action.hold / self.rate
+                longest = max(until, self.held.get(number, until)) if self.keeps_longest else until
+                self.seen[number], self.held[number] = action.fence, longest
+                self.world.checker.on_hold_started(now, self.id, number, self.held[number])
             return 200, None, 0.0
-        for k in order.slices:
+        for number in action.slices:
             if self.release_counts:
-                self.seen[k] = max(order.fence, self.seen.get(k, 0))
-            if self.held.pop(k, 0) > at:
-                self.world.checker.ends(self.id, k)
+                self.seen[number] = max(action.fence, self.seen.get(number, 0))
+            if self.held.pop(number, 0) > now:
+                self.world.checker.on_hold_ended(self.id, number)
         return 200, f"h-{self.id}", self.world.random.uniform(0, 0.4)
 
 
-class SliceManager:
-    """A program around a keeper, as the core's should be."""
+class ConductorProgram:
+    """A program that drives a GrantManager, as a core does."""
 
     def __init__(self, world, name):
         self.world, self.name = world, name
-        self.life, self.frozen_until, self.cut_until, self.up = 0, 0.0, 0.0, True
-        self.deaf = {}  # nodes that nothing of this conductor reaches, until when
-        self.refused = {}  # nodes that live, but whose connections something on the way refuses, until when
+        self.incarnation, self.frozen_until, self.cut_until, self.up = 0, 0.0, 0.0, True
+        self.unreachable_until = {}  # node -> until when no call of this conductor reaches it
+        self.refused_until = {}  # running node -> until when its connections are refused on the way
         self.start(0)
 
     def start(self, at):
-        """A new life, from what its disk had of the log: the first `at` entries."""
-        self.life += 1
-        self.waking = 0.0
+        """Start a new incarnation from what its disk has of the log: the first `at` entries."""
+        self.incarnation += 1
+        self.wakes_at = 0.0
         self.up = True
-        self.ledger, self.at = Ledger(), 0
+        self.ledger, self.log_index = Ledger(), 0
         for index, command in enumerate(self.world.log[:at], 1):
             self.ledger.apply(index, command)
-        self.at = at
+        self.log_index = at
         self.ledger = Ledger.from_dict(json.loads(json.dumps(self.ledger.to_dict())))
-        self.keeper = self.world.keeper(self.name, PACE, self.world.random.randrange(1 << 30), self.world.now)
-        self.keeper.on_ledger(self.world.now, self.ledger)
+        self.manager = self.world.manager_class(self.name, PACE, self.world.random.randrange(1 << 30), self.world.now)
+        self.manager.on_ledger(self.world.now, self.ledger)
         self.later(0.0, self.ask)
         self.later(0.0, self.read)
         self.later(0.0, self.list)
         self.later(self.world.random.uniform(0.1, 0.5), self.place)
 
     def later(self, delay, do, *given):
-        life = self.life
+        incarnation = self.incarnation
 
         def come():
-            if self.life != life or not self.up:
+            if self.incarnation != incarnation or not self.up:
                 return
             if self.world.now < self.frozen_until:
-                self.world.at(self.frozen_until + self.world.random.uniform(0, 0.01), come)
+                self.world.schedule(self.frozen_until + self.world.random.uniform(0, 0.01), come)
                 return
             do(*given)
             self.run()
 
-        self.world.at(self.world.now + delay, come)
+        self.world.schedule(self.world.now + delay, come)
 
     def run(self):
-        now, keeper = self.world.now, self.keeper
-        keeper.tick(now)
-        orders, keeper.actions = keeper.actions, []
-        for order in orders:
-            if isinstance(order, Propose):
+        now, manager = self.world.now, self.manager
+        manager.tick(now)
+        actions, manager.actions = manager.actions, []
+        for action in actions:
+            if isinstance(action, Propose):
                 if now >= self.cut_until:
-                    self.world.propose(order.command)
+                    self.world.propose(action.command)
             else:
-                assert isinstance(order, Release) or now < order.expires
-                self.world.call(self, order)
-        due = max(now + 0.001, keeper.wake_at)
-        if due < math.inf and not now < self.waking <= due:
-            self.waking = due
+                assert isinstance(action, Release) or now < action.expires
+                self.world.call(self, action)
+        due = max(now + 0.001, manager.wake_at)
+        if due < math.inf and not now < self.wakes_at <= due:
+            self.wakes_at = due
             self.later(due - now, lambda: None)
 
     def ask(self):
-        """For the lease."""
-        sent, r = self.world.now, self.world.random
+        """Request the lease."""
+        sent, rng = self.world.now, self.world.random
         if sent >= self.cut_until:
 
             def asked():
                 until, index = self.world.leader.answer(self.name, sent)
-                self.later(r.uniform(0, 0.05), lambda: self.keeper.on_lease_proven(self.world.now, until, index))
+                self.later(rng.uniform(0, 0.05), lambda: self.manager.on_lease_proven(self.world.now, until, index))
 
-            self.world.at(sent + r.uniform(0, 0.05), asked)
+            self.world.schedule(sent + rng.uniform(0, 0.05), asked)
         self.later(0.5, self.ask)
 
     def read(self):
-        """The log as far as it came; now and then far behind."""
-        log, r = self.world.log, self.world.random
-        while self.at < len(log) and self.world.now >= self.cut_until:
-            self.at += 1
-            self.ledger.apply(self.at, log[self.at - 1])
-            self.keeper.on_ledger(self.world.now, self.ledger, self.ledger.changed)
-        lags = self.world.trouble and r.random() < 0.02
-        self.later(r.uniform(1, 4) if lags else r.uniform(0.005, 0.03), self.read)
+        """Read the log as far as it has come; now and then far behind."""
+        log, rng = self.world.log, self.world.random
+        while self.log_index < len(log) and self.world.now >= self.cut_until:
+            self.log_index += 1
+            self.ledger.apply(self.log_index, log[self.log_index - 1])
+            self.manager.on_ledger(self.world.now, self.ledger, self.ledger.changed)
+        lags = self.world.has_faults and rng.random() < 0.02
+        self.later(rng.uniform(1, 4) if lags else rng.uniform(0.005, 0.03), self.read)
 
     def list(self):
         self.nodes = self.world.listed()
-        self.keeper.on_nodes_listed(self.world.now, self.nodes)
+        self.manager.on_nodes_listed(self.world.now, self.nodes)
         self.later(self.world.random.uniform(0.3, 0.6), self.list)
 
-    def homeless(self, k, owner, live, lapsed):
-        """Whether a slice's owner can't serve it: one that is only not reached keeps it until it lapses."""
-        waits = owner in self.nodes and not self.nodes[owner].draining and ("s", k) not in lapsed
+    def needs_move(self, number, owner, live, lapsed):
+        """Whether a slice's owner can't serve it; an owner that merely can't be reached keeps it until it lapses."""
+        waits = owner in self.nodes and not self.nodes[owner].draining and ("s", number) not in lapsed
         return owner not in live and not waits
 
     def place(self):
-        """Moves what lies on nodes that are gone, and now and then anything."""
-        r = self.world.random
+        """Move slices from nodes that are gone, and now and then any slice."""
+        rng = self.world.random
         live = [
             id
-            for id, x in self.nodes.items()
-            if not x.draining and x.service == "s" and not self.keeper.is_unreachable(id)
+            for id, listed in self.nodes.items()
+            if not listed.draining and listed.service == "s" and not self.manager.is_unreachable(id)
         ]
-        moves, lapsed = [], self.keeper.lapsed_slices(self.world.now)
-        for k in range(self.world.slices):
-            x = self.ledger.slices["s"][k] if "s" in self.ledger.slices else None
-            if x is None or x.conductor != self.name or not live:
+        moves, lapsed = [], self.manager.lapsed_slices(self.world.now)
+        for number in range(self.world.slices):
+            row = self.ledger.slices["s"][number] if "s" in self.ledger.slices else None
+            if row is None or row.conductor != self.name or not live:
                 continue
-            if self.homeless(k, x.owner, live, lapsed) or self.world.trouble and r.random() < 0.1:
-                target = live[k % len(live)] if not x.owner else r.choice(live)
-                if moves and moves[-1][2] == k - 1 and r.random() < 0.8:
+            if self.needs_move(number, row.owner, live, lapsed) or self.world.has_faults and rng.random() < 0.1:
+                target = live[number % len(live)] if not row.owner else rng.choice(live)
+                if moves and moves[-1][2] == number - 1 and rng.random() < 0.8:
                     target = moves[-1][4]
-                moves.append(["s", k, k, x.fence, target])
+                moves.append(["s", number, number, row.fence, target])
         if moves:
             self.world.propose({"do": "move", "by": self.name, "moves": moves})
-        self.later(r.uniform(0.2, 0.8), self.place)
+        self.later(rng.uniform(0.2, 0.8), self.place)
 
 
 class Leader:
     def __init__(self, world):
-        self.world, self.good, self.ledger, self.at = world, {}, Ledger(), 0
-        self.handed, self.random = -math.inf, random.Random(world.seed)
+        self.world, self.lease_ends, self.ledger, self.log_index = world, {}, Ledger(), 0
+        self.handed_over_at, self.random = -math.inf, random.Random(world.seed)
 
     def answer(self, name, sent):
-        self.good[name] = self.world.now + LEASE
+        self.lease_ends[name] = self.world.now + LEASE
         return sent + LEASE, len(self.world.log)
 
-    def turn(self):
+    def step(self):
         world = self.world
-        while self.at < len(world.log):
-            self.at += 1
-            self.ledger.apply(self.at, world.log[self.at - 1])
-        live = sorted(name for name, until in self.good.items() if world.now < until)
-        for n, x in enumerate(self.ledger.slices["s"][: world.slices]):
-            if live and x.conductor not in live and (not x.conductor or x.conductor in self.good):
-                self.lease(live[n * len(live) // world.slices], n, n)
-        if len(live) > 1 and world.trouble and self.random.random() < 0.3:
-            self.handed, first = world.now, self.random.randrange(world.slices)  # of whoever lives and leases them
+        while self.log_index < len(world.log):
+            self.log_index += 1
+            self.ledger.apply(self.log_index, world.log[self.log_index - 1])
+        live = sorted(name for name, until in self.lease_ends.items() if world.now < until)
+        for number, row in enumerate(self.ledger.slices["s"][: world.slices]):
+            if live and row.conductor not in live and (not row.conductor or row.conductor in self.lease_ends):
+                self.lease(live[number * len(live) // world.slices], number, number)
+        if len(live) > 1 and world.has_faults and self.random.random() < 0.3:
+            self.handed_over_at, first = (
+                world.now,
+                self.random.randrange(world.slices),
+            )  # of any conductor that is alive and leases them
             self.lease(self.random.choice(live), first, min(first + self.random.randrange(6), world.slices - 1))
-        world.at(world.now + 0.3, self.turn)
+        world.schedule(world.now + 0.3, self.step)
 
     def lease(self, to, first, last):
         self.world.log.append(
-            {"do": "lease", "to": to, "early": self.world.now < self.handed + LEASE, "slices": {"s": [[first, last]]}}
+            {
+                "do": "lease",
+                "to": to,
+                "early": self.world.now < self.handed_over_at + LEASE,
+                "slices": {"s": [[first, last]]},
+            }
         )
 
 
 class World:
-    """Two conductors, some nodes, faults until `calm`, and then quiet until the end."""
+    """Two conductors and some nodes, with faults until `calm` and none from then on."""
 
     FAULTS = ("kill", "freeze", "cut", "deaf", "deaf", "crash", "drain", "add")
-    CUTS = ("cut", *("add",) * 15)  # one at a time, so that the other one is there to move what it was handed
-
-    def __init__(self, seed, keeper=GrantManager, length=45.0, calm=25.0, slices=12, faults=FAULTS, good=0.7):
-        self.seed, self.random, self.keeper, self.slices, self.calm = seed, random.Random(seed), keeper, slices, calm
-        self.now, self.heap, self.count = 0.0, [], itertools.count()
+    CUTS = ("cut", *("add",) * 15)  # one at a time, so that the other conductor can move what was handed to it
+
+    def __init__(
+        self, seed, manager_class=GrantManager, length=45.0, calm=25.0, slices=12, faults=FAULTS, good_share=0.7
+    ):
+        self.seed, self.random, self.manager_class, self.slices, self.calm = (
+            seed,
+            random.Random(seed),
+            manager_class,
+            slices,
+            calm,
+        )
+        self.now, self.events, self.count = 0.0, [], itertools.count()
         self.faults = faults
-        self.good = good  # the share of calls that nothing happens to
+        self.good_share = good_share  # the part of the calls without a fault
         self.checker, self.log = OwnerChecker(), [{"do": "shard", "services": ["s"]}]
         self.up, self.ports, self.rows, self.ids = {}, {}, [], itertools.count()
-        self.missed = {}  # nodes that live and that no reading of the list has, until when
+        self.unlisted_until = {}  # running node -> until when it is missing from the list
         for _ in range(4):
             self.start_node()
         self.history = [(-9.0, self.snapshot())]
         self.leader = Leader(self)
-        self.conductors = [SliceManager(self, name) for name in "ab"]
-        self.at(0.6, self.leader.turn)
-        self.at(2.0, self.fault)
-        while self.heap and self.heap[0][0] < length and not self.checker.broken:
-            self.now, _, do = heapq.heappop(self.heap)
+        self.conductors = [ConductorProgram(self, name) for name in "ab"]
+        self.schedule(0.6, self.leader.step)
+        self.schedule(2.0, self.fault)
+        while self.events and self.events[0][0] < length and not self.checker.broken:
+            self.now, _, do = heapq.heappop(self.events)
             do()
 
-    trouble = property(lambda self: self.now < self.calm)
+    has_faults = property(lambda self: self.now < self.calm)
 
-    def at(self, time, do):
-        heapq.heappush(self.heap, (time, next(self.count), do))
+    def schedule(self, time, do):
+        heapq.heappush(self.events, (time, next(self.count), do))
 
     # --- nodes ---
 
     def start_node(self, address=None, sharded=True):
         number = next(self.ids)
-        x = TrueNode(self, f"n{number}", address or ("10.0.0.9", 1000 + number), sharded)
-        self.up[x.id] = self.ports[x.address] = x
+        node_state = TrueNode(self, f"n{number}", address or ("10.0.0.9", 1000 + number), sharded)
+        self.up[node_state.id] = self.ports[node_state.address] = node_state
         self.note()
 
-    def end_node(self, x):
-        """A crash or an end: the port is closed; the list shows it for some seconds after a crash."""
-        del self.up[x.id], self.ports[x.address]
-        self.checker.died(x.id)
-        stays = 0.0 if x.draining else 3.0
+    def end_node(self, node_state):
+        """A node crashes or ends: its port closes, and after a crash the list keeps it for some seconds."""
+        del self.up[node_state.id], self.ports[node_state.address]
+        self.checker.on_node_died(node_state.id)
+        stays = 0.0 if node_state.draining else 3.0
         if stays:
-            self.rows.append((self.now + stays, x))
+            self.rows.append((self.now + stays, node_state))
         self.note()
-        self.at(self.now + stays + 0.001, self.note)
+        self.schedule(self.now + stays + 0.001, self.note)
         if self.random.random() < 0.5:
-            self.at(self.now + 2.0, lambda: self.start_node(x.address, sharded=False))
+            self.schedule(self.now + 2.0, lambda: self.start_node(node_state.address, sharded=False))
 
     def snapshot(self):
-        rows = [*self.up.values(), *(x for until, x in self.rows if until > self.now)]
-        return {x.id: node(x.id, x.address, "s" if x.sharded else "t", draining=x.draining) for x in rows}
+        rows = [*self.up.values(), *(node_state for until, node_state in self.rows if until > self.now)]
+        return {
+            node_state.id: node(
+                node_state.id, node_state.address, "s" if node_state.sharded else "t", draining=node_state.draining
+            )
+            for node_state in rows
+        }
 
     def note(self):
         if hasattr(self, "history"):
@@ -288,116 +311,122 @@
     def listed(self):
         lag = self.now - self.random.uniform(0.2, 1.0)
         rows = next(rows for at, rows in reversed(self.history) if at <= lag)
-        return {id: x for id, x in rows.items() if self.now >= self.missed.get(id, 0.0)}
+        return {id: node_state for id, node_state in rows.items() if self.now >= self.unlisted_until.get(id, 0.0)}
 
     # --- calls ---
 
     def propose(self, command):
-        r = self.random
-        times = 1 if not self.trouble else r.choice((0, 1, 1, 1, 1, 1, 1, 2))
+        rng = self.random
+        times = 1 if not self.has_faults else rng.choice((0, 1, 1, 1, 1, 1, 1, 2))
         for _ in range(times):
-            self.at(self.now + r.uniform(0.005, 0.05), lambda: self.log.append(command))
-
-    def call(self, conductor, order):
-        """A call arrives soon, late (up to its reset and the slack), or never; its answer may be lost."""
-        r, sent = self.random, self.now
-        limit = PACE.call_timeout if isinstance(order, Grant) else PACE.release_timeout
-        kind = "good" if not self.trouble or r.random() < self.good else r.choice(("late", "late", "no answer", "lost"))
-        if sent < conductor.deaf.get(order.node, 0.0):
+            self.schedule(self.now + rng.uniform(0.005, 0.05), lambda: self.log.append(command))
+
+    def call(self, conductor, action):
+        """A call arrives soon, late (until its reset plus the slack) or never; its answer may be lost."""
+        rng, sent = self.random, self.now
+        limit = PACE.call_timeout if isinstance(action, Grant) else PACE.release_timeout
+        kind = (
+            "good"
+            if not self.has_faults or rng.random() < self.good_share
+            else rng.choice(("late", "late", "no answer", "lost"))
+        )
+        if sent < conductor.unreachable_until.get(action.node, 0.0):
             kind = "lost"
-        if sent < conductor.refused.get(order.node, 0.0):
-            conductor.later(r.uniform(0.001, 0.01), lambda: conductor.keeper.on_call_ended(self.now, order, REFUSED))
+        if sent < conductor.refused_until.get(action.node, 0.0):
+            conductor.later(
+                rng.uniform(0.001, 0.01), lambda: conductor.manager.on_call_ended(self.now, action, REFUSED)
+            )
             return
         state = {"done": False}
 
         def answer(status, handover=None):
             if not state["done"]:
                 state["done"] = True
-                conductor.keeper.on_call_ended(self.now, order, status, handover)
+                conductor.manager.on_call_ended(self.now, action, status, handover)
 
         if kind != "lost":
 
             def arrive():
-                x = self.ports.get(order.address)
-                if x is None:
-                    if r.random() < 0.8:
+                node_state = self.ports.get(action.address)
+                if node_state is None:
+                    if rng.random() < 0.8:
                         conductor.later(0.001, answer, REFUSED)
                     return
-                status, handover, work = x.take(order)
+                status, handover, work = node_state.take(action)
                 if kind != "no answer":
-                    conductor.later(work + r.uniform(0, 0.3 if kind == "late" else 0.03), answer, status, handover)
+                    conductor.later(work + rng.uniform(0, 0.3 if kind == "late" else 0.03), answer, status, handover)
 
-            delay = r.uniform(0, 0.03) if kind == "good" else r.uniform(0, limit + PACE.delivery_slack)
-            self.at(sent + delay, arrive)
+            delay = rng.uniform(0, 0.03) if kind == "good" else rng.uniform(0, limit + PACE.delivery_slack)
+            self.schedule(sent + delay, arrive)
         conductor.later(limit, answer, None)
 
     # --- faults ---
 
     def fault(self):
-        if not self.trouble:
+        if not self.has_faults:
             self.heal()
             return
-        r, c = self.random, self.random.choice(self.conductors)
-        sharded = [x for x in self.up.values() if x.sharded and not x.draining]
-        match r.choice(self.faults):
-            case "kill" if c.up:
-                c.up = False
-                back = r.randint(max(0, c.at - 12), c.at)
+        rng, conductor = self.random, self.random.choice(self.conductors)
+        sharded = [node_state for node_state in self.up.values() if node_state.sharded and not node_state.draining]
+        match rng.choice(self.faults):
+            case "kill" if conductor.up:
+                conductor.up = False
+                back = rng.randint(max(0, conductor.log_index - 12), conductor.log_index)
 
                 def start():
-                    if not c.up:
-                        c.start(max(1, back))
+                    if not conductor.up:
+                        conductor.start(max(1, back))
 
-                self.at(self.now + r.uniform(0.05, 6), start)
+                self.schedule(self.now + rng.uniform(0.05, 6), start)
             case "freeze":
-                c.frozen_until = self.now + r.uniform(0.5, 6)
+                conductor.frozen_until = self.now + rng.uniform(0.5, 6)
             case "cut":
-                c.cut_until = self.now + r.uniform(2, 12)
+                conductor.cut_until = self.now + rng.uniform(2, 12)
             case "deaf":
-                c.deaf[r.choice(sharded).id] = self.now + r.uniform(5, 10)
+                conductor.unreachable_until[rng.choice(sharded).id] = self.now + rng.uniform(5, 10)
             case "refuse" | "refuse all" | "miss" as kind:
-                self.hide(kind, c, sharded)
+                self.hide(kind, conductor, sharded)
             case "crash" if len(sharded) > 2:
-                self.end_node(r.choice(sharded))
+                self.end_node(rng.choice(sharded))
             case "drain" if len(sharded) > 2:
-                x = r.choice(sharded)
-                x.draining = True
+                node_state = rng.choice(sharded)
+                node_state.draining = True
                 self.note()
-                self.at(self.now + 2.5, lambda: x.id in self.up and self.end_node(x))
+                self.schedule(self.now + 2.5, lambda: node_state.id in self.up and self.end_node(node_state))
             case "add" if len(sharded) < 6:
                 self.start_node()
-        self.at(self.now + r.uniform(0.2, 1.5), self.fault)
+        self.schedule(self.now + rng.uniform(0.2, 1.5), self.fault)
 
     def heal(self):
-        """Faults end."""
-        for c in self.conductors:
-            if not c.up:
-                c.start(c.at)
-            c.deaf.clear()
-            c.refused.clear()
-            c.frozen_until = c.cut_until = 0.0
+        """End all faults."""
+        for conductor in self.conductors:
+            if not conductor.up:
+                conductor.start(conductor.log_index)
+            conductor.unreachable_until.clear()
+            conductor.refused_until.clear()
+            conductor.frozen_until = conductor.cut_until = 0.0
 
     def hide(self, kind, conductor, sharded):
-        """Nodes that live, and that a conductor or all do not reach, or the list lacks."""
-        r, x, until = self.random, self.random.choice(sharded), self.now + self.random.uniform(1, 10)
+        """Running nodes that one conductor or all can't reach, or that the list lacks."""
+        rng, node_state, until = self.random, self.random.choice(sharded), self.now + self.random.uniform(1, 10)
         match kind:
             case "refuse":
-                conductor.refused[x.id] = until
+                conductor.refused_until[node_state.id] = until
             case "refuse all":
-                for each, y in itertools.product(self.conductors, r.sample(sharded, len(sharded) // 2)):
-                    each.refused[y.id] = until
+                for each, hidden in itertools.product(self.conductors, rng.sample(sharded, len(sharded) // 2)):
+                    each.refused_until[hidden.id] = until
             case "miss":
-                self.missed[x.id] = self.now + r.uniform(0.3, 4)
+                self.unlisted_until[node_state.id] = self.now + rng.uniform(0.3, 4)
 
-    def unserved(self):
-        """Slices that are not open at a live node that holds them."""
+    def unserved_slices(self):
+        """Slices that are not open at a running node that holds them."""
         ledger = Ledger()
         for index, command in enumerate(self.log, 1):
             ledger.apply(index, command)
         return [
-            (k, x)
-            for k, x in enumerate(ledger.slices["s"][: self.slices])
-            if not x.open or x.owner not in self.up or self.up[x.owner].held.get(k, 0) <= self.now
+            (number, row)
+            for number, row in enumerate(ledger.slices["s"][: self.slices])
+            if not row.open or row.owner not in self.up or self.up[row.owner].held.get(number, 0) <= self.now
         ]
 
 
@@ -407,14 +436,16 @@
             with self.subTest(seed=seed):
                 world = World(seed)
                 self.assertEqual(world.checker.broken, [])
-                self.assertEqual(world.unserved(), [])
-                self.assertEqual(World(seed, faults=World.CUTS, good=0.95).checker.broken, [])
+                self.assertEqual(world.unserved_slices(), [])
+                self.assertEqual(World(seed, faults=World.CUTS, good_share=0.95).checker.broken, [])
 
-    def found(self, keeper, *faults, good=0.7, first=0):
-        """A mistake shows in worlds that have what it wants; `first` is a seed shortly before one of a rare kind."""
+    def found(self, manager_class, *faults, good_share=0.7, first=0):
+        """A defect shows in worlds with the faults it needs; `first` is a seed shortly before one that shows a rare
+        defect.
+        """
         self.assertTrue(
             any(
-                World(seed, keeper, 30.0, 30.0, 12, faults or World.FAULTS, good).checker.broken
+                World(seed, manager_class, 30.0, 30.0, 12, faults or World.FAULTS, good_share).checker.broken
                 for seed in range(first, first + 60)
             )
         )
@@ -427,7 +458,7 @@
                 if status == 200:
                     holder.held_until = max(until, now + order.hold)
 
-        self.found(Mistaken, "deaf", good=0.9)
+        self.found(Mistaken, "deaf", good_share=0.9)
 
     def test_finds_a_hold_counted_from_the_sending(self):
         class Mistaken(GrantManager):
@@ -441,7 +472,7 @@
                 if holder.held_until > until:
                     holder.held_until = max(until, self.sent[order] + order.hold * CLOCK_SLOWDOWN)
 
-        self.found(Mistaken, "deaf", good=0.3)
+        self.found(Mistaken, "deaf", good_share=0.3)
 
     def test_finds_a_grant_before_the_old_holder_is_cleared(self):
         class Mistaken(GrantManager):
@@ -455,14 +486,14 @@
             def _extend_lease(self, now, until):
                 super()._extend_lease(now, math.inf)
 
-        self.found(Mistaken, "cut", good=0.9)
+        self.found(Mistaken, "cut", good_share=0.9)
 
     def test_finds_a_lease_that_does_not_wait_for_the_log(self):
         class Mistaken(GrantManager):
             def on_lease_proven(self, now, until, index):
                 super().on_lease_proven(now, until, 0)
 
-        self.found(Mistaken, "cut", "kill", good=0.9)
+        self.found(Mistaken, "cut", "kill", good_share=0.9)
 
     def test_finds_a_release_that_a_grant_may_overtake(self):
         class Mistaken(GrantManager):
@@ -474,29 +505,31 @@
                 super()._on_release_ended(now, x, holder, *more)
                 holder.grants_in_flight = flying
 
-        self.found(Mistaken, "add", good=0.3)
+        self.found(Mistaken, "add", good_share=0.3)
 
     def test_finds_a_taking_over_that_trusts_its_predecessor(self):
         class Mistaken(GrantManager):
             def _take_over(self, now, key, x):
-                tenure = super()._take_over(now, key, x)
-                for holder in tenure.holders.values():
+                leases = super()._take_over(now, key, x)
+                for holder in leases.holders.values():
                     holder.held_until = holder.deliverable_until = now
-                return tenure
+                return leases
 
         self.found(Mistaken, "kill")
 
     def test_finds_a_hand_over_that_is_taken_for_a_taking_over(self):
-        """The one that hands over may be cut off, lag, and renew for a lease what the other has released and moved."""
+        """The conductor that hands a slice over may be disconnected and lag, and renew for one lease what the other has
+        released and moved.
+        """
 
         class Mistaken(GrantManager):
             def on_ledger(self, now, ledger, changed=None):
                 for line in ledger.slices.values():
-                    for x in line:
-                        x.previous_may_act = False
+                    for row in line:
+                        row.previous_may_act = False
                 super().on_ledger(now, ledger, changed)
 
-        self.found(Mistaken, *World.CUTS, good=0.95)
+        self.found(Mistaken, *World.CUTS, good_share=0.95)
 
     def test_finds_a_start_that_forgets_what_its_last_life_granted(self):
         class Mistaken(GrantManager):
@@ -505,16 +538,16 @@
         self.found(Mistaken, "kill")
 
 
-class TenureTest(unittest.TestCase):
-    """A leader's table over a ledger of three conductors."""
+class ConductorLeasesTest(unittest.TestCase):
+    """A leader's table of leases over a ledger of three conductors."""
 
     def setUp(self):
         self.ledger, self.index, self.now = Ledger(), 0, 0.0
-        self.tenure, self.gone, self.owned = ConductorLeases(0.0), set(), []
+        self.leases, self.gone, self.owned = ConductorLeases(0.0), set(), []
         self.apply({"do": "shard", "services": ["s"]})
         self.run_for(1.0)
         for name in "abc":
-            rows = [["s", a, z, 0, f"n{a % 7}"] for a, z in ranges(self.held()[name])]
+            rows = [["s", first, last, 0, f"n{first % 7}"] for first, last in ranges(self.held()[name])]
             self.apply({"do": "move", "by": name, "moves": rows})
             self.apply({"do": "granted", "by": name, "fence": self.index, "slices": {"s": [[0, SLICES - 1]]}})
         self.owned = self.owners()
@@ -524,58 +557,61 @@
         self.ledger.apply(self.index, command)
 
     def held(self):
-        return {c: [k for k, x in enumerate(self.ledger.slices["s"]) if x.conductor == c] for c in "abc"}
+        return {
+            conductor: [number for number, row in enumerate(self.ledger.slices["s"]) if row.conductor == conductor]
+            for conductor in "abc"
+        }
 
     def owners(self):
-        return [(x.owner, x.fence, x.open) for x in self.ledger.slices["s"]]
+        return [(row.owner, row.fence, row.open) for row in self.ledger.slices["s"]]
 
     def test_another_life_at_its_address_proves_a_conductors_end(self):
         """After a wiped disk its slices waited 2.2 s for a lease that nobody could hold any more."""
-        tenure = ConductorLeases(0.0)
+        leases = ConductorLeases(0.0)
         for name in ("h:1#old", "h:2#x"):
-            tenure.renew(50.0, name)
-        tenure.end_replaced(50.1, ["h:1#old", "h:2#x", "", "h:9#away"], {"h:1#old": "h:1", "h:2#x": "h:2"})
-        self.assertFalse(tenure.has_ended(50.1, "h:1#old"))
-        tenure.end_replaced(50.1, ["h:1#old", "h:2#x", "", "h:9#away"], {"h:1#new": "h:1", "h:2#x": "h:2"})
-        self.assertTrue(tenure.has_ended(50.1, "h:1#old"))
-        self.assertFalse(tenure.has_ended(50.1, "h:2#x"))
-        later = ConductorLeases(
+            leases.renew(50.0, name)
+        leases.end_replaced(50.1, ["h:1#old", "h:2#x", "", "h:9#away"], {"h:1#old": "h:1", "h:2#x": "h:2"})
+        self.assertFalse(leases.has_ended(50.1, "h:1#old"))
+        leases.end_replaced(50.1, ["h:1#old", "h:2#x", "", "h:9#away"], {"h:1#new": "h:1", "h:2#x": "h:2"})
+        self.assertTrue(leases.has_ended(50.1, "h:1#old"))
+        self.assertFalse(leases.has_ended(50.1, "h:2#x"))
+        later_leases = ConductorLeases(
             50.0
-        )  # of a new leader, which knows of no lease: one whose address is empty is waited for
-        later.end_replaced(50.1, ["h:1#old", "h:9#away"], {"h:1#new": "h:1"})
-        self.assertEqual([later.has_ended(50.1, name) for name in ("h:1#old", "h:9#away")], [True, False])
+        )  # of a new leader, which knows no leases: it waits for one whose address nobody uses
+        later_leases.end_replaced(50.1, ["h:1#old", "h:9#away"], {"h:1#new": "h:1"})
+        self.assertEqual([later_leases.has_ended(50.1, name) for name in ("h:1#old", "h:9#away")], [True, False])
 
     def run_for(self, seconds):
-        """As the list poller does; how many slices were handed over, and the most in a second."""
+        """Act as the list poller does; return when and how many slices were handed over."""
         handed, end = [], self.now + seconds
         while self.now < end:
             self.now = round(self.now + 0.2, 3)
             for name in "abc":
                 if name not in self.gone:
-                    self.tenure.renew(self.now, name)
-            line = self.ledger.slices["s"]
-            for to, found in reassign(self.tenure, self.now, [x.conductor for x in line]).items():
+                    self.leases.renew(self.now, name)
+            rows = self.ledger.slices["s"]
+            for to, found in reassign(self.leases, self.now, [row.conductor for row in rows]).items():
                 self.apply(
                     {
                         "do": "lease",
                         "to": to,
-                        "early": self.tenure.has_recent_hand_over(self.now),
+                        "early": self.leases.has_recent_hand_over(self.now),
                         "slices": {"s": found},
                     }
                 )
-            if hand := hand_over(self.tenure, self.now, line):
-                self.tenure.note_hand_over(self.now)
+            if hand := hand_over(self.leases, self.now, rows):
+                self.leases.note_hand_over(self.now)
                 self.apply(
                     {
                         "do": "lease",
                         "from": hand[0],
                         "to": hand[1],
-                        "early": self.tenure.has_recent_hand_over(self.now),
+                        "early": self.leases.has_recent_hand_over(self.now),
                         "slices": {"s": hand[2]},
                     }
                 )
                 handed.append((self.now, len(self.ledger.changed)))
-                self.assertTrue(all(line[k].previous_may_act for _, k in self.ledger.changed))
+                self.assertTrue(all(rows[number].previous_may_act for _, number in self.ledger.changed))
         return handed
 
     def test_one_that_comes_back_gets_its_share_gently_and_no_key_moves(self):
@@ -601,7 +637,7 @@
         while not self.run_for(0.2):
             pass
         self.gone = {"c"}
-        self.tenure.on_left(self.now, "c")
+        self.leases.on_left(self.now, "c")
         self.run_for(0.2)
         self.assertEqual(sum(x.previous_may_act for x in self.ledger.slices["s"]), MAX_HAND_OVER_SLICES)
 
@@ -609,8 +645,8 @@
         self.gone = {"c"}
         self.run_for(20.0)
         self.gone = set()
-        for x in self.ledger.slices["s"]:
-            x.open = False
+        for row in self.ledger.slices["s"]:
+            row.open = False
         self.assertEqual(self.run_for(20.0), [])
 
 
@@ -634,14 +670,14 @@
         self.assertEqual(self.granted(5, 3, by="b"), [])
         self.assertEqual(self.granted(6, 3, 9), [OwnerChange("s", 9, "n", True)])
         self.move(7, 9, 9, 3, "m")
-        x = self.ledger.slices["s"][9]
-        self.assertEqual((x.owner, x.fence, x.open, x.previous_holders), ("m", 7, False, [("n", 3)]))
-        self.move(8, 9, 9, 7, "m")  # again to the owner: only the fence is new
-        self.assertEqual((x.fence, x.previous_holders), (8, [("n", 3)]))
-        self.move(9, 9, 9, 8, "n")  # back: not foreign to itself
-        self.assertEqual((x.owner, x.previous_holders), ("n", [("m", 8)]))
+        row = self.ledger.slices["s"][9]
+        self.assertEqual((row.owner, row.fence, row.open, row.previous_holders), ("m", 7, False, [("n", 3)]))
+        self.move(8, 9, 9, 7, "m")  # to the same owner: only the fence is new
+        self.assertEqual((row.fence, row.previous_holders), (8, [("n", 3)]))
+        self.move(9, 9, 9, 8, "n")  # back again: it does not count as a former holder
+        self.assertEqual((row.owner, row.previous_holders), ("n", [("m", 8)]))
         self.granted(10, 9, 9)
-        self.assertEqual((x.open, x.previous_holders), (True, []))
+        self.assertEqual((row.open, row.previous_holders), (True, []))
 
     def test_what_comes_twice_or_does_not_fit_changes_nothing(self):
         self.move(3, 0, 3, 0, "n")
@@ -679,56 +715,56 @@
             Ledger.from_dict({"index": 1, "services": {"s": []}})
 
 
-class KeeperHarness(unittest.TestCase):
-    """One conductor, its calls in hand; has no tests of its own."""
+class GrantManagerHarness(unittest.TestCase):
+    """One conductor, whose calls the test answers; has no tests of its own."""
 
     def setUp(self):
         self.ledger, self.index = Ledger(), 0
-        self.keeper = GrantManager("a", PACE, 1, -100.0)
+        self.manager = GrantManager("a", PACE, 1, -100.0)
         self.nodes = {id: node(id, ("10.0.0.1", n)) for n, id in enumerate("nmk")}
-        self.keeper.on_nodes_listed(0.0, self.nodes)
-        self.keeper.on_lease_proven(0.0, 1e9, 0)
+        self.manager.on_nodes_listed(0.0, self.nodes)
+        self.manager.on_lease_proven(0.0, 1e9, 0)
         self.apply(0.0, {"do": "shard", "services": ["s"]})
         self.apply(0.0, {"do": "lease", "to": "a", "slices": {"s": [[0, 9]]}})
 
     def apply(self, now, command):
         self.index += 1
         self.ledger.apply(self.index, command)
-        self.keeper.on_ledger(now, self.ledger, self.ledger.changed)
-        return self.orders(now)
+        self.manager.on_ledger(now, self.ledger, self.ledger.changed)
+        return self.actions(now)
 
-    def orders(self, now):
-        self.keeper.tick(now)
-        orders, self.keeper.actions = self.keeper.actions, []
-        return orders
+    def actions(self, now):
+        self.manager.tick(now)
+        actions, self.manager.actions = self.manager.actions, []
+        return actions
 
     def next(self, now):
-        """The next orders that come by time alone, and when: `self.now`."""
+        """The next actions that are due by time alone; sets `self.now` to their time."""
         self.now = -1.0
         while True:
-            self.assertGreater(self.keeper.wake_at, self.now)
-            self.now = now = self.keeper.wake_at
-            if found := self.orders(now):
+            self.assertGreater(self.manager.wake_at, self.now)
+            self.now = now = self.manager.wake_at
+            if found := self.actions(now):
                 return found
 
     def move(self, now, first, last, target):
         fence = self.ledger.slices["s"][first].fence
         return self.apply(now, {"do": "move", "by": "a", "moves": [["s", first, last, fence, target]]})
 
-    def answer(self, now, order, status, handover=None):
-        self.keeper.on_call_ended(now, order, status, handover)
-        return self.orders(now)
+    def answer(self, now, action, status, handover=None):
+        self.manager.on_call_ended(now, action, status, handover)
+        return self.actions(now)
 
     def opened(self, now, first, last, target):
-        """Moved, granted and open."""
+        """Move, grant and open slices."""
         (grant,) = self.move(now, first, last, target)
         (propose,) = self.answer(now + 0.01, grant, 200)
         self.assertEqual(self.apply(now + 0.02, propose.command), [])
         return grant
 
 
-class KeeperTest(KeeperHarness):
-    """What one conductor orders, call by call."""
+class GrantManagerTest(GrantManagerHarness):
+    """What one conductor does, call by call."""
 
     def test_holds_fit_what_nodes_take_and_are_renewed_in_time(self):
         usual, short = GrantTiming.for_max_hold(10.0), GrantTiming.for_max_hold(2.4)
@@ -768,7 +804,7 @@
             self.assertIsInstance(release, Release)
             self.assertGreater(self.now - now, 0.4)
             now = self.now
-        (grant,) = self.next(now)  # the last one still out
+        (grant,) = self.next(now)  # the last release is still unanswered
         self.assertEqual(grant.node, "m")
         self.assertAlmostEqual(self.now, 1.01 + PACE.hold * CLOCK_SLOWDOWN)
 
@@ -776,33 +812,33 @@
         self.opened(1.0, 0, 0, "n")
         (renewal,) = self.next(1.1)
         self.assertEqual(self.move(3.1, 0, 0, "m"), [])
-        self.assertEqual(self.answer(4.0, renewal, None), [])  # may arrive for `slack` more
-        self.assertAlmostEqual(self.keeper.wake_at, 4.0 + PACE.delivery_slack)
-        (release,) = self.orders(self.keeper.wake_at)
+        self.assertEqual(self.answer(4.0, renewal, None), [])  # may arrive within `delivery_slack`
+        self.assertAlmostEqual(self.manager.wake_at, 4.0 + PACE.delivery_slack)
+        (release,) = self.actions(self.manager.wake_at)
         self.assertIsInstance(release, Release)
 
     def test_nothing_is_granted_without_a_lease_or_on_an_old_ledger(self):
-        self.keeper.lease_until = 5.0
+        self.manager.lease_until = 5.0
         self.opened(1.0, 0, 0, "n")
-        self.assertEqual(self.orders(5.0), [])
-        self.keeper.on_lease_proven(6.0, 9.0, self.index + 1)
-        self.assertEqual(self.orders(6.0), [])
+        self.assertEqual(self.actions(5.0), [])
+        self.manager.on_lease_proven(6.0, 9.0, self.index + 1)
+        self.assertEqual(self.actions(6.0), [])
         (renewal,) = self.apply(6.1, {"do": "something else"})
         self.assertEqual((renewal.node, renewal.expires), ("n", 9.0))
 
     def test_a_dropped_node_whose_address_another_has_is_released(self):
         self.opened(1.0, 0, 0, "n")
-        (release,) = self.move(8.0, 0, 0, "m") or self.orders(8.0)
+        (release,) = self.move(8.0, 0, 0, "m") or self.actions(8.0)
         self.nodes["x"] = node("x", self.nodes.pop("n").address, "t")
-        self.keeper.on_nodes_listed(8.1, self.nodes)
-        self.assertEqual(self.orders(8.1), [])
+        self.manager.on_nodes_listed(8.1, self.nodes)
+        self.assertEqual(self.actions(8.1), [])
 
     def test_a_higher_fence_seen_asks_for_a_new_one(self):
         (grant,) = self.move(1.0, 0, 1, "n")
         (propose,) = self.answer(1.1, grant, 409)
         self.assertEqual(propose.command["moves"], [["s", 0, 1, 3, "n"]])
-        self.assertEqual(self.orders(1.5), [])
-        (again,) = self.orders(2.2)  # the proposal was lost
+        self.assertEqual(self.actions(1.5), [])
+        (again,) = self.actions(2.2)  # the proposal was lost
         (grant,) = self.apply(2.3, again.command)
         self.assertEqual((grant.node, grant.fence), ("n", 4 + MIN_FENCE_LIFT))
 
@@ -821,18 +857,18 @@
         self.assertTrue(self.ledger.slices["s"][1].open)
         lift = self.ledger.fence_lift
         old = {"do": "move", "by": "a", "moves": [["s", 5, 5, 0, "m"]], "outbid": True}
-        self.apply(2.0 + rounds, old)  # a refusal from before the last lift lifts no further
+        self.apply(2.0 + rounds, old)  # a refusal of a fence from before the last lift lifts no further
         self.assertEqual(self.ledger.fence_lift, lift)
         again = Ledger.from_dict(json.loads(json.dumps(self.ledger.to_dict())))
         self.assertEqual((again.fence_lift, again.lifted_from), (self.ledger.fence_lift, self.ledger.lifted_from))
 
     def test_a_taken_over_slice_is_renewed_at_once_and_moved_late(self):
         self.opened(1.0, 0, 0, "n")
-        self.keeper = GrantManager("a", PACE, 2, 10.0)
-        self.keeper.on_nodes_listed(10.0, self.nodes)
-        self.keeper.on_ledger(10.0, self.ledger)
-        self.keeper.on_lease_proven(10.0, 1e9, self.index)
-        (renewal,) = self.orders(10.0)
+        self.manager = GrantManager("a", PACE, 2, 10.0)
+        self.manager.on_nodes_listed(10.0, self.nodes)
+        self.manager.on_ledger(10.0, self.ledger)
+        self.manager.on_lease_proven(10.0, 1e9, self.index)
+        (renewal,) = self.actions(10.0)
         self.assertEqual(renewal.node, "n")
         self.answer(10.1, renewal, 200)
         self.assertEqual(self.move(10.2, 0, 0, "m"), [])
@@ -843,15 +879,15 @@
     def test_an_earlier_lifes_entry_that_comes_late_may_have_been_granted(self):
         self.opened(1.0, 0, 0, "n")
         late = {"do": "move", "by": "a", "moves": [["s", 0, 0, 3, "m"]]}
-        self.keeper = GrantManager("a", PACE, 2, 10.0)
-        self.keeper.on_nodes_listed(10.0, self.nodes)
-        self.keeper.on_ledger(10.0, self.ledger)
+        self.manager = GrantManager("a", PACE, 2, 10.0)
+        self.manager.on_nodes_listed(10.0, self.nodes)
+        self.manager.on_ledger(10.0, self.ledger)
         self.apply(10.1, late)
-        self.keeper.on_lease_proven(10.1, 1e9, self.index)
-        self.orders(10.1)
+        self.manager.on_lease_proven(10.1, 1e9, self.index)
+        self.actions(10.1)
         held = self.move(10.2, 0, 0, "k")
         self.assertEqual([x for x in held if isinstance(x, Grant)], [])
-        self.assertEqual(set(self.keeper.explain(10.2)[0]["held"]), {"n", "m"})
+        self.assertEqual(set(self.manager.explain(10.2)[0]["held"]), {"n", "m"})
 
     def test_answers_of_one_moves_grants_are_told_together(self):
         grants = self.apply(
@@ -861,7 +897,7 @@
         self.assertEqual(self.answer(1.005, grants[0], 200) + self.answer(1.01, grants[1], 200), [])
         (propose,) = self.answer(1.015, grants[2], 200)
         self.assertEqual(propose.command["slices"], {"s": [[0, 9]]})
-        self.assertIs(self.keeper.slice_leases["s", 0].state, State.GRANTED)
+        self.assertIs(self.manager.slice_leases["s", 0].state, State.GRANTED)
 
     def test_runs(self):
         self.assertEqual(ranges(range(SLICES)), [[0, SLICES - 1]])
--- a/tests/system/test_model.py
+++ b/tests/system/test_model.py
@@ -1,4 +1,4 @@
-"""The small models, walked as deep as CI has time for; benchmarks/system.py walks them deeper."""
+"""The small models, explored as deeply as CI has time for; benchmarks/system.py explores them deeper."""
 
 import unittest
 from collections.abc import Iterator
@@ -6,7 +6,7 @@
 
 from tests.system.model import Agreement, Keys, Step, explore, mistakes, walk, worlds
 
-# What is committed of members in the worlds that are about them.
+# Committed members entries in the worlds that are about membership.
 MEMBERS = {
     "newcomers": {'{"members": {"m0#founder": "m0", "m1#new": "m1"}}'},
     "leavers": {'{"members": {"m0#founder": "m0"}}', '{"members": {"m1#founder": "m1"}}'},
@@ -14,7 +14,7 @@
 
 
 class TestModel(unittest.TestCase):
-    """The real machines, keepers and ledgers in every state that small worlds come to."""
+    """The real state machines, grant managers and ledgers in every state that the small worlds reach."""
 
     def test_nothing_is_broken_in_any_state(self) -> None:
         counts = {}
@@ -28,10 +28,10 @@
                         yield step
 
                 found = explore(world.start, follow if name in MEMBERS else world.follow, depth, most)
-                self.assertEqual((found.broken, found.trace), ([], []))
+                self.assertEqual((found.violations, found.trace), ([], []))
                 self.assertEqual(bodies, MEMBERS.get(name, set()))
                 counts[name] = found.states
-        # Far fewer would mean that a world no longer goes where it went.
+        # Far fewer would mean that a world no longer reaches the states that it used to.
         self.assertGreater(min(counts.values()), 10_000, counts)
         self.assertGreater(sum(counts.values()), 120_000, counts)
 
@@ -39,8 +39,8 @@
         for name, (world, depth, what) in mistakes().items():
             with self.subTest(name):
                 found = explore(world.start, world.follow, depth)
-                self.assertTrue(found.broken, f"{found.states} states hold")
-                self.assertIn(what, found.broken[0])
+                self.assertTrue(found.violations, f"{found.states} states hold")
+                self.assertIn(what, found.violations[0])
                 self.assertEqual(len(found.trace), found.depth)
 
     def test_without_the_mistakes_the_same_worlds_hold(self) -> None:
@@ -50,20 +50,22 @@
             (Keys(swift=True, asks="b", seconds=4), 14),
         ):
             found = explore(world.start, world.follow, depth, 25_000)
-            self.assertEqual(found.broken, [])
+            self.assertEqual(found.violations, [])
 
     def test_the_worlds_come_to_where_they_matter(self) -> None:
-        """By chance, far deeper: a command is committed, a wiped disk taken in, a slice leased on and opened."""
+        """Random steps go far deeper: a command is committed, a wiped disk rejoins, a slice is leased to another and
+        opened.
+        """
         committed: set[str] = set()
         for seed in range(20):
             committed.update(entry[2] for entry, _ in walk(Agreement(crashes=1, wipes=1), seed, 150)[2])
         self.assertIn('{"n": 0}', committed)
         self.assertTrue(any("#1" in body for body in committed), committed)
-        told: set[str] = set()
+        logs: set[str] = set()
         for seed in range(20):
-            told.update(walk(Keys(seconds=12, entries=12, moves=3, starts=2, leaders=1, reassigns=2), seed, 150)[1])
-        self.assertTrue(any('"lease"' in text and '"to": "b"' in text for text in told))
-        self.assertTrue(any('"granted"' in text and '"fence": 3' not in text for text in told))
+            logs.update(walk(Keys(seconds=12, entries=12, moves=3, starts=2, leaders=1, reassigns=2), seed, 150)[1])
+        self.assertTrue(any('"lease"' in text and '"to": "b"' in text for text in logs))
+        self.assertTrue(any('"granted"' in text and '"fence": 3' not in text for text in logs))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_unproven_ends.py
+++ b/tests/system/test_unproven_ends.py
@@ -1,7 +1,7 @@
-"""A node that is not reached or not listed may live on: nothing but its answer to a release, or time, clears it.
+"""A node that can't be reached or isn't listed may still be running: only its answer to a release, or time, clears it.
 
-Incident inc1 (docs/incidents/inc1-owner.md): a cut that refuses connections was taken for the end of the nodes behind
-it.
+Incident inc1 (docs/incidents/inc1-owner.md): a network failure that refuses connections was taken for the end of the
+nodes behind it.
 """
 
 import unittest
@@ -9,20 +9,20 @@
 from knotwalk.discovery.reachability import WORD, PeerReachability, UnreachedNodes, unreached_nodes
 from knotwalk.leases.actions import CLOCK_SLOWDOWN, REFUSED, Grant, Release
 from knotwalk.leases.slice_lease import MOVE_WINDOW_S
-from tests.system.test_leases import PACE, KeeperHarness, World
+from tests.system.test_leases import PACE, GrantManagerHarness, World
 
 SEEDS = range(40)
 
 
 class UnprovenEndWorldTest(unittest.TestCase):
-    """Worlds in memory, judged by what nodes truly hold."""
+    """Simulated worlds, judged by what the nodes really hold."""
 
     def holds(self, *faults: str) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                world = World(seed, faults=faults, good=0.9)
+                world = World(seed, faults=faults, good_share=0.9)
                 self.assertEqual(world.checker.broken, [])
-                self.assertEqual(world.unserved(), [])
+                self.assertEqual(world.unserved_slices(), [])
 
     def test_connections_refused_on_the_way_to_nodes_that_live(self):
         self.holds("refuse", "refuse all", "add")
@@ -34,8 +34,8 @@
         self.holds("miss", "miss", "add")
 
 
-class UnprovenEndTest(KeeperHarness):
-    """One conductor, its calls in hand."""
+class UnprovenEndTest(GrantManagerHarness):
+    """One conductor, whose calls the test answers."""
 
     def test_a_port_that_refuses_does_not_end_a_hold(self):
         self.opened(1.0, 0, 0, "n")
@@ -50,57 +50,59 @@
         self.assertGreaterEqual(now, 1.01 + PACE.hold * CLOCK_SLOWDOWN)
 
     def test_an_owner_that_does_not_answer_lapses_when_the_hold_it_took_has_run_out(self):
-        """Renewals go on, but ask for no more than it may have already; answered once, it gets a whole hold again."""
+        """Renewals continue, but request no more than the node may already have; once one is answered it gets a full
+        hold again.
+        """
         self.opened(1.0, 0, 0, "n")
         (renewal,) = self.next(1.1)
         first = (
             self.now + PACE.max_delivery + PACE.hold * CLOCK_SLOWDOWN
-        )  # it may have come; those after it change nothing
+        )  # it may have arrived; later ones change nothing
         while self.now < first:
             self.assertLessEqual(self.now + PACE.max_delivery + renewal.hold * CLOCK_SLOWDOWN, first + 1e-6)
             ended = self.now + PACE.call_timeout
             self.answer(ended, renewal, None)
-            self.assertEqual(self.keeper.lapsed_slices(ended), frozenset())
+            self.assertEqual(self.manager.lapsed_slices(ended), frozenset())
             (renewal,) = self.next(ended)
         self.assertAlmostEqual(self.now, first + MOVE_WINDOW_S)
-        self.assertTrue(self.keeper.is_unreachable("n"))
+        self.assertTrue(self.manager.is_unreachable("n"))
         (renewal,) = self.answer(self.now + 0.01, renewal, 200)
         self.assertEqual((renewal.node, renewal.hold), ("n", PACE.hold))
-        self.assertFalse(self.keeper.is_unreachable("n"))
+        self.assertFalse(self.manager.is_unreachable("n"))
 
     def test_a_node_that_has_fallen_silent_meets_one_whole_renewal_at_most(self):
-        """Else its keys would wait for a hold that only began after its end."""
-        for first in (0, 2, 4):  # three runs, none a neighbour of another
+        """Otherwise its keys would wait for a hold that only started after the node's end."""
+        for first in (0, 2, 4):  # three runs, none adjacent to another
             self.opened(1.0, first, first, "n")
         begun, asked, end = {}, [], 1.1 + PACE.hold * CLOCK_SLOWDOWN
         now = 1.1
         while now < end:
-            renewals = self.orders(now)
+            renewals = self.actions(now)
             begun |= dict.fromkeys(renewals, now)
             asked += renewals
             for renewal in [x for x, at in begun.items() if now >= at + PACE.call_timeout]:
                 del begun[renewal]
-                self.keeper.on_call_ended(now, renewal, None)
+                self.manager.on_call_ended(now, renewal, None)
             now += 0.01
         self.assertEqual(sum(renewal.hold >= PACE.hold for renewal in asked), 1)
         self.assertEqual({x.slices for x in asked}, {(0,), (2,), (4,)})
-        self.assertEqual(len(self.keeper.lapsed_slices(end)), 2)
+        self.assertEqual(len(self.manager.lapsed_slices(end)), 2)
 
     def test_a_release_that_waits_for_long_work_is_a_node_not_reached_until_it_answers(self):
         self.opened(1.0, 0, 1, "n")
         (release,) = self.move(2.0, 0, 0, "m")
         self.answer(2.0 + PACE.release_timeout, release, None)
-        self.assertEqual(self.keeper.unreached(5.0), {"n": 5.0 - 2.0 - PACE.release_timeout})
+        self.assertEqual(self.manager.unreached(5.0), {"n": 5.0 - 2.0 - PACE.release_timeout})
         (again,) = [x for x in self.next(4.5) if isinstance(x, Release)]
         self.answer(self.now + 0.1, again, 200)
-        self.assertEqual(self.keeper.unreached(6.0), {})
-        self.assertFalse(self.keeper.is_unreachable("n"))
+        self.assertEqual(self.manager.unreached(6.0), {})
+        self.assertFalse(self.manager.is_unreachable("n"))
 
     def test_a_lapsed_slice_is_granted_elsewhere_at_once(self):
         self.opened(1.0, 0, 0, "n")
         (renewal,) = self.next(1.1)
         self.answer(self.now, renewal, REFUSED)
-        while ("s", 0) not in self.keeper.lapsed_slices(self.now):
+        while ("s", 0) not in self.manager.lapsed_slices(self.now):
             (renewal,) = self.next(self.now)
             self.answer(self.now, renewal, REFUSED)
         now = self.now
@@ -114,7 +116,7 @@
 
 
 class PeerReachabilityTest(unittest.TestCase):
-    """What cores tell each other of nodes that they do not reach."""
+    """What cores report to each other about nodes that they can't reach."""
 
     def test_the_longest_word_counts_until_it_is_withdrawn_or_old(self):
         reach = PeerReachability()
