--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -42,7 +42,7 @@
         self, settings: Settings, consensus: ConsensusDriver, board: ViewPublisher, caller: HttpClient, me: str
     ):
         self.settings, self.consensus, self.board, self.caller, self.me = settings, consensus, board, caller, me
-        self.tenure: ConductorLeases | None = None
+        self.conductor_leases: ConductorLeases | None = None
         self.list_revision = 0
         self.own_read: asyncio.Task | None = None
         self.own_read_at = float("-inf")
@@ -50,14 +50,14 @@
 
     def on_leadership(self, leads: bool) -> None:
         """This machine became the leader, or ceased to be it."""
-        self.tenure = ConductorLeases(clock()) if leads else None
+        self.conductor_leases = ConductorLeases(clock()) if leads else None
 
     @property
     def is_proven(self) -> bool:
         """Whether no other machine can lead now: a majority answered this leader a moment ago."""
         machine = self.consensus.machine
         return (
-            self.tenure is not None
+            self.conductor_leases is not None
             and machine.role == "leader"
             and machine.is_commit_current
             and clock() - machine.majority_acked_at < LEADERSHIP_PROOF_S
@@ -69,7 +69,7 @@
             return None
         machine = self.consensus.machine
         return {
-            "lease": self.tenure.renew(clock(), conductor),
+            "lease": self.conductor_leases.renew(clock(), conductor),
             "commit": machine.commit,
             "last": machine.log.last,
             "term": machine.term,
@@ -78,8 +78,8 @@
 
     def on_conductor_left(self, conductor: str) -> None:
         """A conductor reported that it acts on no lease any more."""
-        if self.tenure is not None:
-            self.tenure.on_left(clock(), conductor)
+        if self.conductor_leases is not None:
+            self.conductor_leases.on_left(clock(), conductor)
 
     # --- leases of slices -------------------------------------------------------------------------
 
@@ -90,51 +90,51 @@
             if not self.is_proven or self.consensus.machine.applied < self.consensus.machine.commit:
                 continue
             self.grant_lease(self.me)
-            tenure = self.tenure
+            conductor_leases = self.conductor_leases
             for service in list(self.consensus.state.ledger.slices):
-                await self.maintain_service(tenure, service)
+                await self.maintain_service(conductor_leases, service)
 
-    def is_current(self, tenure: ConductorLeases) -> bool:
+    def is_current(self, conductor_leases: ConductorLeases) -> bool:
         """Whether `tenure` still counts: this machine has led without a break since it began, and is confirmed."""
-        return self.tenure is tenure and self.is_proven
+        return self.conductor_leases is conductor_leases and self.is_proven
 
-    async def maintain_service(self, tenure: ConductorLeases, service: str) -> None:
+    async def maintain_service(self, conductor_leases: ConductorLeases, service: str) -> None:
         """Check the leases of one service.
 
         Each proposal waits for its commit. Meanwhile leadership may be lost, or lost and regained, and a conductor that
         seemed gone may be granted a lease again: all conditions are checked again before the next proposal."""
         slices = self.consensus.state.ledger.slices.get(service)
-        if not self.is_current(tenure) or slices is None:
+        if not self.is_current(conductor_leases) or slices is None:
             return
         now = clock()
         leased = [s.conductor for s in slices]
-        tenure.end_replaced(now, leased, self.consensus.machine.members)
-        for conductor, leased_runs in reassign(tenure, now, leased).items():
+        conductor_leases.end_replaced(now, leased, self.consensus.machine.members)
+        for conductor, leased_runs in reassign(conductor_leases, now, leased).items():
             log_info("slices leased", service=service, to=conductor, runs=leased_runs)
             for before, runs in group_by_conductor(leased, leased_runs).items():
-                if not await self.move_lease(tenure, service, before, conductor, runs):
+                if not await self.move_lease(conductor_leases, service, before, conductor, runs):
                     return
         slices = self.consensus.state.ledger.slices.get(service, ())
-        if self.is_current(tenure) and (handover := hand_over(tenure, clock(), slices)):
+        if self.is_current(conductor_leases) and (handover := hand_over(conductor_leases, clock(), slices)):
             log_info("slices handed over", service=service, by=handover[0], to=handover[1], runs=handover[2])
-            tenure.note_hand_over(clock())
+            conductor_leases.note_hand_over(clock())
             await self.propose_lease(service, *handover)
 
     async def move_lease(
-        self, tenure: ConductorLeases, service: str, before: str, to: str, runs: list[list[int]]
+        self, conductor_leases: ConductorLeases, service: str, before: str, to: str, runs: list[list[int]]
     ) -> bool:
         """Lease slices of `before` to `to`, if by now `before` certainly may not act and `to` may; returns whether it
         was done."""
         now = clock()
-        may_not_act = not before or not tenure.is_alive(now, before) and tenure.has_ended(now, before)
-        if not self.is_current(tenure) or not may_not_act or not tenure.is_alive(now, to):
+        may_not_act = not before or not conductor_leases.is_alive(now, before) and conductor_leases.has_ended(now, before)
+        if not self.is_current(conductor_leases) or not may_not_act or not conductor_leases.is_alive(now, to):
             return False
         return await self.propose_lease(service, before, to, runs)
 
     async def propose_lease(self, service: str, before: str, to: str, runs: list[list[int]]) -> bool:
         """Propose that slices leased by `before` are leased by `to`; returns whether it was committed."""
-        tenure = self.tenure
-        if tenure is None:
+        conductor_leases = self.conductor_leases
+        if conductor_leases is None:
             return False
         try:
             await self.consensus.propose(
@@ -142,7 +142,7 @@
                     "do": "lease",
                     "from": before,
                     "to": to,
-                    "early": tenure.has_recent_hand_over(clock()),
+                    "early": conductor_leases.has_recent_hand_over(clock()),
                     "slices": {service: runs},
                 }
             )
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -55,7 +55,7 @@
     ):
         self.me, self.consensus, self.board, self.loads, self.caller = me, consensus, board, loads, caller
         self.pace, self.propose = pace, propose
-        self.keeper = GrantManager(me, pace, seed, clock())
+        self.grant_manager = GrantManager(me, pace, seed, clock())
         self.peer_reachability = PeerReachability()
         self.placer = Placer(me, seed, zone)
         self.timer: asyncio.TimerHandle | None = None
@@ -67,25 +67,25 @@
 
     def on_lease(self, until: float, index: int) -> None:
         """This core was granted a lease until `until`; the leader's log had reached `index` then."""
-        self.keeper.on_lease_proven(clock(), until, index)
+        self.grant_manager.on_lease_proven(clock(), until, index)
         self.perform_actions()
 
     def on_ledger_change(self, replaced: bool = False) -> None:
         """An entry of the replicated ledger was applied, or (`replaced`) the whole ledger was replaced."""
         ledger = self.consensus.state.ledger
-        self.keeper.on_ledger(clock(), ledger, None if replaced else ledger.changed)
+        self.grant_manager.on_ledger(clock(), ledger, None if replaced else ledger.changed)
         self.perform_actions()
 
     def on_nodes_changed(self) -> None:
         """The platform's list of nodes changed."""
-        self.keeper.on_nodes_listed(clock(), self.board.nodes)
+        self.grant_manager.on_nodes_listed(clock(), self.board.nodes)
         listed = {node.address for node in self.board.nodes.values()}
         self.call_slots = {key: slot for key, slot in self.call_slots.items() if key[0] in listed}
         self.perform_actions()
 
     def tick(self) -> None:
         """Advance the keeper to the current time."""
-        self.keeper.tick(clock())
+        self.grant_manager.tick(clock())
         self.perform_actions()
 
     def stop(self) -> None:
@@ -98,14 +98,14 @@
         """Log the keeper's events, perform its actions, and set the timer for its next tick."""
         if self.stopped:
             return
-        keeper = self.keeper
-        events, keeper.events = keeper.events, []
+        grant_manager = self.grant_manager
+        events, grant_manager.events = grant_manager.events, []
         for event in events:
             log_event(event)
             if isinstance(event, HolderCleared):
                 self.cleared_counts[event.evidence] += event.slices
-        while keeper.actions:
-            orders, keeper.actions = keeper.actions, []
+        while grant_manager.actions:
+            orders, grant_manager.actions = grant_manager.actions, []
             for order in orders:
                 match order:
                     case Grant():
@@ -116,7 +116,9 @@
                         self._spawn(self.propose(order.command))
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(max(0.005, min(0.5, keeper.wake_at - clock())), self.tick)
+        self.timer = asyncio.get_running_loop().call_later(
+            max(0.005, min(0.5, grant_manager.wake_at - clock())), self.tick
+        )
 
     def _spawn(self, work: Awaitable) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -153,14 +155,14 @@
             pass
         else:
             try:
-                until = order.expires if isinstance(order, Grant) else self.keeper.lease_until
+                until = order.expires if isinstance(order, Grant) else self.grant_manager.lease_until
                 if not self.stopped and clock() < until:  # the slot may have come too late
                     status, handover = await self._send_call(order, step, payload)
             finally:
                 slot.release()
         self.call_counts[step, str(status or "silent")] += 1
         if not self.stopped:
-            self.keeper.on_call_ended(clock(), order, status, handover)
+            self.grant_manager.on_call_ended(clock(), order, status, handover)
             self.perform_actions()
 
     async def _send_call(self, order: Grant | Release, step: str, payload: dict) -> tuple[int | str | None, str | None]:
@@ -183,7 +185,7 @@
         while not self.stopped:
             await asyncio.sleep(PLACEMENT_INTERVAL_S)
             now = clock()
-            if now >= self.keeper.lease_until or not self.board.nodes:
+            if now >= self.grant_manager.lease_until or not self.board.nodes:
                 continue
             try:
                 moves = self.plan_moves(now)
@@ -197,8 +199,8 @@
     def plan_moves(self, now: float) -> list[dict]:
         """The placer's moves, if anything that it depends on has changed."""
         ledger = self.consensus.state.ledger
-        unreachable = {id for id in self.board.nodes if self.keeper.is_unreachable(id)}
-        lapsed = self.keeper.lapsed_slices(now)
+        unreachable = {id for id in self.board.nodes if self.grant_manager.is_unreachable(id)}
+        lapsed = self.grant_manager.lapsed_slices(now)
         avoided = frozenset(self.peer_reachability.unreached_since(now))
         inputs = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.outliers
         if not self.placer.is_due(now, inputs):
@@ -207,7 +209,7 @@
 
     def unreached(self, now: float) -> UnreachedNodes | None:
         """The nodes that this core can't reach, for the other cores; None if it reaches all."""
-        nodes = self.keeper.unreached(now)
+        nodes = self.grant_manager.unreached(now)
         return UnreachedNodes(self.me, nodes) if nodes else None
 
     def build_report(
--- a/knotwalk/discovery/reachability.py
+++ b/knotwalk/discovery/reachability.py
@@ -2,7 +2,7 @@
 
 Each core finds out by its own calls to nodes. Once a second, along with the loads, it reports to the others which nodes
 have not answered it, and for how long. A node that another core cannot reach gets no further keys while there are other
-nodes. It keeps the keys that it has, and no holder is cleared because of such a report (`leases.slice_tenure`).
+nodes. It keeps the keys that it has, and no holder is cleared because of such a report (`leases.slice_lease`).
 
 Pure: `now` is a monotonic clock's time, in seconds.
 """
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -667,7 +667,7 @@
                 return 200, {}, b""
 
         conductor = SliceManager("me", None, ViewPublisher("b"), LoadReports(), Node(), GrantTiming(), 1, None)
-        conductor.keeper.on_call_ended = lambda at, order, status, *_: ends.append((order.fence, status))
+        conductor.grant_manager.on_call_ended = lambda at, order, status, *_: ends.append((order.fence, status))
         slots = MAX_CONCURRENT_CALLS["grant"]
         orders = [
             Grant("i-1", ("10.0.1.1", 80), 0, 31, n, 6.0, None, "s", (0,), 5.0 if n < slots + 2 else 2.0)
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -584,17 +584,17 @@
                     mock.patch.object(poller, "propose_lease", give),
                 ):
                     poller.on_leadership(True)
-                    tenure = poller.tenure
-                    tenure.since -= 10 * LEASE_S  # the leases of all conductors that were not heard have expired
-                    tenure.renew(clock(), a)
+                    conductor_leases = poller.conductor_leases
+                    conductor_leases.since -= 10 * LEASE_S  # the leases of all conductors that were not heard have expired
+                    conductor_leases.renew(clock(), a)
                     happens = {
                         "nothing": lambda: None,
-                        "is back": lambda: (tenure.renew(clock(), b), tenure.renew(clock(), c)),
+                        "is back": lambda: (conductor_leases.renew(clock(), b), conductor_leases.renew(clock(), c)),
                         "leadership lost": lambda: poller.on_leadership(False),
                         "leadership regained": lambda: poller.on_leadership(True),
                     }[what]
                     proposed.clear()
-                    await poller.maintain_service(tenure, "s")
+                    await poller.maintain_service(conductor_leases, "s")
                     self.assertEqual(len(proposed), taken)
 
         run_story(story)
