--- a/knotwalk/admission/__init__.py
+++ b/knotwalk/admission/__init__.py
@@ -1,4 +1,5 @@
 """Admission: limits and retries.
 
-Owns budgets, admission, deadlines and what an outcome proves. Pure; must never touch a connection.
+Holds retry budgets, admission to nodes, deadlines, and what the outcome of a try proves. Pure; must never touch a
+connection.
 """
--- a/knotwalk/admission/budget.py
+++ b/knotwalk/admission/budget.py
@@ -1,82 +1,83 @@
-"""The budget of further tries that all edges share for a service. Pure: the caller brings the time.
+"""The retry budget of a service, which all edges share. Pure: the caller passes the time.
 
-The rule (BUDGET): in any window, arrivals past the first of each request stay within ratio * requests + slack, over all
-edges together. An edge spends no more than its own requests and its part of the slack allow, so that the sum holds
-without a word between edges; a restarted edge begins with nothing.
+The rule (BUDGET): in any window, the tries that reach nodes beyond the first of each request stay within
+ratio * requests + slack, over all edges together. Each edge spends no more than its own requests and its share of the
+slack allow, so that the total holds without communication between edges; a restarted edge starts without slack.
 """
 
 from collections import deque
 
-# Of the ratio: the rule's window and ours may lie up to a window apart, and traffic swings.
+# Part of the ratio that is used: the rule's window and this one may be up to one window apart, and traffic varies.
 RATIO_PART = 0.8
-# Of the slack: room for lives of edges that ended within the window, and for edges not yet counted.
+# Part of the slack that is used: the rest is reserved for edge processes that ended within the window and for edges
+# that are not counted yet.
 SLACK_PART = 0.7
-# Parts of a window that are counted together: an error of 5% on the safe side for 20 numbers of memory.
-PARTS = 20
+# Buckets of a window: 20 counters bound the count with an error of 5%, on the safe side.
+BUCKETS = 20
 
 
-class Counter:
-    """How many there were within a sliding window, in parts; `at_most` and `at_least` bound it from either side."""
+class WindowCounter:
+    """Counts events within a sliding window, in buckets; `upper_bound` and `lower_bound` enclose the true count."""
 
     def __init__(self, window: float):
-        self.part = window / PARTS
-        self.parts: deque[list[int]] = deque()  # [number of the part, count], oldest first
+        self.bucket_s = window / BUCKETS
+        self.buckets: deque[list[int]] = deque()  # [bucket number, count], oldest first
         self.total = 0
 
     def add(self, now: float, count: int = 1) -> None:
-        """Count so many at `now`."""
-        number = int(now / self.part)
+        """Count events at `now`."""
+        number = int(now / self.bucket_s)
         self._age(number)
-        if self.parts and self.parts[-1][0] == number:
-            self.parts[-1][1] += count
+        if self.buckets and self.buckets[-1][0] == number:
+            self.buckets[-1][1] += count
         else:
-            self.parts.append([number, count])
+            self.buckets.append([number, count])
         self.total += count
 
     def _age(self, number: int) -> None:
-        while self.parts and self.parts[0][0] < number - PARTS:
-            self.total -= self.parts.popleft()[1]
+        while self.buckets and self.buckets[0][0] < number - BUCKETS:
+            self.total -= self.buckets.popleft()[1]
 
-    def at_most(self, now: float) -> int:
-        """No fewer than there were in the window that ends now."""
-        self._age(int(now / self.part))
+    def upper_bound(self, now: float) -> int:
+        """At least as many as there were in the window that ends now."""
+        self._age(int(now / self.bucket_s))
         return self.total
 
-    def at_least(self, now: float) -> int:
-        """No more than there were in the window that ends now."""
-        number = int(now / self.part)
+    def lower_bound(self, now: float) -> int:
+        """At most as many as there were in the window that ends now."""
+        number = int(now / self.bucket_s)
         self._age(number)
-        if self.parts and self.parts[0][0] == number - PARTS:
-            return self.total - self.parts[0][1]
+        if self.buckets and self.buckets[0][0] == number - BUCKETS:
+            return self.total - self.buckets[0][1]
         return self.total
 
 
 class Budget:
-    """What this edge may spend on further tries at one service.
+    """What this edge may spend on retries for one service.
 
-    `ratio` and `slack` as the rule has them, `window` in seconds, `began`: when this life of the edge began.
+    `ratio` and `slack` are those of the rule, `window` is in seconds, `started_at` is when this edge process started.
     """
 
-    def __init__(self, ratio: float, window: float, slack: float, began: float):
-        self.ratio, self.window, self.slack, self.began = ratio, window, slack, began
-        self.requests, self.extras = Counter(window), Counter(window)
+    def __init__(self, ratio: float, window: float, slack: float, started_at: float):
+        self.ratio, self.window, self.slack, self.started_at = ratio, window, slack, started_at
+        self.requests, self.retries = WindowCounter(window), WindowCounter(window)
 
     def request(self, now: float) -> None:
-        """A client's request for the service arrived here."""
+        """Count a client's request for the service."""
         self.requests.add(now)
 
-    def room(self, now: float, edges: int) -> float:
-        """How many more further tries may arrive now, with so many edges sharing the slack."""
-        share = self.slack * SLACK_PART / max(1, edges) if now - self.began >= self.window else 0.0
-        return self.ratio * RATIO_PART * self.requests.at_least(now) + share - self.extras.at_most(now)
+    def available(self, now: float, edges: int) -> float:
+        """How many more retries may reach nodes now, with `edges` edges sharing the slack."""
+        share = self.slack * SLACK_PART / max(1, edges) if now - self.started_at >= self.window else 0.0
+        return self.ratio * RATIO_PART * self.requests.lower_bound(now) + share - self.retries.upper_bound(now)
 
     def take(self, now: float, edges: int) -> bool:
-        """Spend one further try, if there is room."""
-        if self.room(now, edges) < 1.0:
+        """Spend one retry, if the budget allows it."""
+        if self.available(now, edges) < 1.0:
             return False
-        self.extras.add(now)
+        self.retries.add(now)
         return True
 
     def give_back(self, now: float) -> None:
-        """A try that was taken did not arrive: no connection came up."""
-        self.extras.add(now, -1)
+        """Return a retry that reached no node because no connection was established."""
+        self.retries.add(now, -1)
--- a/knotwalk/admission/outcome.py
+++ b/knotwalk/admission/outcome.py
@@ -1,20 +1,21 @@
-"""What the end of a try proves, and what may follow it. Pure.
+"""What the outcome of a try proves, and which step may follow it. Pure.
 
-Source: the protocol's page on nodes (only `Not-Executed` or 421 says that a request did not run) and the rules TWICE
-and REFUSED. A promise (429, 503, 408, 421) is given to a client only if no node may have run its request.
+Source: the node protocol (only `Not-Executed` or 421 proves that a request did not run), and the rules TWICE and
+REFUSED. A client gets a status that promises that its request never runs (429, 503, 408, 421) only if no node may have
+run it.
 """
 
 from enum import Enum
 
 
-class End(Enum):
+class TryOutcome(Enum):
     """How one try at one node ended."""
 
-    UNREACHED = "unreached"  # no connection came up: not a byte was sent
-    TURNED_AWAY = "turned away"  # the node says that it did not run it
-    ANSWERED = "answered"  # a whole answer, to be passed on
-    FAILED = "failed"  # a whole answer of the node's own trouble: 500, 502, 503, 504
-    LOST = "lost"  # reset, closed, cut, unreadable or another's answer, after bytes were sent
+    UNREACHED = "unreached"  # no connection was established: nothing was sent
+    TURNED_AWAY = "turned away"  # the node states that it did not run it
+    ANSWERED = "answered"  # a complete answer, to be passed on
+    FAILED = "failed"  # a complete answer with a server error: 500, 502, 503, 504
+    LOST = "lost"  # after bytes were sent: reset, closed, truncated, unreadable or another request's answer
     SILENT = "silent"  # the deadline passed after bytes were sent
 
 
@@ -26,59 +27,59 @@
     DONE = "done"
 
 
-class Move(Enum):
-    """What to do next."""
+class NextStep(Enum):
+    """What to do after a try."""
 
-    AGAIN = "again"  # offer it to a node once more
+    RETRY = "retry"  # offer it to a node again
     PASS_ON = "pass on"  # give the client the node's answer
-    COME_BACK = "come back"  # 503 with Retry-After: it never ran and never will
+    REFUSE = "refuse"  # 503 with Retry-After: it never ran and never will
     UNKNOWN = "unknown"  # 502: it may have run
-    LATE = "late"  # 504: the deadline passed
+    TIMED_OUT = "timed out"  # 504: the deadline passed
 
 
 PROOFS = {
-    End.UNREACHED: Proof.NEVER_RAN,
-    End.TURNED_AWAY: Proof.NEVER_RAN,
-    End.ANSWERED: Proof.DONE,
-    End.FAILED: Proof.MAY_HAVE_RUN,
-    End.LOST: Proof.MAY_HAVE_RUN,
-    End.SILENT: Proof.MAY_HAVE_RUN,
+    TryOutcome.UNREACHED: Proof.NEVER_RAN,
+    TryOutcome.TURNED_AWAY: Proof.NEVER_RAN,
+    TryOutcome.ANSWERED: Proof.DONE,
+    TryOutcome.FAILED: Proof.MAY_HAVE_RUN,
+    TryOutcome.LOST: Proof.MAY_HAVE_RUN,
+    TryOutcome.SILENT: Proof.MAY_HAVE_RUN,
 }
-PROMISES = frozenset({408, 421, 429, 503})  # statuses by which a client knows that its request never runs
-TROUBLE = frozenset({500, 502, 503, 504})  # a node's own trouble, after it ran or may have run
+NEVER_RUN_STATUSES = frozenset({408, 421, 429, 503})  # these promise the client that its request never runs
+SERVER_FAULT_STATUSES = frozenset({500, 502, 503, 504})  # server errors after which the request has run or may have run
 
 
-def judge(status: int, not_executed: bool, sealed: bool) -> End:
-    """How a try ended whose whole answer came; `sealed` is whether it bears the node's seal.
+def classify_answer(status: int, not_executed: bool, sealed: bool) -> TryOutcome:
+    """The outcome of a try with a complete answer; `sealed`: whether the answer has the `Server-Seal` header.
 
-    >>> judge(503, True, False), judge(200, False, False), judge(500, False, False)
-    (<End.TURNED_AWAY: 'turned away'>, <End.LOST: 'lost'>, <End.FAILED: 'failed'>)
+    >>> classify_answer(503, True, False), classify_answer(200, False, False), classify_answer(500, False, False)
+    (<TryOutcome.TURNED_AWAY: 'turned away'>, <TryOutcome.LOST: 'lost'>, <TryOutcome.FAILED: 'failed'>)
     """
     if 200 <= status < 300:
-        return End.ANSWERED if sealed and not not_executed else End.LOST
+        return TryOutcome.ANSWERED if sealed and not not_executed else TryOutcome.LOST
     if not_executed or status == 421:
-        return End.TURNED_AWAY
-    if status in TROUBLE or status in PROMISES:
-        return End.FAILED
-    return End.ANSWERED
+        return TryOutcome.TURNED_AWAY
+    if status in SERVER_FAULT_STATUSES or status in NEVER_RUN_STATUSES:
+        return TryOutcome.FAILED
+    return TryOutcome.ANSWERED
 
 
-def move(end: End, idempotent: bool, may_have_run: bool, again: bool, status: int = 0) -> Move:
-    """What follows a try that ended so.
+def next_step(outcome: TryOutcome, idempotent: bool, may_have_run: bool, again: bool, status: int = 0) -> NextStep:
+    """The step that follows a try with this outcome.
 
-    `may_have_run`: whether an earlier try may have run; `again`: whether a node, the time and the budget allow a
-    further try; `status`: of the node's answer, where there is one.
+    `may_have_run`: whether an earlier try may have run; `again`: whether the available nodes, the time left and the
+    retry budget allow another try; `status`: that of the node's answer, if there is one.
     """
-    if end is End.ANSWERED:
-        return Move.PASS_ON
-    if end is End.SILENT:
-        return Move.LATE
-    if PROOFS[end] is Proof.NEVER_RAN:
+    if outcome is TryOutcome.ANSWERED:
+        return NextStep.PASS_ON
+    if outcome is TryOutcome.SILENT:
+        return NextStep.TIMED_OUT
+    if PROOFS[outcome] is Proof.NEVER_RAN:
         if again and (idempotent or not may_have_run):
-            return Move.AGAIN
-        return Move.UNKNOWN if may_have_run else Move.COME_BACK
+            return NextStep.RETRY
+        return NextStep.UNKNOWN if may_have_run else NextStep.REFUSE
     if idempotent and again:
-        return Move.AGAIN
-    if end is End.FAILED and status not in PROMISES:
-        return Move.PASS_ON
-    return Move.UNKNOWN
+        return NextStep.RETRY
+    if outcome is TryOutcome.FAILED and status not in NEVER_RUN_STATUSES:
+        return NextStep.PASS_ON
+    return NextStep.UNKNOWN
--- a/knotwalk/edge/__main__.py
+++ b/knotwalk/edge/__main__.py
@@ -14,15 +14,15 @@
 import os
 from zlib import crc32
 
-from knotwalk.admission.connection_budget import ASKED_FOR
+from knotwalk.admission.connection_budget import ASK_CONTRACTS
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.edge import ready
+from knotwalk.edge import readiness
 from knotwalk.edge.admission_calls import AdmissionCalls
 from knotwalk.edge.caller import Caller
-from knotwalk.edge.front import Front
+from knotwalk.edge.client_server import ClientServer
 from knotwalk.edge.limits import Refusals, needs_ask
-from knotwalk.edge.link import Link
 from knotwalk.edge.operations import Operations
+from knotwalk.edge.view_poller import ViewPoller
 from knotwalk.runtime.life import FIGURES_AFTER, Ending, live
 from knotwalk.runtime.logs import clock, log_info
 from knotwalk.runtime.settings import Settings
@@ -40,87 +40,89 @@
         seed = crc32(f"{settings.node_name}{os.getpid()}{os.urandom(4).hex()}".encode())
         self.view = ClusterView()
         self.caller = Caller()
-        self.front = Front(settings, self.view, clock, seed)
+        self.client_server = ClientServer(settings, self.view, clock, seed)
         port = settings.ports[0]
-        self.link = Link(
+        self.view_poller = ViewPoller(
             settings.node_name,
             self.view,
             self.caller,
             [f"{ip}:{port}" for ip, _ in settings.seeds],
             seed,
             settings.zone,
-            lambda: self.front.report(clock()),
+            lambda: self.client_server.report(clock()),
             self.news,
-            self.front.forwarder.freshness,
+            self.client_server.forwarder.freshness,
         )
-        life = self.link.life = os.urandom(8).hex()
+        life = self.view_poller.life = os.urandom(8).hex()
         self.admission_calls = AdmissionCalls(
             settings.node_name,
             life,
             self.cores,
             clock,
             settings.bounds.key_period,
-            lambda: self.front.counts,
+            lambda: self.client_server.counts,
             settings.machine.link_mbps,
         )
-        if ASKED_FOR.intersection(settings.contracts):
-            self.front.operations = Operations(
-                settings, self.front.forwarder, self.admission_calls, needs_ask, Refusals()
+        if ASK_CONTRACTS.intersection(settings.contracts):
+            self.client_server.operations = Operations(
+                settings, self.client_server.forwarder, self.admission_calls, needs_ask, Refusals()
             )
-        self.readiness = ready.Readiness(self.front)
+        self.readiness = readiness.Readiness(self.client_server)
         self.ending = Ending(self.reload, settings.mark)
 
     def cores(self) -> list[str]:
         """Addresses of cores to ask for admission: the one that is heard, then others, those of this zone first."""
-        link, zone = self.link, self.settings.zone
-        others = sorted(self.view.cores, key=lambda core: (core in link.left, link.zones.get(core, zone) != zone))
-        return list(dict.fromkeys([*filter(None, (link.core,)), *others]))
+        poller, zone = self.view_poller, self.settings.zone
+        others = sorted(
+            self.view.cores, key=lambda core: (core in poller.failed_at, poller.zones.get(core, zone) != zone)
+        )
+        return list(dict.fromkeys([*filter(None, (poller.core,)), *others]))
 
     def news(self, changed: set[str], edges: int) -> None:
         """Topics of the cluster view changed; so many `edges` share the budgets."""
         if edges > 1:
-            self.front.edges = edges
-        self.front.view_changed(changed)
+            self.client_server.edges = edges
+        self.client_server.view_changed(changed)
         if self.view.whole and not self.ending.asked:
             self.readiness.begin(clock())
 
     async def run(self) -> None:
         """Serve until the end is asked for, then finish what was read."""
         self.ending.listen()
-        readiness = await ready.listen(*self.settings.at("readiness"), lambda: self.readiness.at(clock()))
-        await self.front.start()
-        told = asyncio.get_running_loop().create_task(self.tell_figures())
-        link = asyncio.get_running_loop().create_task(self.link.run())
-        await self.ending.wait(link)
+        readiness_server = await readiness.listen(*self.settings.at("readiness"), lambda: self.readiness.at(clock()))
+        await self.client_server.start()
+        serving_metrics = asyncio.get_running_loop().create_task(self.serve_metrics())
+        polling = asyncio.get_running_loop().create_task(self.view_poller.run())
+        await self.ending.wait(polling)
         log_info("leaving")
         self.readiness.end()
-        self.front.drain()
+        self.client_server.drain()
         # What was read is finished while the cluster view is still kept up; the rest of the grace is for last bytes.
-        await self.front.finished(clock() + self.settings.bounds.grace_period - 0.5)
+        await self.client_server.finished(clock() + self.settings.bounds.grace_period - 0.5)
         await self.admission_calls.finish(clock() + LAST_ENDS)
-        link.cancel()
-        readiness.close()
-        told.cancel()
+        polling.cancel()
+        readiness_server.close()
+        serving_metrics.cancel()
         await self.caller.close()
         log_info("ended")
 
-    async def tell_figures(self) -> None:
+    async def serve_metrics(self) -> None:
         """Tell this edge's figures at a port, if it is given one, until cancelled."""
         if self.settings.metrics_port is None:
             return
         await asyncio.sleep(FIGURES_AFTER)
-        from knotwalk.edge.figures import figures
+        from knotwalk.edge.edge_metrics import edge_metrics
         from knotwalk.runtime import metrics
 
         await metrics.listen(
             self.settings.ip_address,
             self.settings.metrics_port,
-            lambda: figures(clock(), self.readiness.at(clock()), self.front, self.link),
+            lambda: edge_metrics(clock(), self.readiness.at(clock()), self.client_server, self.view_poller),
         )
 
     def reload(self, fresh: Settings) -> None:
         """The settings file changed: the seeds are taken up; the rest wants a start."""
-        self.link.seeds = [f"{ip}:{fresh.ports[0]}" for ip, _ in fresh.seeds]
+        self.view_poller.seeds = [f"{ip}:{fresh.ports[0]}" for ip, _ in fresh.seeds]
 
 
 if __name__ == "__main__":
--- a/knotwalk/edge/admission_calls.py
+++ b/knotwalk/edge/admission_calls.py
@@ -15,7 +15,7 @@
 from knotwalk.admission.connection_budget import ASK_LANES
 from knotwalk.edge import end_batches
 from knotwalk.edge.caller import Caller
-from knotwalk.edge.operation_steps import UntoldEnds
+from knotwalk.edge.operation_steps import PendingEnds
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.logs import log_warning
 from knotwalk.shared_state.messages import (
@@ -30,19 +30,19 @@
 # Seconds for an answer to a call: a core tells within some tens of ms, whatever it knows by then. Doubled, up to the
 # most, with each call in a row that has none in time: behind a squeezed link cores are slow, and there all the same.
 # The time that the call's bytes take on the link comes on top.
-PATIENCE, PATIENCE_MOST = 0.15, 0.8
+CALL_TIMEOUT_S, MAX_CALL_TIMEOUT_S = 0.15, 0.8
 # Seconds that an end waits for an ask to travel with: one that frees its operation, for which a client was told to come
 # back soon, and any other.
-GATHER_FREED, GATHER = 0.02, 0.25
+FREED_END_DELAY_S, END_DELAY_S = 0.02, 0.25
 # Asks that one call takes.
-MOST = 200
+MAX_ASKS = 200
 # Seconds between calls while no core is known that did not fail lately: a port that refuses answers at once.
-PAUSE = 0.02
+PAUSE_S = 0.02
 # Seconds in which a core that failed is asked only if no other is known.
-AVOID = 2.0
+AVOID_FAILED_CORE_S = 2.0
 # Seconds by which asks are counted.
-STEPS = (0.01, 0.02, 0.04, 0.08)
-NOT_TOLD = AdmissionTold(Admission.UNAVAILABLE)
+DURATION_STEPS_S = (0.01, 0.02, 0.04, 0.08)
+NO_ANSWER = AdmissionTold(Admission.UNAVAILABLE)
 
 
 @dataclass(slots=True)
@@ -92,9 +92,9 @@
         self.lanes = [Caller() for _ in range(ASK_LANES)]
         self.idle = list(self.lanes)
         self.asks: list[Waiting] = []
-        self.ends = UntoldEnds(window)
+        self.ends = PendingEnds(window)
         self.failed: dict[str, float] = {}  # cores that failed, and when
-        self.patience = PATIENCE
+        self.patience = CALL_TIMEOUT_S
         self.telling = False  # a call that bears ends alone is under way
         self.waited = 0.0  # seconds that asks took in all
         self._timer: asyncio.TimerHandle | None = None
@@ -121,17 +121,17 @@
         """Tell these cores how the run of an operation ended."""
         told = OperationEnd(operation, attempt, ending, answer)
         now = self.clock()
-        due = now + (GATHER_FREED if ending is Ending.NEVER_RAN else GATHER)
+        due = now + (FREED_END_DELAY_S if ending is Ending.NEVER_RAN else END_DELAY_S)
         for core in cores:
             self.ends.add(now, core, told, due)
         self._start_later(due - now)
 
     async def finish(self, by: float) -> None:
         """Tell what is untold until the steady clock shows `by`; then end all connections."""
-        self.ends.hurry()
+        self.ends.make_due()
         while self.ends.waiting and self.clock() < by:
             self._start_calls()
-            await asyncio.sleep(GATHER_FREED)
+            await asyncio.sleep(FREED_END_DELAY_S)
         if self._timer is not None:
             self._timer.cancel()
         for call in list(self._calls):
@@ -142,9 +142,13 @@
     def _note(self, told: AdmissionTold, took: float) -> None:
         """Count an ask by how long it took."""
         self.waited += took
-        step = next((step for step in STEPS if took <= step), None)
-        within = f"within {step * 1000:g} ms" if step is not None else f"over {STEPS[-1] * 1000:g} ms"
-        self.counts()[f"asked, {'not told' if told is NOT_TOLD else within}"] += 1
+        admission_step = next((admission_step for admission_step in DURATION_STEPS_S if took <= admission_step), None)
+        within = (
+            f"within {admission_step * 1000:g} ms"
+            if admission_step is not None
+            else f"over {DURATION_STEPS_S[-1] * 1000:g} ms"
+        )
+        self.counts()[f"asked, {'not told' if told is NO_ANSWER else within}"] += 1
 
     # -- calls
 
@@ -163,7 +167,7 @@
     def _start_calls(self) -> None:
         """Begin calls while there is something to tell and a lane is free."""
         while self.idle and (call := self._next_call(self.clock())) is not None:
-            self.ends.sent(self.clock(), call.core, call.ends)
+            self.ends.mark_sent(self.clock(), call.core, call.ends)
             for waiting in call.asks:
                 waiting.cores.append(call.core)
             self.telling = self.telling or not call.asks
@@ -171,7 +175,7 @@
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
         if self.idle and not self.telling and (next_due := self.ends.next_due()) is not None:
-            self._start_later(max(GATHER_FREED, next_due - self.clock()))
+            self._start_later(max(FREED_END_DELAY_S, next_due - self.clock()))
 
     def _next_call(self, now: float) -> Call | None:
         """What to tell next, and whom. Ends that can't go with asks have one lane at most; where asks hold the other
@@ -179,14 +183,14 @@
         due = self.ends.due(now)
         core = self._core() if self.asks else None
         if core is not None:
-            beside = end_batches.beside_asks([one.end for one in self.ends.ready(now, core)])
+            beside = end_batches.batch_with_asks([one.end for one in self.ends.ready(now, core)])
             if self.telling or all(one.end in beside for one in due) or len(self.idle) == len(self.lanes):
-                batch, self.asks = self.asks[:MOST], self.asks[MOST:]
+                batch, self.asks = self.asks[:MAX_ASKS], self.asks[MAX_ASKS:]
                 return Call(core, batch, beside)
         if self.telling or not due:
             return None
-        to = min(due, key=lambda one: self._avoided(one.to)).to
-        return Call(to, [], end_batches.alone([one.end for one in due if one.to == to]))
+        to = min(due, key=lambda one: self._avoided(one.core)).core
+        return Call(to, [], end_batches.batch_alone([one.end for one in due if one.core == to]))
 
     def _core(self) -> str | None:
         """The core to ask: the best of those that did not fail lately, else the best of all."""
@@ -194,12 +198,12 @@
 
     def _avoided(self, core: str) -> bool:
         """Whether a core failed lately."""
-        return self.clock() - self.failed.get(core, -AVOID) < AVOID
+        return self.clock() - self.failed.get(core, -AVOID_FAILED_CORE_S) < AVOID_FAILED_CORE_S
 
     async def _call(self, lane: Caller, call: Call) -> None:
         core, batch, ends = call.core, call.asks, call.ends
         message = EdgeBatch(self.edge, self.life, [one.ask for one in batch], ends).to_json()
-        patience = self.patience + end_batches.carrying(len(batch), ends, self.link_mbps)
+        patience = self.patience + end_batches.transfer_time(len(batch), ends, self.link_mbps)
         begun = self.clock()
         try:
             if lane.keep_only(core):
@@ -212,8 +216,8 @@
             self._lost(core, batch, error, self.clock() - begun >= patience)
         else:
             self.failed.pop(core, None)
-            self.patience = PATIENCE
-            self.ends.done(core, ends)
+            self.patience = CALL_TIMEOUT_S
+            self.ends.mark_accepted(core, ends)
             for waiting, one in zip(batch, told, strict=True):
                 if not waiting.told.done():
                     waiting.by = core
@@ -222,7 +226,7 @@
             self.idle.append(lane)
             self.telling = self.telling and bool(batch)
         if all(self._avoided(one) for one in self.cores()):
-            self._start_later(PAUSE)
+            self._start_later(PAUSE_S)
         else:
             self._start_calls()
 
@@ -234,10 +238,10 @@
             log_warning("core does not admit", core=core, why=str(error))
         self.failed[core] = now
         if too_slow:
-            self.patience = min(PATIENCE_MOST, 2 * self.patience)
+            self.patience = min(MAX_CALL_TIMEOUT_S, 2 * self.patience)
         self.asks[:0] = [one for one in batch if not one.told.done() and one.until > now]
 
 
 def _not_told(told: asyncio.Future) -> None:
     if not told.done():
-        told.set_result(NOT_TOLD)
+        told.set_result(NO_ANSWER)
--- a/knotwalk/edge/answer_reader.py
+++ b/knotwalk/edge/answer_reader.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from knotwalk.admission.outcome import End, judge
-from knotwalk.edge.node_answer import HOP, Answer, Sink, read_load
+from knotwalk.admission.outcome import TryOutcome, classify_answer
+from knotwalk.edge.node_answer import HOP_BY_HOP_HEADERS, Answer, Sink, read_load
 from knotwalk.edge.node_connection_state import NodeConnectionState, Phase
 
 # An answer up to this size (bytes) is gathered whole before its head is passed on: a cut one can be tried again.
@@ -53,7 +53,7 @@
     def _read_head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
         """Check an answer's head and begin to take it; ValueError if it is not this request's answer."""
         id, sealed, not_executed, length, chunked = None, False, False, None, False
-        load, drop, kept = None, HOP, []
+        load, drop, kept = None, HOP_BY_HOP_HEADERS, []
         for name, value in headers:
             low = name.lower()
             if low == b"attempt-id":
@@ -89,8 +89,8 @@
         bodiless = status in (204, 304) or self.method == b"HEAD"
         if length is None and not chunked and not bodiless:
             raise ValueError("an answer without an end")
-        answer = Answer(judge(status, not_executed, sealed))
-        if answer.end is End.LOST:
+        answer = Answer(classify_answer(status, not_executed, sealed))
+        if answer.outcome is TryOutcome.LOST:
             raise ValueError("a success without a seal")
         answer.status, answer.length, answer.node, answer.load = status, length, self.node, load
         drop = drop - {b"attempt-id", b"server-seal", b"not-executed"}
@@ -111,7 +111,7 @@
     def _stream(self) -> None:
         """From here on the answer is passed on as it comes: hand over what is gathered, wait for who takes the rest."""
         assert self.answer is not None and self.waiter is not None and self.transport is not None
-        self.answer.whole, self.answer.stream = False, self
+        self.answer.is_complete, self.answer.stream = False, self
         self.answer.body, self._gathered = b"".join(self._gathered), []
         self.transport.pause_reading()
         if not self.waiter.done():
@@ -146,7 +146,7 @@
             return
         self._gathered.append(data)
         self._size += len(data)
-        if self._size > GATHER and self.answer is not None and self.answer.whole:
+        if self._size > GATHER and self.answer is not None and self.answer.is_complete:
             self._stream()
 
     def on_message_complete(self) -> None:
@@ -169,9 +169,9 @@
         """The answer was read to its end: give it away, keep the connection if nothing speaks against it."""
         answer, waiter, sink = self.answer, self.waiter, self.sink
         assert answer is not None
-        if not answer.whole and sink is None:
+        if not answer.is_complete and sink is None:
             return  # streamed, and nobody has taken it yet: take() comes back here
-        if answer.whole:
+        if answer.is_complete:
             answer.body = b"".join(self._gathered)
         keep = (
             clean
--- a/knotwalk/edge/answer_writer.py
+++ b/knotwalk/edge/answer_writer.py
@@ -8,7 +8,7 @@
 
 from http import HTTPStatus
 
-from knotwalk.edge.client_state import DEPTH, ClientState, ConnectionState
+from knotwalk.edge.client_state import MAX_PIPELINED, ClientState, ConnectionState
 from knotwalk.edge.exchange import Exchange
 from knotwalk.edge.node_answer import Answer
 from knotwalk.edge.stages import Stage
@@ -49,35 +49,35 @@
     def _next(self, exchange: Exchange) -> None:
         """The first answer is written whole: on to the one behind it."""
         self.queue.popleft()
-        self.touched = self.front.clock()
-        last = not exchange.keep
+        self.touched = self.client_server.clock()
+        last = not exchange.keep_alive
         if exchange.stage is not Stage.DONE:
             self._end(exchange)
         if last:
             self._linger()
             return
-        if len(self.queue) < DEPTH:
+        if len(self.queue) < MAX_PIPELINED:
             self._hold("depth", False)
         self._start()
         self._ask_body()
 
     def _keeps(self, exchange: Exchange) -> bool:
         """Whether the connection goes on behind this answer, which is the oldest that is due."""
-        front = self.front
-        return exchange.keep and (
+        client_server = self.client_server
+        return exchange.keep_alive and (
             len(self.queue) > 1
             or self.state is ConnectionState.OPEN
-            and not front.draining
-            and len(front.clients) <= front.connection_budget.kept
+            and not client_server.draining
+            and len(client_server.clients) <= client_server.connection_budget.keep_alive
         )
 
     def _answer(self, exchange: Exchange) -> bool:
         """Write an answer, or the beginning of a streamed one; False if its rest comes later."""
         assert self.transport is not None
         answer = exchange.answer
-        if answer is not None and not answer.whole and answer.length is None and not exchange.modern:
-            exchange.keep = False  # ended by the end of the connection
-        keep = exchange.keep = self._keeps(exchange)
+        if answer is not None and not answer.is_complete and answer.length is None and not exchange.is_http_11:
+            exchange.keep_alive = False  # ended by the end of the connection
+        keep = exchange.keep_alive = self._keeps(exchange)
         if not keep:
             self._shut()
         if answer is None:
@@ -90,24 +90,24 @@
         if bodiless:
             if answer.length is not None:
                 lines.append(b"Content-Length: %d\r\n" % answer.length)
-        elif answer.whole:
+        elif answer.is_complete:
             lines.append(b"Content-Length: %d\r\n" % len(answer.body))
         elif answer.length is not None:
             lines.append(b"Content-Length: %d\r\n" % answer.length)
-        elif exchange.modern:
+        elif exchange.is_http_11:
             lines.append(b"Transfer-Encoding: chunked\r\n")
         lines.append(self._connection(exchange, keep))
-        if answer.whole:
+        if answer.is_complete:
             self.transport.write(b"".join(lines) + (b"" if bodiless else answer.body))
             return True
-        exchange.to(Stage.WRITING)
+        exchange.transition_to(Stage.WRITING)
         self.transport.write(b"".join(lines))
         self._pass_on(exchange, answer)
         return False
 
     def _pass_on(self, exchange: Exchange, answer: Answer) -> None:
         """Pass on the body of an answer whose head is written: what has come of it now, the rest as it comes."""
-        passage = Passage(self, exchange, answer.length is None and exchange.modern)
+        passage = Passage(self, exchange, answer.length is None and exchange.is_http_11)
         if answer.body:
             passage.data(answer.body)
             answer.body = b""
@@ -134,32 +134,32 @@
     def _connection(self, exchange: Exchange, keep: bool) -> bytes:
         if not keep:
             return b"Connection: close\r\n\r\n"
-        line = b"Keep-Alive: timeout=%d\r\n\r\n" % max(1, int(self.front.limits.idle_timeout) - KEEP_MARGIN)
-        return line if exchange.modern else b"Connection: keep-alive\r\n" + line
+        line = b"Keep-Alive: timeout=%d\r\n\r\n" % max(1, int(self.client_server.limits.idle_timeout) - KEEP_MARGIN)
+        return line if exchange.is_http_11 else b"Connection: keep-alive\r\n" + line
 
     def _ask_body(self) -> None:
         """Tell a client that waits for it to send its body, once its turn to be told has come."""
         exchange = self.reading
         if (
             exchange is not None
-            and exchange.expects
+            and exchange.expects_continue
             and self.queue
             and self.queue[0] is exchange
             and self.transport is not None
         ):
-            exchange.expects = False
+            exchange.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _settled(self, exchange: Exchange) -> None:
-        if exchange.timer is not None and (exchange.answer is None or exchange.answer.whole):
+        if exchange.timer is not None and (exchange.answer is None or exchange.answer.is_complete):
             exchange.timer.cancel()
             exchange.timer = None
-        if exchange.gone or self.state in (ConnectionState.LINGER, ConnectionState.CLOSED):
+        if exchange.client_gone or self.state in (ConnectionState.LINGER, ConnectionState.CLOSED):
             if exchange.answer is not None and exchange.answer.stream is not None:
                 exchange.answer.stream.abort("the client is gone")
             self._end(exchange)
             return
-        if exchange is self.reading and exchange.body_gone:
+        if exchange is self.reading and exchange.body_streaming:
             self._shut()  # answered before its body was read
         self._write()
 
@@ -170,12 +170,12 @@
         self._shut()
         self._to(ConnectionState.LINGER)
         for exchange in self.queue:  # read behind the last answer: counts as not read
-            exchange.leave()
+            exchange.abandon()
             if exchange.stage not in (Stage.RUNNING, Stage.DONE):
                 self._end(exchange)
         self.queue.clear()
         self.holds.clear()
-        self.touched = self.front.clock()
+        self.touched = self.client_server.clock()
         if self.transport is not None and not self.transport.is_closing():
             if not self.transport.is_reading():
                 self.transport.resume_reading()
@@ -192,19 +192,19 @@
     """Passes a streamed answer on to the client."""
 
     def __init__(self, client: AnswerWriter, exchange: Exchange, chunked: bool):
-        self.client, self.x, self.chunked = client, exchange, chunked
+        self.client, self.exchange, self.chunked = client, exchange, chunked
 
     def data(self, data: bytes) -> None:
         """A piece of the body came from the node."""
         transport = self.client.transport
         if transport is None or transport.is_closing():
             return
-        self.client.touched = self.client.front.clock()
+        self.client.touched = self.client.client_server.clock()
         transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
 
     def ended(self) -> None:
         """The answer is whole."""
-        client, exchange = self.client, self.x
+        client, exchange = self.client, self.exchange
         if client.state is ConnectionState.CLOSED or exchange.stage is not Stage.WRITING:
             return
         if self.chunked and client.transport is not None:
@@ -214,6 +214,6 @@
 
     def cut(self, why: str) -> None:
         """The answer will not become whole: the client is shown that."""
-        if self.x.stage is Stage.WRITING:
-            self.client.front.counts["cut"] += 1
+        if self.exchange.stage is Stage.WRITING:
+            self.client.client_server.counts["cut"] += 1
             self.client.abort()
--- a/knotwalk/edge/caller.py
+++ b/knotwalk/edge/caller.py
@@ -20,19 +20,19 @@
 from knotwalk.runtime.packing import ENCODING, unpack
 
 # Seconds after which an idle connection is not used again: less than half of what a core keeps one open for.
-IDLE = 8.0
-PATIENCE = 1.0  # as other calls between peers have it
+MAX_IDLE_S = 8.0
+CALL_TIMEOUT_S = 1.0  # as other calls between peers have it
 # Seconds for a new connection: a machine that is up answers the opening by its kernel, in some ms, however busy its
 # programs are; a dark one says nothing, and an opening packet that was lost is sent again after a second only. Doubled
 # after each that failed, until one comes: behind a squeezed link a core is slow to answer and there all the same.
-CONNECT = 0.2
-MOST = 64 * 1024 * 1024  # bytes of an answer, as of a call's body at a core
+CONNECT_TIMEOUT_S = 0.2
+MAX_ANSWER_BYTES = 64 * 1024 * 1024  # bytes of an answer, as of a call's body at a core
 # Seconds that an answer may take in all while its bytes keep coming: a large configuration takes seconds on a slow
 # link, and given up in its midst it would begin anew at the next core, for ever.
-WHOLE = 30.0
+MAX_ANSWER_S = 30.0
 
 
-class Line(Enum):
+class CallState(Enum):
     """States of a connection to a core."""
 
     IDLE = "idle"
@@ -40,7 +40,11 @@
     CLOSED = "closed"
 
 
-LINES = {Line.IDLE: {Line.WAITING, Line.CLOSED}, Line.WAITING: {Line.IDLE, Line.CLOSED}, Line.CLOSED: set()}
+CALL_TRANSITIONS = {
+    CallState.IDLE: {CallState.WAITING, CallState.CLOSED},
+    CallState.WAITING: {CallState.IDLE, CallState.CLOSED},
+    CallState.CLOSED: set(),
+}
 
 
 class Connection(asyncio.Protocol):
@@ -48,7 +52,7 @@
     understood."""
 
     def __init__(self) -> None:
-        self.line = Line.IDLE
+        self.state = CallState.IDLE
         self.call = b""  # id of the call that waits
         self.idle_since = asyncio.get_running_loop().time()
         self.transport: asyncio.Transport | None = None
@@ -63,19 +67,19 @@
         self.answered = b""  # id of the call that is answered, if the core names it
         self.packed = False
 
-    def _to(self, line: Line) -> None:
+    def _to(self, state: CallState) -> None:
         """The one place where the state changes."""
-        if line not in LINES[self.line]:
-            raise PeerError("connection to a core", "", f"from {self.line.value} to {line.value}")
-        self.line = line
+        if state not in CALL_TRANSITIONS[self.state]:
+            raise PeerError("connection to a core", "", f"from {self.state.value} to {state.value}")
+        self.state = state
 
     def fit(self) -> bool:
         """Whether a call may be sent on it."""
         return (
-            self.line is Line.IDLE
+            self.state is CallState.IDLE
             and self.transport is not None
             and not self.transport.is_closing()
-            and asyncio.get_running_loop().time() - self.idle_since < IDLE
+            and asyncio.get_running_loop().time() - self.idle_since < MAX_IDLE_S
             and not self._unread()
         )
 
@@ -89,7 +93,7 @@
     def send(self, data: bytes, call: bytes) -> asyncio.Future[tuple[int, bytes]]:
         """Send the call with this id: its answer's status and body, or an OSError."""
         assert self.transport is not None
-        self._to(Line.WAITING)
+        self._to(CallState.WAITING)
         self.call = call
         self.future = asyncio.get_running_loop().create_future()
         self.transport.write(data)
@@ -97,8 +101,8 @@
 
     def end(self, why: str) -> None:
         """End the connection; whoever waits is told why."""
-        if self.line is not Line.CLOSED:
-            self._to(Line.CLOSED)
+        if self.state is not CallState.CLOSED:
+            self._to(CallState.CLOSED)
         if self.future is not None and not self.future.done():
             self.future.set_exception(ConnectionError(why))
         if self.transport is not None:
@@ -117,7 +121,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Bytes came; those that no call waits for end the connection."""
-        if self.line is not Line.WAITING:
+        if self.state is not CallState.WAITING:
             self.end("bytes that belong to no answer")
             return
         self.came()
@@ -130,7 +134,7 @@
 
     def on_message_begin(self) -> None:
         """End at the beginning of a further answer."""
-        if self.line is not Line.WAITING:
+        if self.state is not CallState.WAITING:
             self.end("bytes that belong to no answer")
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -149,7 +153,7 @@
     def on_body(self, data: bytes) -> None:
         """A piece of an answer's body."""
         self.size += len(data)
-        if self.size > MOST:
+        if self.size > MAX_ANSWER_BYTES:
             self.end("the answer is too large")
         else:
             self.body.append(data)
@@ -157,12 +161,12 @@
     def on_message_complete(self) -> None:
         """An answer is whole."""
         status = self.parser.get_status_code()
-        if self.line is not Line.WAITING or status < 200:  # a second answer in one piece, or not the answer yet
+        if self.state is not CallState.WAITING or status < 200:  # a second answer in one piece, or not the answer yet
             self.end("bytes that belong to no answer")
             return
         assert self.future is not None
         try:
-            body = unpack(b"".join(self.body), MOST) if self.packed else b"".join(self.body)
+            body = unpack(b"".join(self.body), MAX_ANSWER_BYTES) if self.packed else b"".join(self.body)
         except ValueError as error:
             self.end(f"not an answer: {error}")
             return
@@ -171,7 +175,7 @@
         if not self.parser.should_keep_alive():
             self.end("")
             return
-        self._to(Line.IDLE)
+        self._to(CallState.IDLE)
         self.idle_since = asyncio.get_running_loop().time()
         asyncio.get_running_loop().call_soon(self._renew)  # not while the parser runs
 
@@ -186,7 +190,7 @@
         self.allowed: dict[tuple[str, int], float] = {}  # seconds for the next opening, after one that took too long
 
     async def json(
-        self, method: str, url: str, body: Any = None, patience: float = PATIENCE, step: str = "call"
+        self, method: str, url: str, body: Any = None, timeout_s: float = CALL_TIMEOUT_S, step: str = "call"
     ) -> Any:
         """The JSON value of a 200 from `http://ip:port/path`; PeerError for any other answer or none in `patience`
         s."""
@@ -203,26 +207,26 @@
         connection: Connection | None = None
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(patience) as limit:
+            async with asyncio.timeout(timeout_s) as limit:
                 connection = await self._connection(at)
-                last = loop.time() + WHOLE
+                last = loop.time() + MAX_ANSWER_S
 
                 def came() -> None:
                     if not limit.expired():  # else it has been cut off, and has not been told yet
-                        limit.reschedule(min(last, loop.time() + patience))
+                        limit.reschedule(min(last, loop.time() + timeout_s))
 
                 connection.came = came
                 status, told = await connection.send(head.encode() + data, call)
         except TimeoutError:
-            raise PeerError(step, url, f"no answer within {patience:g} s") from None
+            raise PeerError(step, url, f"no answer within {timeout_s:g} s") from None
         except OSError as error:
             raise PeerError(step, url, f"{type(error).__name__} {error}") from None
         finally:
             if connection is not None:
                 connection.came = lambda: None
-            if connection is not None and connection.line is Line.WAITING:
+            if connection is not None and connection.state is CallState.WAITING:
                 connection.end("given up")  # a late answer must not be taken for the next call's
-        if connection.line is Line.IDLE:
+        if connection.state is CallState.IDLE:
             self.kept[at] = connection
         self.bytes["sent"] += len(data)
         self.bytes["received"] += len(told)
@@ -236,7 +240,7 @@
                 return kept
             kept.end("idle for long")
             await asyncio.sleep(0)  # only then its descriptor is free
-        allowed = self.allowed.get(at, CONNECT)
+        allowed = self.allowed.get(at, CONNECT_TIMEOUT_S)
         try:
             async with asyncio.timeout(allowed):
                 _, connection = await asyncio.get_running_loop().create_connection(Connection, *at)
--- a/knotwalk/edge/choose.py
+++ b/knotwalk/edge/choose.py
@@ -1,34 +1,35 @@
-"""Which node a request is offered to. Pure: no sockets, no clock; the caller brings the time and the luck."""
+"""Which node a request is offered to. Pure: no sockets, no clock; the caller passes the time and the random numbers."""
 
 from __future__ import annotations
 
 from collections.abc import Collection, Sequence
 from random import Random
 
-from knotwalk.admission.admission import Seen, expected_wait, slots
+from knotwalk.admission.admission import NodeStats, expected_wait, slots
 from knotwalk.configuration.objects import Route
 from knotwalk.discovery.view_types import Node
 
-# A node in another zone must be so many requests a slot better: bytes between zones are priced. One more for each 4 kB
-# of the request, two in all: at high load a quarter of an undivided service's requests crossed, some with 4 kB that
-# cost a tenth of their worth; with this one in nine does, few of them large, and no more come late.
-FAR_MARGIN, FAR_BODY, FAR_MOST = 0.75, 4096, 2.0
+# A node in another zone must be better by this many requests per slot, since traffic between zones costs money: the
+# margin grows by 1 for each 4 kB of the request, up to the maximum. Without it, at high load a quarter of the requests
+# of an unsharded service crossed zones, some with 4 kB that cost a tenth of their value; with it one in nine does, few
+# of them large, and no more answers are late.
+OTHER_ZONE_MARGIN, OTHER_ZONE_BYTES_PER_UNIT, MAX_OTHER_ZONE_MARGIN = 0.75, 4096, 2.0
 
 
-def seen(node: Node) -> Seen:
-    """What this edge has met with at the node."""
-    found = node.seen
-    if not isinstance(found, Seen):
-        found = node.seen = Seen()
-    return found
+def stats_of(node: Node) -> NodeStats:
+    """This edge's measurements of the node, created on first use."""
+    stats = node.seen
+    if not isinstance(stats, NodeStats):
+        stats = node.seen = NodeStats()
+    return stats
 
 
-def service_of(route: Route, luck: Random) -> str:
-    """The service of a request: by weight where the route is split."""
+def service_of(route: Route, rng: Random) -> str:
+    """The service of a request: drawn by weight where the route splits its traffic."""
     splits = route.splits
     if len(splits) == 1:
         return splits[0][0]
-    at = luck.random() * sum(weight for _, weight in splits)
+    at = rng.random() * sum(weight for _, weight in splits)
     for name, weight in splits:
         at -= weight
         if at < 0:
@@ -37,43 +38,47 @@
 
 
 def load(node: Node, now: float) -> float:
-    """Requests in hand for each slot, one more included, made heavier by how slow the node has been."""
-    known = seen(node)
-    return (known.in_hand(now) + 1) / slots(node.capacity, now < node.cold_until)
+    """Outstanding requests per effective slot, counting one more."""
+    stats = stats_of(node)
+    return (stats.outstanding(now) + 1) / slots(node.capacity, now < node.cold_until)
 
 
 def wait_at(node: Node, now: float) -> float:
-    """Seconds that a request is expected to wait for a slot at the node, by what it usually has in hand."""
-    known = seen(node)
-    return expected_wait(known.usually(now), slots(node.capacity, now < node.cold_until), known.work)
+    """Seconds that a request is expected to wait for a slot at the node, judged by its usual load."""
+    stats = stats_of(node)
+    return expected_wait(stats.usual_outstanding(now), slots(node.capacity, now < node.cold_until), stats.mean_work_s)
 
 
-def pick(
-    nodes: Sequence[Node], now: float, zone: str, luck: Random, skip: Collection[str] = (), size: int = 0
+def pick_node(
+    nodes: Sequence[Node], now: float, zone: str, rng: Random, skip: Collection[str] = (), size: int = 0
 ) -> Node | None:
-    """The node for a request of an undivided service with a body of `size` bytes: the better of two drawn near by, or
-    of two far off if that is clearly better still.
+    """The node for a request of an unsharded service with a body of `size` bytes.
 
-    Draining nodes and those in `skip` (ids already tried) are left out; shunned, silent and ailing ones while there are
-    others.
+    It is the better of two random nodes of this zone, or of two of other zones if that one is better by a margin.
+    Draining nodes and those in `skip` (ids already tried) are left out, and avoided, silent and ailing nodes as long as
+    there are others.
     """
-    able = [node for node in nodes if not node.draining and node.id not in skip]
-    well = [node for node in able if seen(node).shunned_until <= now and not seen(node).silent(now) and not node.ailing]
-    well = well or [node for node in able if not node.ailing] or able
-    if not well:
+    candidates = [node for node in nodes if not node.draining and node.id not in skip]
+    healthy = [
+        node
+        for node in candidates
+        if stats_of(node).avoided_until <= now and not stats_of(node).is_silent(now) and not node.ailing
+    ]
+    healthy = healthy or [node for node in candidates if not node.ailing] or candidates
+    if not healthy:
         return None
-    near = [node for node in well if node.zone == zone]
-    far = [node for node in well if node.zone != zone]
-    best = _better(near, now, luck) if near else None
-    other = _better(far, now, luck) if far else None
+    same_zone = [node for node in healthy if node.zone == zone]
+    other_zone = [node for node in healthy if node.zone != zone]
+    best = _better_of_two(same_zone, now, rng) if same_zone else None
+    other = _better_of_two(other_zone, now, rng) if other_zone else None
     if best is None or other is None:
         return best or other
-    margin = min(FAR_MOST, FAR_MARGIN + size / FAR_BODY)
+    margin = min(MAX_OTHER_ZONE_MARGIN, OTHER_ZONE_MARGIN + size / OTHER_ZONE_BYTES_PER_UNIT)
     return other if load(other, now) + margin < load(best, now) else best
 
 
-def _better(nodes: list[Node], now: float, luck: Random) -> Node:
+def _better_of_two(nodes: list[Node], now: float, rng: Random) -> Node:
     if len(nodes) == 1:
         return nodes[0]
-    first, second = luck.sample(nodes, 2)
+    first, second = rng.sample(nodes, 2)
     return first if load(first, now) <= load(second, now) else second
--- a/knotwalk/edge/client_connection.py
+++ b/knotwalk/edge/client_connection.py
@@ -8,7 +8,7 @@
 
 from knotwalk.edge.client_state import ConnectionState
 from knotwalk.edge.request_reader import RequestReader
-from knotwalk.edge.stages import Stage, outlives_its_client
+from knotwalk.edge.stages import Stage, continues_after_half_close
 
 # Seconds that a connection stays open behind its last answer, so that unread bytes don't destroy it on the way.
 LINGER = 1.0
@@ -34,22 +34,22 @@
     return bool(poll.poll(0))
 
 
-class Hearing(Enum):
+class PeerEnd(Enum):
     """What a look at a client's socket tells of its end."""
 
-    NOTHING = "nothing"
-    ENDED = "ended"  # it sends no more: it has closed, or ended its side
+    NONE = "nothing"
+    HALF_CLOSED = "ended"  # it sends no more: it has closed, or ended its side
     RESET = "reset"  # the connection is over, both ways
 
 
-def hear(descriptor: int) -> Hearing:
+def probe_peer_end(descriptor: int) -> PeerEnd:
     """Whether the other side has ended its side or reset, whatever lies unread before that."""
     poll = select.poll()
     poll.register(descriptor, select.POLLRDHUP)
     events = [event for _, event in poll.poll(0)]
     if not events:
-        return Hearing.NOTHING
-    return Hearing.RESET if events[0] & (select.POLLERR | select.POLLHUP) else Hearing.ENDED
+        return PeerEnd.NONE
+    return PeerEnd.RESET if events[0] & (select.POLLERR | select.POLLHUP) else PeerEnd.HALF_CLOSED
 
 
 class ClientConnection(RequestReader):
@@ -64,8 +64,8 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.set_write_buffer_limits(HIGH, LOW)
-        self.front.entered(self)
-        if not self.front.started:
+        self.client_server.entered(self)
+        if not self.client_server.started:
             # Just started: what is not read may be sent elsewhere, whatever its kind; what is refused is a try lost.
             self._hold(STARTING, True)
             asyncio.get_running_loop().call_later(STARTING_MOST, self._give_up)
@@ -84,30 +84,30 @@
         if self.state is not ConnectionState.CLOSED:
             self._to(ConnectionState.CLOSED)
         if error is not None and self.queue:
-            self.front.counts[RESET] += 1
+            self.client_server.counts[RESET] += 1
         if self._watching is not None:
             self._watching.cancel()
         self._abandon(0)
-        self.front.left(self)
+        self.client_server.left(self)
 
     def data_received(self, data: bytes) -> None:
         """Bytes came, and with them perhaps the client's end, if they lay a while (a slow edge, a pause, a start).
 
         What it asked begins in the next turn of the loop, so that who has left by now is not served."""
         super().data_received(data)
-        if self.queue and self.reading is None and self._hear() is not Hearing.NOTHING:
+        if self.queue and self.reading is None and self._probe_peer_end() is not PeerEnd.NONE:
             self._client_ended()
 
-    def _hear(self) -> Hearing:
+    def _probe_peer_end(self) -> PeerEnd:
         if self.transport is None or self.transport.is_closing():
-            return Hearing.NOTHING
-        return hear(self.transport.get_extra_info("socket").fileno())
+            return PeerEnd.NONE
+        return probe_peer_end(self.transport.get_extra_info("socket").fileno())
 
     def _abandon(self, kept: int) -> None:
         """Nobody waits for the answers any more, but for the first `kept` of them."""
         while len(self.queue) > kept:
             exchange = self.queue.pop()
-            exchange.leave()
+            exchange.abandon()
             if exchange.answer is not None and exchange.answer.stream is not None:
                 exchange.answer.stream.abort("the client is gone")
             if exchange.stage not in (Stage.RUNNING, Stage.DONE):
@@ -126,10 +126,10 @@
     def _client_ended(self) -> bool:
         """The client has ended its side: only what outlives it goes on, to be answered; whether anything does."""
         self.over = True
-        self.front.counts[ENDED_ITS_SIDE] += 1
+        self.client_server.counts[ENDED_ITS_SIDE] += 1
         first = self.queue[0]
-        if outlives_its_client(first.stage, first.repeatable):
-            first.half_closed(self.front.clock())
+        if continues_after_half_close(first.stage, first.is_repeatable):
+            first.on_half_close(self.client_server.clock())
             self._abandon(1)
             self._shut()
             return True
@@ -150,7 +150,7 @@
     def resume_writing(self) -> None:
         """The client reads again."""
         self.full = False
-        self.touched = self.front.clock()
+        self.touched = self.client_server.clock()
         self._hold("full", False)
         self._flow(True)
         self._write()
@@ -200,18 +200,18 @@
         self._watching = None
         if not self.holds or self.transport is None or self.transport.is_closing():
             return
-        heard = self._hear()
-        if heard is Hearing.RESET:
-            self.front.counts[LEFT_UNREAD] += 1
+        heard = self._probe_peer_end()
+        if heard is PeerEnd.RESET:
+            self.client_server.counts[LEFT_UNREAD] += 1
             self.abort()
-        elif heard is Hearing.ENDED and self.queue and not self.over:
-            self.front.counts[LEFT_UNREAD] += 1
+        elif heard is PeerEnd.HALF_CLOSED and self.queue and not self.over:
+            self.client_server.counts[LEFT_UNREAD] += 1
             self._client_ended()
         self._watch_for_end()
 
     def look(self, now: float) -> None:
         """Keep the bounds on idleness and slowness."""
-        limits = self.front.limits
+        limits = self.client_server.limits
         still = now - self.touched
         if self.transport is None or self.state is ConnectionState.CLOSED:
             return
--- a/knotwalk/edge/front.py
+++ b/knotwalk/edge/client_server.py
@@ -10,7 +10,7 @@
 import struct
 from collections.abc import Callable, Coroutine
 
-from knotwalk.admission.connection_budget import shared
+from knotwalk.admission.connection_budget import share_descriptors
 from knotwalk.configuration.objects import Limits
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.edge.client_connection import CROWD_LOOK, ClientConnection, unread
@@ -35,7 +35,7 @@
 BACKLOG = 1024
 
 
-class Front:
+class ClientServer:
     """The clients' port of an edge, at `settings.listen["data_plane"]`."""
 
     def __init__(self, settings: Settings, view: ClusterView, clock: Callable[[], float], seed: int):
@@ -43,7 +43,7 @@
         self.forwarder = Forwarder(settings, view, clock, seed)
         self.operations: Operations | None = None  # set where limits and operations are asked for
         self.clients: set[ClientConnection] = set()
-        self.connection_budget = shared(settings.machine.file_descriptors, settings.contracts)
+        self.connection_budget = share_descriptors(settings.machine.file_descriptors, settings.contracts)
         self.coming = 0  # connections accepted that have not entered yet
         self.draining = False
         self.intake = Intake(self.forwarder)
@@ -189,7 +189,7 @@
         self.delay.note(now - self._look_due)
         for client in list(self.clients):
             client.look(now)
-        self.forwarder.age()
+        self.forwarder.close_idle()
         if now - self._tallied >= TALLY:
             self._tell_tally(now)
         self._look_later()
@@ -200,7 +200,7 @@
 
     def _tell_tally(self, now: float) -> None:
         seconds, self._tallied = round(now - self._tallied, 1), now
-        if counts := self.forwarder.tally():
+        if counts := self.forwarder.take_counts():
             log_info("requests", seconds=seconds, counts=counts)
 
     def drain(self) -> None:
@@ -291,7 +291,7 @@
         except Exception:
             log_exception("carrying a request failed", attempt=exchange.attempt.decode("latin-1"))
             if exchange.stage is Stage.RUNNING:
-                exchange.own(502, "trouble of the edge")
+                exchange.respond(502, "trouble of the edge")
 
     def ended(self, exchange: Exchange) -> None:
         """A request has got its answer, or nobody waits for it."""
--- a/knotwalk/edge/client_state.py
+++ b/knotwalk/edge/client_state.py
@@ -15,12 +15,12 @@
 
 from knotwalk.edge.clients_port import ClientsPort
 from knotwalk.edge.exchange import Exchange
-from knotwalk.edge.request_head import Refusal
+from knotwalk.edge.request_head import RequestRefusedError
 from knotwalk.edge.stages import Stage
 from knotwalk.runtime.errors import PeerError
 
 # Requests of one connection that are carried or wait for their turn before reading pauses.
-DEPTH = 16
+MAX_PIPELINED = 16
 
 
 class ConnectionState(Enum):
@@ -43,18 +43,18 @@
 class ClientState(asyncio.Protocol):
     """What is known of one client's connection; reading, writing and the loop's calls are built on it."""
 
-    def __init__(self, front: ClientsPort):
-        self.front = front
+    def __init__(self, client_server: ClientsPort):
+        self.client_server = client_server
         self.state = ConnectionState.OPEN
         self.transport: asyncio.Transport | None = None
         self.queue: deque[Exchange] = deque()  # oldest first; the first one's answer is written next
         self.reading: Exchange | None = None  # whose body is being read
         self.parser = httptools.HttpRequestParser(self)
-        self.refusal: Refusal | None = None
+        self.refusal: RequestRefusedError | None = None
         self.holds: set[str] = set()  # why reading pauses
         self.full = False  # the client does not read
         self.over = False  # the client has ended its side
-        self.touched = front.clock()  # when something moved last
+        self.touched = client_server.clock()  # when something moved last
         self.head_since: float | None = None  # when the head being read began
         self._fed = 0
         self._new_head()
@@ -80,7 +80,7 @@
             self._watch_for_end()
         elif not self.holds and not self.transport.is_reading():
             self.transport.resume_reading()
-            self.touched = self.front.clock()
+            self.touched = self.client_server.clock()
             if self.head_since is not None:
                 self.head_since = self.touched
 
@@ -99,13 +99,13 @@
     def _start(self) -> None:
         """Carry what may be carried: repeatable requests side by side, others when all before them are answered."""
         for at, exchange in enumerate(self.queue):
-            if at >= DEPTH:
+            if at >= MAX_PIPELINED:
                 break
             if exchange.stage is Stage.READY:
                 if at and not (exchange.route is not None and exchange.route.idempotent):
                     break
-                exchange.to(Stage.RUNNING)
-                self.front.carry(exchange)
+                exchange.transition_to(Stage.RUNNING)
+                self.client_server.carry(exchange)
             elif exchange.stage is Stage.RUNNING and not (exchange.route is not None and exchange.route.idempotent):
                 break
 
@@ -113,8 +113,8 @@
         if exchange.timer is not None:
             exchange.timer.cancel()
             exchange.timer = None
-        exchange.to(Stage.DONE)
-        self.front.ended(exchange)
+        exchange.transition_to(Stage.DONE)
+        self.client_server.ended(exchange)
 
     def quiet(self) -> bool:
         """Whether nothing of a request has come that is not answered."""
--- a/knotwalk/edge/connection_pool.py
+++ b/knotwalk/edge/connection_pool.py
@@ -116,7 +116,7 @@
             raise
         return connection
 
-    def age(self) -> None:
+    def close_idle(self) -> None:
         """Close idle connections before the node does."""
         now = self.clock()
         for connection in self.idle[:]:
--- a/knotwalk/edge/figures.py
+++ b/knotwalk/edge/edge_metrics.py
@@ -6,14 +6,14 @@
 from collections.abc import Iterator
 
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.edge.front import Front
-from knotwalk.edge.link import Link
+from knotwalk.edge.client_server import ClientServer
+from knotwalk.edge.view_poller import ViewPoller
 from knotwalk.runtime.metrics import Figure, Kind, gauge, loop_delay
 
 RANK = ", rank "  # in a count's name: what stands between how a request ended and the rank of its route
 
 
-def requests(counts: Counter[str]) -> Figure:
+def requests_metric(counts: Counter[str]) -> Figure:
     """How requests ended."""
     found: dict[tuple[str, ...], float] = {}
     for name, count in counts.items():
@@ -30,13 +30,13 @@
     )
 
 
-def events(counts: Counter[str]) -> Figure:
+def events_metric(counts: Counter[str]) -> Figure:
     """What was met with: tries, connections, and what ended before it had a route."""
     found: dict[tuple[str, ...], float] = {(name,): count for name, count in counts.items() if RANK not in name}
     return Figure("knotwalk_edge_events", Kind.COUNTER, "what was met with, by event", found, ("event",))
 
 
-def nodes(view: ClusterView) -> Figure:
+def nodes_metric(view: ClusterView) -> Figure:
     """Nodes of the view by state; one that drains or ails is not counted as ready."""
     found = Counter(
         "draining" if node.draining else "ailing" if node.ailing else "ready" for node in view.nodes.values()
@@ -45,9 +45,9 @@
     return Figure("knotwalk_edge_nodes", Kind.GAUGE, "nodes of the cluster view", samples, ("state",))
 
 
-def figures(now: float, ready: bool, front: Front, link: Link) -> Iterator[Figure]:
+def edge_metrics(now: float, ready: bool, client_server: ClientServer, view_poller: ViewPoller) -> Iterator[Figure]:
     """All figures of an edge."""
-    view, forwarder = front.view, front.forwarder
+    view, forwarder = client_server.view, client_server.forwarder
     counts = forwarder.totals + forwarder.counts
     yield gauge("knotwalk_edge_ready", "1 while the edge calls itself ready", ready)
     yield gauge(
@@ -55,40 +55,42 @@
         "the number of the configuration in force here, 0 for none",
         view.configuration.version if view.configuration else 0,
     )
-    yield gauge("knotwalk_edge_core_heard_seconds", "since a fresh core last answered", now - link.heard_at)
+    yield gauge("knotwalk_edge_core_heard_seconds", "since a fresh core last answered", now - view_poller.heard_at)
     yield Figure(
         "knotwalk_edge_configurations_not_taken",
         Kind.COUNTER,
         "configurations of a core that can't be read here",
-        {(): link.not_taken},
+        {(): view_poller.not_taken},
     )
     yield gauge(
-        "knotwalk_edge_keys_judged", "1 while requests that need a key can be taken", front.intake.judges_keys(now)
+        "knotwalk_edge_keys_judged",
+        "1 while requests that need a key can be taken",
+        client_server.intake.judges_keys(now),
     )
-    yield gauge("knotwalk_edge_requests_open", "requests read and not answered", front.open)
+    yield gauge("knotwalk_edge_requests_open", "requests read and not answered", client_server.open)
     yield gauge("knotwalk_edge_requests_waiting", "requests that wait for a node", len(forwarder.waiting))
-    yield gauge("knotwalk_edge_clients", "connections of clients", len(front.clients))
-    yield nodes(view)
-    yield requests(counts)
-    yield events(counts)
+    yield gauge("knotwalk_edge_clients", "connections of clients", len(client_server.clients))
+    yield nodes_metric(view)
+    yield requests_metric(counts)
+    yield events_metric(counts)
     room: dict[tuple[str, ...], float] = {
-        (name,): budget.room(now, front.edges) for name, budget in forwarder.budgets.items()
+        (name,): budget.available(now, client_server.edges) for name, budget in forwarder.budgets.items()
     }
     yield Figure("knotwalk_edge_retry_room", Kind.GAUGE, "further tries that may be made now", room, ("service",))
     yield Figure(
         "knotwalk_edge_core_bytes",
         Kind.COUNTER,
         "bytes of bodies to and from cores",
-        {(direction,): count for direction, count in link.caller.bytes.items()},
+        {(direction,): count for direction, count in view_poller.caller.bytes.items()},
         ("direction",),
     )
-    yield from admission(front)
-    yield loop_delay(front.delay)
+    yield from admission_metrics(client_server)
+    yield loop_delay(client_server.delay)
 
 
-def admission(front: Front) -> Iterator[Figure]:
+def admission_metrics(client_server: ClientServer) -> Iterator[Figure]:
     """Figures of asks and operations; all 0 where nothing is asked for."""
-    operations = front.operations
+    operations = client_server.operations
     waited, running, untold = 0.0, 0, 0
     if operations is not None:
         waited = operations.calls.waited
--- a/knotwalk/edge/exchange.py
+++ b/knotwalk/edge/exchange.py
@@ -9,7 +9,7 @@
 from knotwalk.configuration.objects import Route
 from knotwalk.edge.node_answer import Answer
 from knotwalk.edge.node_connection import Connection
-from knotwalk.edge.stages import OFFER_AFTER_END, STAGES, Stage
+from knotwalk.edge.stages import OFFER_AFTER_HALF_CLOSE_S, STAGE_TRANSITIONS, Stage
 from knotwalk.runtime.errors import PeerError
 
 
@@ -18,110 +18,110 @@
 
     __slots__ = (
         "stage",
-        "begun",
-        "until",
+        "started_at",
+        "deadline",
         "method",
         "attempt",
         "head",
         "length",
         "chunked",
         "body",
-        "body_whole",
-        "body_gone",
+        "body_complete",
+        "body_streaming",
         "size",
         "route",
         "service",
-        "key",
+        "shard_key",
         "connection",
         "waiter",
         "expired",
-        "gone",
+        "client_gone",
         "offer_until",
         "timer",
         "status",
         "retry_after",
         "answer",
-        "settled",
-        "keep",
-        "modern",
-        "expects",
-        "starve",
+        "on_answered",
+        "keep_alive",
+        "is_http_11",
+        "expects_continue",
+        "on_backpressure",
         "task",
         "text",
-        "way",
+        "lateness_cause",
         "tenant",
         "operation",
         "priority",
     )
 
-    def __init__(self, begun: float, method: bytes, settled: Callable[[Exchange], None]):
+    def __init__(self, started_at: float, method: bytes, on_answered: Callable[[Exchange], None]):
         self.stage = Stage.READING
-        self.begun, self.until = begun, begun
+        self.started_at, self.deadline = started_at, started_at
         self.method, self.attempt, self.head = method, b"", b""
         self.length: int | None = None  # of the body, as told
         self.chunked = False
         self.body = bytearray()  # what was read and not yet passed on
-        self.body_whole = self.body_gone = False
+        self.body_complete = self.body_streaming = False
         self.size = 0
         self.route: Route | None = None
-        self.service, self.key = "", -1
+        self.service, self.shard_key = "", -1
         self.connection: Connection | None = None
         self.waiter: asyncio.Future | None = None
-        self.expired = self.gone = False
+        self.expired = self.client_gone = False
         self.offer_until = math.inf  # on the steady clock: it is offered to no node later
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task | None = None
         self.status, self.retry_after, self.text = 0, 0.0, ""
-        self.way = ""  # what its last try met with, one of those of `NodeTry._way`
+        self.lateness_cause = ""  # what its last try met with, one of those of `NodeTry._way`
         self.tenant = ""  # whose key it bears
         self.operation = ""  # its `Operation-Key`, on a route whose requests bear one
         self.priority = 0  # its rank, 0 is highest: its tenant's, or its route's
         self.answer: Answer | None = None
-        self.settled = settled
-        self.keep, self.modern, self.expects = True, True, False
-        self.starve: Callable[[bool], None] | None = None  # told whether the body can not be passed on for now
+        self.on_answered = on_answered
+        self.keep_alive, self.is_http_11, self.expects_continue = True, True, False
+        self.on_backpressure: Callable[[bool], None] | None = None  # told whether the body can not be passed on for now
 
-    def to(self, stage: Stage) -> None:
+    def transition_to(self, stage: Stage) -> None:
         """The one place where the state changes."""
-        if stage not in STAGES[self.stage]:
+        if stage not in STAGE_TRANSITIONS[self.stage]:
             raise PeerError("request", self.attempt.decode("latin-1"), f"from {self.stage.value} to {stage.value}")
         self.stage = stage
 
-    def own(self, status: int, text: str = "", retry_after: float = 0.0) -> None:
+    def respond(self, status: int, text: str = "", retry_after: float = 0.0) -> None:
         """The edge's own answer; the first one that is known stands."""
         if self.stage in (Stage.ANSWERED, Stage.WRITING, Stage.DONE):
             return
         self.status, self.text, self.retry_after = status, text, retry_after
-        self._settle()
+        self._set_answered()
 
-    def passed_on(self, answer: Answer) -> None:
+    def respond_with(self, answer: Answer) -> None:
         """The node's answer."""
         if self.stage is not Stage.RUNNING:
             if answer.stream is not None:
                 answer.stream.abort("answered already")
             return
         self.answer, self.status = answer, answer.status
-        self._settle()
+        self._set_answered()
 
-    def _settle(self) -> None:
+    def _set_answered(self) -> None:
         if self.stage in (Stage.ANSWERED, Stage.WRITING, Stage.DONE):
             return
-        self.to(Stage.ANSWERED)
-        self.settled(self)
+        self.transition_to(Stage.ANSWERED)
+        self.on_answered(self)
 
     # -- the body, towards the node
 
-    def arrived(self, data: bytes) -> None:
+    def add_body(self, data: bytes) -> None:
         """A piece of the body was read."""
-        if self.body_gone and self.connection is not None:
+        if self.body_streaming and self.connection is not None:
             self.connection.more(self._framed(data))
         elif self.stage in (Stage.READING, Stage.READY, Stage.RUNNING):
             self.body += data
 
-    def ended(self) -> None:
+    def end_body(self) -> None:
         """The body was read to its end."""
-        self.body_whole = True
-        if self.body_gone and self.connection is not None:
+        self.body_complete = True
+        if self.body_streaming and self.connection is not None:
             if self.chunked:
                 self.connection.more(b"0\r\n\r\n")
             self.connection.finish()
@@ -131,19 +131,19 @@
 
     def writable(self, on: bool) -> None:
         """The connection to the node can (not) take more of the body."""
-        if self.starve is not None:
-            self.starve(not on)
+        if self.on_backpressure is not None:
+            self.on_backpressure(not on)
 
-    def sent_on(self, connection: Connection, deadline_ms: int, node: str) -> asyncio.Future[Answer]:
+    def send_on(self, connection: Connection, deadline_ms: int, node: str) -> asyncio.Future[Answer]:
         """Send the request on a connection, as much of the body as is there."""
         self.connection = connection
-        if self.body_whole:
+        if self.body_complete:
             framing = b"Content-Length: %d\r\n" % len(self.body) if self.length is not None or self.chunked else b""
             body = bytes(self.body)
         else:
             framing = b"Content-Length: %d\r\n" % (self.length or 0)
             framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else framing
-            body, self.body, self.body_gone = self._framed(bytes(self.body)), bytearray(), True
+            body, self.body, self.body_streaming = self._framed(bytes(self.body)), bytearray(), True
             connection.source = self
         head = b"%bDeadline-Ms: %d\r\nTarget-Instance: %b\r\n%b\r\n" % (
             self.head,
@@ -151,8 +151,8 @@
             node.encode("latin-1"),
             framing,
         )
-        future = connection.send(head, body, self.attempt, self.method, self.body_whole)
-        if not self.body_whole:
+        future = connection.send(head, body, self.attempt, self.method, self.body_complete)
+        if not self.body_complete:
             self.writable(True)
         return future
 
@@ -161,28 +161,28 @@
     def expire(self) -> None:
         """The deadline has come."""
         self.expired = True
-        self._wake("the deadline passed")
+        self._abort("the deadline passed")
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether it may run again, so that its work may be broken off."""
         return self.route is not None and self.route.idempotent
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """The client is gone: what may be repeated, or was not sent whole, is broken off.
 
         What must not be repeated goes on at the node that has it; while it waits for one, it is offered to none."""
-        self.gone = True
-        if self.route is None or self.route.idempotent or not self.body_whole:
-            self._wake("the client is gone")
+        self.client_gone = True
+        if self.route is None or self.route.idempotent or not self.body_complete:
+            self._abort("the client is gone")
         else:
             self._stop_waiting()
 
-    def half_closed(self, now: float) -> None:
+    def on_half_close(self, now: float) -> None:
         """The client has ended its side, and may have left: go on, but be offered to no node much later."""
-        self.offer_until = now + OFFER_AFTER_END
+        self.offer_until = now + OFFER_AFTER_HALF_CLOSE_S
 
-    def _wake(self, why: str) -> None:
+    def _abort(self, why: str) -> None:
         if self.connection is not None:
             self.connection.abort(why)
         self._stop_waiting()
--- a/knotwalk/edge/forwarding_state.py
+++ b/knotwalk/edge/forwarding_state.py
@@ -1,76 +1,76 @@
-"""What forwarding keeps and shares: budgets, pools, who waits for a node, counts, and what is reported to the core."""
+"""The state shared by all forwarding: retry budgets, connection pools, waiting requests, counts, and load reports."""
 
 from __future__ import annotations
 
 import asyncio
-from collections import Counter as Counts
+from collections import Counter
 from collections.abc import Callable
 from random import Random
 
-from knotwalk.admission.admission import Seen
+from knotwalk.admission.admission import NodeStats
 from knotwalk.admission.budget import Budget
-from knotwalk.admission.connection_budget import shared
+from knotwalk.admission.connection_budget import share_descriptors
 from knotwalk.configuration.objects import Service
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.edge.choose import seen
+from knotwalk.edge.choose import stats_of
 from knotwalk.edge.connection_pool import ConnectionSlots, Pool
 from knotwalk.edge.exchange import Exchange
 from knotwalk.edge.freshness import Freshness
 from knotwalk.runtime.settings import Settings
 
-# Of the aim, how long a request may wait without being offered to a node, as its client sees it: later refusals are
-# held against us, and what comes back after an early one may still earn. Seconds of it that the way to the client and
-# back takes: nobody tells it; ten each way, as far as a region is wide.
-WAIT_PART, CLIENT_WAY = 0.25, 0.02
+# Part of the target latency that a request may wait without being offered to a node, as its client sees it: later
+# refusals count against the gateway, and a client that retries after an early one may still be served in time. The
+# round trip to the client is included and can't be measured here: 10 ms each way, the width of a region.
+MAX_WAIT_PART, CLIENT_ROUND_TRIP_S = 0.25, 0.02
 
-KEYS_UNSURE = "not sure of the keys in force"  # of a request that bears a key, or lacks one; also a count
+KEYS_UNSURE = "not sure of the keys in force"  # text of the answer, and name of the count
 
 
 class ForwardingState:
-    """What an edge knows of its services, nodes and tries; choosing a node and trying it are built on it."""
+    """What an edge knows about its services, nodes and tries; base of node selection and tries."""
 
     def __init__(self, settings: Settings, view: ClusterView, clock: Callable[[], float], seed: int):
         self.settings, self.view, self.clock = settings, view, clock
-        self.luck = Random(seed)
+        self.rng = Random(seed)
         bounds = settings.bounds
         self.freshness = Freshness(bounds.revoke_timeout, bounds.global_revocation, bounds.config_apply)
         self.edges = 16
-        self.began = clock()
+        self.started_at = clock()
         self.budgets: dict[str, Budget] = {}
         self.pools: dict[str, Pool] = {}
-        budget = shared(settings.machine.file_descriptors, settings.contracts)
+        budget = share_descriptors(settings.machine.file_descriptors, settings.contracts)
         self.connection_slots = ConnectionSlots(budget.nodes)
         self.waiting: set[asyncio.Future] = set()
-        self.counts: Counts[str] = Counts()  # since they were last told in the log
-        self.totals: Counts[str] = Counts()  # of this life, without `counts`
-        self.demand: dict[str, Counts[int]] = {}
+        self.counts: Counter[str] = Counter()  # since they were last logged
+        self.totals: Counter[str] = Counter()  # since the start, without `counts`
+        self.demand: dict[str, Counter[int]] = {}
 
     def budget(self, service: str) -> Budget:
-        """What further tries this edge may make for a service."""
-        found = self.budgets.get(service)
-        if found is None:
+        """The retry budget of this edge for a service."""
+        budget = self.budgets.get(service)
+        if budget is None:
             bounds = self.settings.bounds
-            found = self.budgets[service] = Budget(
-                bounds.retry_budget_ratio, bounds.retry_window, bounds.retry_budget_slack, self.began
+            budget = self.budgets[service] = Budget(
+                bounds.retry_budget_ratio, bounds.retry_window, bounds.retry_budget_slack, self.started_at
             )
-        return found
+        return budget
 
     def service(self, name: str) -> Service:
-        """A service as configured; one that is not, with the usual values."""
+        """A service as configured; one that is not configured, with the default values."""
         configuration = self.view.configuration
-        found = configuration.services.get(name) if configuration is not None else None
-        return found or Service(name)
+        service = configuration.services.get(name) if configuration is not None else None
+        return service or Service(name)
 
     def view_changed(self, changed: set[str]) -> None:
-        """The cluster view changed: requests that wait look again, connections to nodes that are gone end."""
+        """The cluster view changed: wake waiting requests and close connections to removed nodes."""
         if "nodes" in changed:
             now = self.clock()
             for node in self.view.nodes.values():
-                known = seen(node)
+                stats = stats_of(node)
                 if not node.draining:
-                    known.draining_since = None
-                elif known.draining_since is None:
-                    known.draining_since = now
+                    stats.draining_since = None
+                elif stats.draining_since is None:
+                    stats.draining_since = now
             for id, pool in list(self.pools.items()):
                 if self.view.nodes.get(id) is not pool.node:
                     pool.close()
@@ -81,73 +81,73 @@
                     future.set_result(None)
 
     def report(self) -> dict:
-        """Requests by service and slice, load told by each node, bad tries; since the call before."""
+        """Requests by service and slice, load of each node, and failed tries; since the previous call."""
         nodes, bad, now = {}, {}, self.clock()
         for node in self.view.nodes.values():
-            known: Seen | None = node.seen  # type: ignore[assignment]
-            if known is None:
+            stats: NodeStats | None = node.seen  # type: ignore[assignment]
+            if stats is None:
                 continue
-            if known.silent(now) and not known.hung:  # what hangs there will hardly end well
-                known.hung = True
-                known.failed += 1
-            if not (known.load_count or known.ok or known.failed or known.refused):
+            if stats.is_silent(now) and not stats.hang_counted:  # a request that hangs will hardly succeed
+                stats.hang_counted = True
+                stats.failed += 1
+            if not (stats.load_count or stats.ok or stats.failed or stats.refused):
                 continue
-            if known.failed:
-                tries = known.ok + known.failed + known.refused
-                bad[node.id] = [known.failed, max(0, tries - known.load_count) if known.load_count else 0]
-            row = [known.load_sum, known.load_count, known.slots or node.capacity]
-            if not known.load_count:
-                row += [known.ok, known.failed, known.refused, round(known.busy, 4)]
+            if stats.failed:
+                tries = stats.ok + stats.failed + stats.refused
+                bad[node.id] = [stats.failed, max(0, tries - stats.load_count) if stats.load_count else 0]
+            row = [stats.load_sum, stats.load_count, stats.slots or node.capacity]
+            if not stats.load_count:
+                row += [stats.ok, stats.failed, stats.refused, round(stats.answered_s, 4)]
             nodes[node.id] = row
-            known.load_sum = known.load_count = known.ok = known.failed = known.refused = 0
-            known.busy = 0.0
+            stats.load_sum = stats.load_count = stats.ok = stats.failed = stats.refused = 0
+            stats.answered_s = 0.0
         demand, self.demand = self.demand, {}
         return {"demand": demand, "nodes": nodes, "bad": bad}
 
-    def tally(self) -> dict[str, int]:
-        """How requests ended, by cause and rank, and what was met with; since the call before."""
-        counts, self.counts = self.counts, Counts()
+    def take_counts(self) -> dict[str, int]:
+        """How requests ended, by cause and priority, and other events; since the previous call."""
+        counts, self.counts = self.counts, Counter()
         self.totals.update(counts)
         return dict(counts)
 
-    def age(self) -> None:
-        """Close connections that idled long; call now and then."""
+    def close_idle(self) -> None:
+        """Close connections that were idle for too long; to be called periodically."""
         for pool in self.pools.values():
-            pool.age()
+            pool.close_idle()
 
-    def key_lapsed(self, exchange: Exchange, now: float) -> bool:
-        """Whether a request may leave for no node at `now`, since the key that it bears may have been taken away.
+    def has_lapsed_key(self, exchange: Exchange, now: float) -> bool:
+        """Whether a request may not be sent to a node at `now`, because its key may have been revoked.
 
-        Its client then goes on by another connection, to an edge that knows."""
-        if not exchange.tenant or self.freshness.accepts(now):
+        Its connection is then closed, so that its client goes on to an edge that knows."""
+        if not exchange.tenant or self.freshness.can_accept(now):
             return False
         self.counts[KEYS_UNSURE] += 1
-        exchange.keep = False
+        exchange.keep_alive = False
         return True
 
     # -- waiting
 
-    async def _waited(self, exchange: Exchange, among: set[asyncio.Future], until: float) -> bool:
-        """Wait among others to be woken, until a time; False if that has come, or nobody waits for the answer."""
+    async def _wait_for_change(self, exchange: Exchange, waiters: set[asyncio.Future], until: float) -> bool:
+        """Wait in `waiters` to be woken; False if `until` has passed or nobody waits for the answer any more."""
         now = self.clock()
-        if now >= until or exchange.gone or exchange.expired:
+        if now >= until or exchange.client_gone or exchange.expired:
             return False
         exchange.waiter = asyncio.get_running_loop().create_future()
-        among.add(exchange.waiter)
+        waiters.add(exchange.waiter)
         timer = asyncio.get_running_loop().call_later(until - now, _wake, exchange.waiter)
         try:
             await exchange.waiter
         finally:
             timer.cancel()
-            among.discard(exchange.waiter)
+            waiters.discard(exchange.waiter)
             exchange.waiter = None
         return True
 
 
-def waits_until(exchange: Exchange, since: float) -> float:
-    """When a request that waits for a node since then is refused at the latest."""
+def max_wait_until(exchange: Exchange, since: float) -> float:
+    """When a request that waits for a node since `since` is refused at the latest."""
     assert exchange.route is not None
-    return since + max(0.0, exchange.route.target_latency * WAIT_PART - CLIENT_WAY)
+    return since + max(0.0, exchange.route.target_latency * MAX_WAIT_PART - CLIENT_ROUND_TRIP_S)
 
 
 def _wake(future: asyncio.Future) -> None:
--- a/knotwalk/edge/node_answer.py
+++ b/knotwalk/edge/node_answer.py
@@ -4,10 +4,10 @@
 
 from typing import Protocol
 
-from knotwalk.admission.outcome import End
+from knotwalk.admission.outcome import TryOutcome
 from knotwalk.discovery.view_types import Node
 
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -57,21 +57,21 @@
 class Answer:
     """A node's answer, whole or beginning. `end` tells what it proves; a lost one has `why` and no status."""
 
-    __slots__ = ("end", "why", "status", "headers", "body", "length", "whole", "stream", "node", "load")
+    __slots__ = ("outcome", "why", "status", "headers", "body", "length", "is_complete", "stream", "node", "load")
 
-    def __init__(self, end: End, why: str = "") -> None:
-        self.end, self.why = end, why
+    def __init__(self, outcome: TryOutcome, why: str = "") -> None:
+        self.outcome, self.why = outcome, why
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []  # end-to-end ones, as they came
         self.body = b""
         self.length: int | None = None  # bytes of the body as told, None if in chunks
-        self.whole = True
+        self.is_complete = True
         self.stream: Stream | None = None  # where the rest comes from, if not whole
         self.node: Node | None = None
         self.load: tuple[int, int, int] | None = None  # running, waiting, slots
 
     @property
-    def for_nothing(self) -> bool:
+    def refused_with_capacity(self) -> bool:
         """Whether the node turned a request away as a full one does, while it tells free slots."""
         return self.status in (429, 503) and self.load is not None and self.load[0] < self.load[2]
 
--- a/knotwalk/edge/node_connection_state.py
+++ b/knotwalk/edge/node_connection_state.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from knotwalk.admission.outcome import End
+from knotwalk.admission.outcome import TryOutcome
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge.node_answer import Answer, Sink, Source
 from knotwalk.runtime.errors import PeerError
@@ -91,7 +91,7 @@
         waiter, sink, source = self.waiter, self.sink, self.source
         self._clear()
         if waiter is not None and not waiter.done():
-            waiter.set_result(Answer(End.LOST, why))
+            waiter.set_result(Answer(TryOutcome.LOST, why))
         elif sink is not None:
             sink.cut(why)
         if source is not None:
--- a/knotwalk/edge/node_try.py
+++ b/knotwalk/edge/node_try.py
@@ -4,25 +4,25 @@
 
 import asyncio
 
-from knotwalk.admission.admission import Seen
-from knotwalk.admission.outcome import End
+from knotwalk.admission.admission import NodeStats
+from knotwalk.admission.outcome import TryOutcome
 from knotwalk.discovery.view_types import Node
-from knotwalk.edge.choose import seen
+from knotwalk.edge.choose import stats_of
 from knotwalk.edge.connection_pool import Pool
 from knotwalk.edge.exchange import Exchange
-from knotwalk.edge.forwarding_state import waits_until
+from knotwalk.edge.forwarding_state import max_wait_until
 from knotwalk.edge.node_answer import Answer
 from knotwalk.edge.node_selection import NodeSelection
 from knotwalk.runtime.errors import PeerError
 
 # Seconds within which a connection to a node comes up: links take milliseconds, a lost opening packet a second.
-CONNECT = 1.0
+CONNECT_TIMEOUT_S = 1.0
 # Seconds below which opening a connection is not cut: a busy machine answers late.
-CONNECT_LEAST = 0.06
+MIN_CONNECT_TIMEOUT_S = 0.06
 # Of the aim: a request that was not sent for longer counts as one that waited at the edge.
-HELD_PART = 0.05
+WAITED_PART = 0.05
 # Connections to one node that an edge may always open.
-LEAST_CONNECTIONS = 2
+MIN_CONNECTIONS = 2
 
 
 class NodeTry(NodeSelection):
@@ -31,47 +31,49 @@
     async def _try(self, exchange: Exchange, node: Node, fresh: bool) -> tuple[Answer, bool]:
         """Offer the request to a node: how that ended, and whether a byte was sent."""
         assert exchange.route is not None
-        known = seen(node)
+        stats = stats_of(node)
         pool = self._pool(node)
         connection = None if fresh else pool.reuse(not exchange.route.idempotent, exchange.attempt)
         if connection is None:
-            bound = max(LEAST_CONNECTIONS, self.service(node.service).max_connections // max(1, self.edges))
+            bound = max(MIN_CONNECTIONS, self.service(node.service).max_connections // max(1, self.edges))
             if len(pool.all) >= bound and not pool.shed():
-                return Answer(End.UNREACHED, "full"), False
+                return Answer(TryOutcome.UNREACHED, "full"), False
             if not await self._have_slot(exchange):
-                return Answer(End.UNREACHED, "full"), False
-            patience = max(CONNECT_LEAST, waits_until(exchange, exchange.begun) - self.clock())
+                return Answer(TryOutcome.UNREACHED, "full"), False
+            connect_s = max(MIN_CONNECT_TIMEOUT_S, max_wait_until(exchange, exchange.started_at) - self.clock())
             try:
-                connection = await pool.open(min(CONNECT, patience, max(0.0, exchange.until - self.clock())))
+                connection = await pool.open(
+                    min(CONNECT_TIMEOUT_S, connect_s, max(0.0, exchange.deadline - self.clock()))
+                )
             except PeerError:
                 self.counts["not connected"] += 1
-                return Answer(End.UNREACHED, "not connected"), False
+                return Answer(TryOutcome.UNREACHED, "not connected"), False
             self.counts["opened"] += 1
-            if exchange.expired or exchange.gone or self.key_lapsed(exchange, self.clock()):
+            if exchange.expired or exchange.client_gone or self.has_lapsed_key(exchange, self.clock()):
                 pool.put_back(connection)
-                return Answer(End.UNREACHED, "too late"), False
+                return Answer(TryOutcome.UNREACHED, "too late"), False
             if not connection.ready(False):  # the node has ended it, or spoken unasked: nothing was sent
                 connection.abort("not connected")
                 self.counts["not connected"] += 1
-                return Answer(End.UNREACHED, "not connected"), False
+                return Answer(TryOutcome.UNREACHED, "not connected"), False
         now = self.clock()
-        if now >= min(exchange.until, exchange.offer_until):  # this process stood still since the node was chosen
+        if now >= min(exchange.deadline, exchange.offer_until):  # this process stood still since the node was chosen
             pool.put_back(connection)
-            return Answer(End.UNREACHED, "too late"), False
-        quiet = known.in_hand(now) < node.capacity
-        exchange.way = self._way(exchange, fresh, now, now < node.cold_until, quiet)
+            return Answer(TryOutcome.UNREACHED, "too late"), False
+        quiet = stats.outstanding(now) < node.capacity
+        exchange.lateness_cause = self._way(exchange, fresh, now, now < node.cold_until, quiet)
         self.counts["sent"] += 1
-        known.sent(now)
-        answer = await exchange.sent_on(connection, max(1, int((exchange.until - now) * 1000)), node.id)
+        stats.record_sent(now)
+        answer = await exchange.send_on(connection, max(1, int((exchange.deadline - now) * 1000)), node.id)
         took = self.clock() - now
-        known.came_back(now + took)
+        stats.record_end(now + took)
         if answer.load is not None:
-            known.told(now + took, *answer.load)
-        if answer.end is End.ANSWERED:
-            known.busy += took
+            stats.record_load(now + took, *answer.load)
+        if answer.outcome is TryOutcome.ANSWERED:
+            stats.answered_s += took
             if quiet:
-                known.worked(took)
-        if answer.whole:
+                stats.record_work_time(took)
+        if answer.is_complete:
             exchange.connection = None
         return answer, True
 
@@ -95,8 +97,10 @@
             if idle is not None:
                 idle.abort("room for another")
                 await asyncio.sleep(0)  # its descriptor is free after a turn of the loop
-            elif not await self._waited(
-                exchange, self.connection_slots.waiting, min(waits_until(exchange, exchange.begun), exchange.until)
+            elif not await self._wait_for_change(
+                exchange,
+                self.connection_slots.waiting,
+                min(max_wait_until(exchange, exchange.started_at), exchange.deadline),
             ):
                 return False
         return True
@@ -107,26 +111,26 @@
         assert exchange.route is not None
         if again:
             return "tried again"
-        if now - exchange.begun > exchange.route.target_latency * HELD_PART:
+        if now - exchange.started_at > exchange.route.target_latency * WAITED_PART:
             return "waited at the edge"
         if cold:
             return "a cold node"
         return "a node with room" if quiet else "a busy node"
 
-    def _learn(self, known: Seen, end: End, for_nothing: bool, last: float) -> None:
+    def _learn(self, stats: NodeStats, outcome: TryOutcome, refused_with_capacity: bool, last: float) -> None:
         """Note how a try ended, and whether a refusal was `for_nothing`; a node in trouble is shunned for `last`
         seconds at most."""
         now = self.clock()
-        if end in (End.LOST, End.UNREACHED, End.SILENT):
-            known.failed += not known.hung  # that was told while it hung
-            known.hung = False
-            known.trouble(now, end is not End.UNREACHED, last)
-        elif end is End.TURNED_AWAY:
-            known.failed += for_nothing
-            known.refused += not for_nothing
-            known.well()
-        elif end is End.FAILED:
-            known.failed += 1
+        if outcome in (TryOutcome.LOST, TryOutcome.UNREACHED, TryOutcome.SILENT):
+            stats.failed += not stats.hang_counted  # that was told while it hung
+            stats.hang_counted = False
+            stats.record_failure(now, outcome is not TryOutcome.UNREACHED, last)
+        elif outcome is TryOutcome.TURNED_AWAY:
+            stats.failed += refused_with_capacity
+            stats.refused += not refused_with_capacity
+            stats.record_success()
+        elif outcome is TryOutcome.FAILED:
+            stats.failed += 1
         else:
-            known.ok += 1
-            known.well()
+            stats.ok += 1
+            stats.record_success()
--- a/knotwalk/edge/operation_steps.py
+++ b/knotwalk/edge/operation_steps.py
@@ -1,4 +1,7 @@
-"""What an edge does with a core's answer to an ask, how a run's end is told, and which ends wait to be told. Pure."""
+"""What an edge does with a core's answer to an admission request (an "ask"), and how it reports how runs ended. Pure.
+
+A run is one execution of an operation; its end (answered, never ran, unknown) is reported to the cores that granted it.
+"""
 
 from __future__ import annotations
 
@@ -6,189 +9,204 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from knotwalk.admission.outcome import End, Move
+from knotwalk.admission.outcome import NextStep, TryOutcome
 from knotwalk.edge.node_answer import Answer
 from knotwalk.shared_state.messages import Admission, AdmissionTold, Ending, OperationEnd, StoredAnswer
 
-# Seconds between asks for an operation that another try runs, and between asks while it can't be told.
-REPEAT_LEAST, REPEAT_MOST = 0.05, 0.1
-AGAIN = 0.005
-# Seconds for which a core's word that an operation is in work holds.
-IN_WORK_HOLDS = 0.4
-# Of the aim: how long a request may wait for word that is on its way. Longer than it may wait where there is none: most
-# of what is late by this is told soon, and run in time.
-LATE_PART = 0.5
-# Seconds before a request's deadline at which a repeat is told that the first try still runs: the way to the client.
-CONFLICT_BEFORE = 0.04
-# Seconds until an end that no core took is told again: at first, growing to the most.
-TELL_AGAIN, TELL_AGAIN_MOST = 0.5, 3.0
-# Ends that wait to be told, and bytes of their answers: beyond it the oldest go, and are unknown from then on.
-MOST_ENDS, MOST_BYTES = 2000, 8 * 1024 * 1024
-
-
-class Step(Enum):
-    """What follows a core's answer to a request's ask."""
-
-    CARRY = "carry"  # pass it on to a node
+# Pause between asks for an operation that another request is running, and between asks that got no decision.
+MIN_REPEAT_PAUSE_S, MAX_REPEAT_PAUSE_S = 0.05, 0.1
+RETRY_PAUSE_S = 0.005
+# Time for which a core's answer that an operation is in work stays valid.
+IN_WORK_VALID_S = 0.4
+# Part of the target latency that a request may wait for a decision that is on its way. Longer than it may wait for a
+# core that can't decide: most of these decisions come soon enough for the request to run in time.
+LATE_ADMISSION_PART = 0.5
+# Time before a request's deadline at which a repeat is answered that the first request still runs: the answer's way to
+# the client.
+CONFLICT_BEFORE_DEADLINE_S = 0.04
+# Time until an end that its core did not accept is reported again; doubled each time, up to the maximum.
+RESEND_AFTER_S, MAX_RESEND_AFTER_S = 0.5, 3.0
+# Maximum number of pending ends, and bytes of their answers: above it the oldest are dropped, and their operations stay
+# unknown to the cores.
+MAX_ENDS, MAX_BYTES = 2000, 8 * 1024 * 1024
+
+
+class AdmissionStep(Enum):
+    """What to do with a request after a core's answer to its ask."""
+
+    FORWARD = "forward"  # to a node
     LIMITED = "limited"  # 429
     WAIT = "wait"  # ask again
     ANSWER = "answer"  # the stored answer
-    FAIL = "fail"  # 502: its operation may have run, its answer can't be had
-    COME_BACK = "come back"  # 503: not told in time
+    FAIL = "fail"  # 502: its operation may have run, and its answer is not available
+    REFUSE = "refuse"  # 503: no decision in time
     CONFLICT = "conflict"  # 409: its operation is in work
 
 
-AT_ONCE = {
-    Admission.RUN: Step.CARRY,
-    Admission.OVER_LIMIT: Step.LIMITED,
-    Admission.ANSWERED: Step.ANSWER,
-    Admission.UNKNOWN: Step.FAIL,
+FINAL_STEPS = {
+    Admission.RUN: AdmissionStep.FORWARD,
+    Admission.OVER_LIMIT: AdmissionStep.LIMITED,
+    Admission.ANSWERED: AdmissionStep.ANSWER,
+    Admission.UNKNOWN: AdmissionStep.FAIL,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
-    """Times of a request by the steady clock: refused by `early` if nobody can tell, by `late` if it is not told in
-    time, and answered by `until` whatever there is."""
+class AdmissionDeadlines:
+    """Times of a request on the monotonic clock.
+
+    It is refused at `early` if the cores can't decide, at `late` if their decision does not come in time, and is
+    answered at `until` in any case."""
 
     early: float
     late: float
     until: float
 
 
-def step(told: AdmissionTold, in_work_at: float | None, now: float, patience: Patience) -> Step:
-    """What follows. `in_work_at`: when a core told last that its operation is in work, None if none did.
+def admission_step(
+    response: AdmissionTold, in_work_at: float | None, now: float, deadlines: AdmissionDeadlines
+) -> AdmissionStep:
+    """The next step of a request. `in_work_at`: when a core last answered that its operation is in work, None if never.
 
-    UNAVAILABLE without a time to come back says that the core waits for others' word.
+    UNAVAILABLE without a Retry-After means that the core waits for the decision of others.
 
-    >>> times = Patience(1.1, 1.3, 2.0)
-    >>> step(AdmissionTold(Admission.IN_WORK), None, 1.0, times)
-    <Step.WAIT: 'wait'>
-    >>> [step(AdmissionTold(Admission.UNAVAILABLE, wait), None, 1.2, times) for wait in (0.0, 0.2)]
-    [<Step.WAIT: 'wait'>, <Step.COME_BACK: 'come back'>]
+    >>> times = AdmissionDeadlines(1.1, 1.3, 2.0)
+    >>> admission_step(AdmissionTold(Admission.IN_WORK), None, 1.0, times)
+    <AdmissionStep.WAIT: 'wait'>
+    >>> [admission_step(AdmissionTold(Admission.UNAVAILABLE, wait), None, 1.2, times) for wait in (0.0, 0.2)]
+    [<AdmissionStep.WAIT: 'wait'>, <AdmissionStep.REFUSE: 'refuse'>]
     """
-    if told.admission in AT_ONCE:
-        return AT_ONCE[told.admission]
-    if told.admission is Admission.IN_WORK:
-        return Step.WAIT if now < patience.until else Step.CONFLICT
+    if response.admission in FINAL_STEPS:
+        return FINAL_STEPS[response.admission]
+    if response.admission is Admission.IN_WORK:
+        return AdmissionStep.WAIT if now < deadlines.until else AdmissionStep.CONFLICT
     if in_work_at is None:
-        return Step.WAIT if now < (patience.early if told.retry_after else patience.late) else Step.COME_BACK
-    if now < patience.until:
-        return Step.WAIT
-    return Step.CONFLICT if now - in_work_at <= IN_WORK_HOLDS else Step.COME_BACK
+        return (
+            AdmissionStep.WAIT
+            if now < (deadlines.early if response.retry_after else deadlines.late)
+            else AdmissionStep.REFUSE
+        )
+    if now < deadlines.until:
+        return AdmissionStep.WAIT
+    return AdmissionStep.CONFLICT if now - in_work_at <= IN_WORK_VALID_S else AdmissionStep.REFUSE
 
 
 def stored(answer: Answer) -> StoredAnswer:
-    """A node's whole answer as it is kept for repeats."""
+    """A node's complete answer in the form in which it is stored for repeats."""
     headers = tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in answer.headers)
     return StoredAnswer(answer.status, headers, answer.body)
 
 
-def repeated(kept: StoredAnswer, attempt: bytes) -> Answer:
-    """A stored answer as that to the repeat with this `Attempt-Id`, by which its client knows it as its own."""
-    answer = Answer(End.ANSWERED)
-    answer.status, answer.body = kept.status, kept.body
-    answer.length = len(kept.body) if kept.body else None
-    pairs = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in kept.headers]
+def repeated(stored_answer: StoredAnswer, attempt: bytes) -> Answer:
+    """The answer to a repeat: the stored one under the repeat's own `Attempt-Id`, by which its client recognizes it."""
+    answer = Answer(TryOutcome.ANSWERED)
+    answer.status, answer.body = stored_answer.status, stored_answer.body
+    answer.length = len(stored_answer.body) if stored_answer.body else None
+    pairs = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in stored_answer.headers]
     answer.headers = [(name, attempt if name.lower() == b"attempt-id" else value) for name, value in pairs]
     return answer
 
 
 @dataclass(frozen=True, slots=True)
 class RunEnd:
-    """How the run of an operation ended here; `answer` where it is ANSWERED."""
+    """How the run of an operation ended at this edge; with `answer` if it is ANSWERED."""
 
     ending: Ending
     answer: StoredAnswer | None = None
 
-    def as_told(self) -> AdmissionTold | None:
-        """What a repeat that waited here for this end is told; None if its operation is free again."""
+    def as_response(self) -> AdmissionTold | None:
+        """The admission response to a repeat that waited here for this end; None if its operation may run again."""
         if self.ending is Ending.NEVER_RAN:
             return None
         admission = Admission.ANSWERED if self.ending is Ending.ANSWERED else Admission.UNKNOWN
         return AdmissionTold(admission, answer=self.answer)
 
 
-def run_end(move: Move, answer: Answer | None) -> RunEnd:
-    """How a run ended whose last try led to `move`; an answer too large to be gathered is not kept."""
-    if move is Move.COME_BACK:
+def run_end(step: NextStep, answer: Answer | None) -> RunEnd:
+    """How a run ended whose last try led to `step`; an answer too large to be buffered is not stored."""
+    if step is NextStep.REFUSE:
         return RunEnd(Ending.NEVER_RAN)
-    if move is Move.PASS_ON and answer is not None and answer.whole:
+    if step is NextStep.PASS_ON and answer is not None and answer.is_complete:
         return RunEnd(Ending.ANSWERED, stored(answer))
     return RunEnd(Ending.UNKNOWN)
 
 
 @dataclass(slots=True)
-class Untold:
-    """An end that no core took yet: for the core `to`, due at `due`, again after `pause`, dropped at `last`.
+class PendingEnd:
+    """An end that its `core` has not accepted yet.
 
-    `fresh` until it is told first; it may then go before it is due, with a call that is made anyway."""
+    It is due at `due`, then again after `resend_after_s`, and is dropped at `expires_at`. While it is `unsent` it may
+    go with an earlier call that is made anyway."""
 
-    to: str
+    core: str
     end: OperationEnd
     due: float
-    last: float
-    pause: float = TELL_AGAIN
-    fresh: bool = True
+    expires_at: float
+    resend_after_s: float = RESEND_AFTER_S
+    unsent: bool = True
 
     @property
     def size(self) -> int:
-        """Bytes of its answer."""
+        """Bytes of the answer's body."""
         return len(self.end.answer.body) if self.end.answer else 0
 
 
-class UntoldEnds:
-    """Ends on their way to the cores that they are for; times by the steady clock."""
+class PendingEnds:
+    """Ends to be reported to cores; times on the monotonic clock."""
 
     def __init__(self, window: float):
-        self.window = window  # seconds after which nobody asks for an operation any more
-        self.waiting: OrderedDict[tuple[str, str, str], Untold] = OrderedDict()
+        self.window = window  # seconds after which no client repeats an operation any more
+        self.waiting: OrderedDict[tuple[str, str, str], PendingEnd] = OrderedDict()
         self.size = 0
 
-    def add(self, now: float, to: str, end: OperationEnd, due: float) -> None:
-        """An end is to be told, by a call of its own at `due`."""
-        untold = Untold(to, end, due, now + self.window)
-        self.done(to, [end])
-        self.waiting[to, end.operation, end.attempt] = untold
-        self.size += untold.size
-        while len(self.waiting) > MOST_ENDS or self.size > MOST_BYTES:
+    def add(self, now: float, core: str, end: OperationEnd, due: float) -> None:
+        """Add an end to be reported, by a call of its own at `due` at the latest."""
+        pending = PendingEnd(core, end, due, now + self.window)
+        self.mark_accepted(core, [end])
+        self.waiting[core, end.operation, end.attempt] = pending
+        self.size += pending.size
+        while len(self.waiting) > MAX_ENDS or self.size > MAX_BYTES:
             _, oldest = self.waiting.popitem(last=False)
             self.size -= oldest.size
 
-    def due(self, now: float) -> list[Untold]:
-        """Those that want a call now; they are not due again before their pause."""
-        for key, untold in list(self.waiting.items()):
-            if now >= untold.last:
-                self.size -= untold.size
+    def due(self, now: float) -> list[PendingEnd]:
+        """The ends that need a call now; drops those that have expired."""
+        for key, pending in list(self.waiting.items()):
+            if now >= pending.expires_at:
+                self.size -= pending.size
                 del self.waiting[key]
-        return [one for one in self.waiting.values() if now >= one.due]
-
-    def ready(self, now: float, to: str) -> list[Untold]:
-        """Those that may go with a call to this core."""
-        return [one for one in self.waiting.values() if one.to == to and (one.fresh or now >= one.due)]
-
-    def hurry(self) -> None:
-        """All that were not told yet are due."""
-        for untold in self.waiting.values():
-            if untold.fresh:
-                untold.due = 0.0
-
-    def sent(self, now: float, to: str, ends: list[OperationEnd]) -> None:
-        """These are being told."""
+        return [pending for pending in self.waiting.values() if now >= pending.due]
+
+    def ready(self, now: float, core: str) -> list[PendingEnd]:
+        """The ends that may go with a call to this core."""
+        return [
+            pending
+            for pending in self.waiting.values()
+            if pending.core == core and (pending.unsent or now >= pending.due)
+        ]
+
+    def make_due(self) -> None:
+        """Make all unsent ends due at once."""
+        for pending in self.waiting.values():
+            if pending.unsent:
+                pending.due = 0.0
+
+    def mark_sent(self, now: float, core: str, ends: list[OperationEnd]) -> None:
+        """Record that a call with these ends is being sent; each is due again after its pause."""
         for end in ends:
-            untold = self.waiting.get((to, end.operation, end.attempt))
-            if untold is not None:
-                untold.fresh = False
-                untold.due = now + untold.pause
-                untold.pause = min(TELL_AGAIN_MOST, 2 * untold.pause)
-
-    def done(self, to: str, ends: list[OperationEnd]) -> None:
-        """The core took these."""
+            pending = self.waiting.get((core, end.operation, end.attempt))
+            if pending is not None:
+                pending.unsent = False
+                pending.due = now + pending.resend_after_s
+                pending.resend_after_s = min(MAX_RESEND_AFTER_S, 2 * pending.resend_after_s)
+
+    def mark_accepted(self, core: str, ends: list[OperationEnd]) -> None:
+        """Remove the ends that the core has accepted."""
         for end in ends:
-            untold = self.waiting.pop((to, end.operation, end.attempt), None)
-            if untold is not None:
-                self.size -= untold.size
+            pending = self.waiting.pop((core, end.operation, end.attempt), None)
+            if pending is not None:
+                self.size -= pending.size
 
     def next_due(self) -> float | None:
-        """When the next one is due, None if there is none."""
-        return min((one.due for one in self.waiting.values()), default=None)
+        """When the next end is due, None if there is none."""
+        return min((pending.due for pending in self.waiting.values()), default=None)
--- a/knotwalk/edge/operations.py
+++ b/knotwalk/edge/operations.py
@@ -10,24 +10,24 @@
 from itertools import count
 from typing import Protocol
 
-from knotwalk.admission.admission import come_back
+from knotwalk.admission.admission import jittered_retry_after
 from knotwalk.configuration.objects import Configuration
 from knotwalk.edge.admission_calls import AdmissionCalls, Asked
 from knotwalk.edge.exchange import Exchange
 from knotwalk.edge.forwarder import HANDS_WAIT, Forwarder
-from knotwalk.edge.forwarding_state import CLIENT_WAY, waits_until
+from knotwalk.edge.forwarding_state import CLIENT_ROUND_TRIP_S, max_wait_until
 from knotwalk.edge.operation_steps import (
-    AGAIN,
-    CONFLICT_BEFORE,
-    LATE_PART,
-    REPEAT_LEAST,
-    REPEAT_MOST,
-    Patience,
+    CONFLICT_BEFORE_DEADLINE_S,
+    LATE_ADMISSION_PART,
+    MAX_REPEAT_PAUSE_S,
+    MIN_REPEAT_PAUSE_S,
+    RETRY_PAUSE_S,
+    AdmissionDeadlines,
+    AdmissionStep,
     RunEnd,
-    Step,
+    admission_step,
     repeated,
     run_end,
-    step,
 )
 from knotwalk.edge.stages import Stage
 from knotwalk.runtime.settings import Settings
@@ -35,18 +35,18 @@
 
 CONTRACT = "keys"  # the part of the rules by which requests of keyed routes are operations
 # Seconds that an ask for an operation in work may take.
-ASK_IN_WORK = 0.3
+REPEATED_ASK_TIMEOUT_S = 0.3
 # Seconds after an ask for a claim within which the request is sent: claims hold longer than their window by more.
-SEND_WITHIN = 8.0
+SEND_WITHIN_S = 8.0
 
 
 class Refusals(Protocol):
     """Tenants that are over their limit, as this edge was told."""
 
-    def refused(self, now: float, tenant: str) -> float | None:
+    def refused_for(self, now: float, tenant: str) -> float | None:
         """Seconds after which a client of a tenant that is refused without an ask may come back; else 0 or None."""
 
-    def note(self, now: float, tenant: str, retry_after: float) -> None:
+    def record(self, now: float, tenant: str, retry_after: float) -> None:
         """A core told that the tenant is over its limit."""
 
 
@@ -95,7 +95,7 @@
             await self.forwarder.carry(exchange)
             return
         now = self.forwarder.clock()
-        if ask.tenant and (wait := self.refusals.refused(now, ask.tenant)):
+        if ask.tenant and (wait := self.refusals.refused_for(now, ask.tenant)):
             self._over_limit(exchange, wait)
             return
         await self._admit(exchange, ask)
@@ -104,49 +104,55 @@
         """Ask until something follows."""
         cores: tuple[str, ...] = ()  # that may have granted the ask
         in_work_at: float | None = None
-        patience = _patience(exchange)
+        deadlines = _deadlines(exchange)
         since = self.forwarder.clock()  # of the asks that may have been granted, the first
         while True:
-            asked = await self._ask(ask, in_work_at is not None, patience)
+            asked = await self._ask(ask, in_work_at is not None, deadlines)
             cores = tuple(dict.fromkeys((*cores, *asked.cores)))
             now = self.forwarder.clock()
             if asked.told.admission is Admission.IN_WORK:
                 in_work_at = now
-            follows = step(asked.told, in_work_at, now, patience)
-            if exchange.gone and follows in (Step.WAIT, Step.CARRY):
-                follows = Step.COME_BACK
-            if follows is Step.CARRY and ask.operation in self.running:
-                follows = Step.WAIT  # two tries asked side by side, and the other one runs here: it has the claim
-            if follows is not Step.WAIT:
+            follows = admission_step(asked.told, in_work_at, now, deadlines)
+            if exchange.client_gone and follows in (AdmissionStep.WAIT, AdmissionStep.FORWARD):
+                follows = AdmissionStep.REFUSE
+            if follows is AdmissionStep.FORWARD and ask.operation in self.running:
+                follows = (
+                    AdmissionStep.WAIT
+                )  # two tries asked side by side, and the other one runs here: it has the claim
+            if follows is not AdmissionStep.WAIT:
                 break
-            pause = self.forwarder.luck.uniform(REPEAT_LEAST, REPEAT_MOST) if in_work_at is not None else AGAIN
-            await asyncio.sleep(max(0.0, min(pause, exchange.until - now)))
+            pause = (
+                self.forwarder.rng.uniform(MIN_REPEAT_PAUSE_S, MAX_REPEAT_PAUSE_S)
+                if in_work_at is not None
+                else RETRY_PAUSE_S
+            )
+            await asyncio.sleep(max(0.0, min(pause, exchange.deadline - now)))
             if not cores:
                 since = self.forwarder.clock()
-        if follows is Step.CARRY and not ask.operation:
+        if follows is AdmissionStep.FORWARD and not ask.operation:
             await self.forwarder.carry(exchange)
-        elif follows is Step.CARRY:
-            exchange.offer_until = min(exchange.offer_until, since + SEND_WITHIN)
+        elif follows is AdmissionStep.FORWARD:
+            exchange.offer_until = min(exchange.offer_until, since + SEND_WITHIN_S)
             await self._run(exchange, ask, cores)
         else:
             if ask.operation and cores:
                 self.calls.end(cores, ask.operation, ask.attempt, Ending.NEVER_RAN)
             self._settle(exchange, ask, follows, asked.told)
 
-    async def _ask(self, ask: AdmissionAsk, in_work: bool, patience: Patience) -> Asked:
+    async def _ask(self, ask: AdmissionAsk, in_work: bool, deadlines: AdmissionDeadlines) -> Asked:
         """One ask; a repeat of what runs at this edge waits for its end instead."""
         running = self.running.get(ask.operation) if ask.operation else None
         now = self.forwarder.clock()
         if running is not None:
             try:
-                async with asyncio.timeout(max(0.0, patience.until - now)):
+                async with asyncio.timeout(max(0.0, deadlines.until - now)):
                     ended = await asyncio.shield(running.ended)
             except TimeoutError:
                 return Asked(AdmissionTold(Admission.IN_WORK))
-            if (told := ended.as_told()) is not None:
+            if (told := ended.as_response()) is not None:
                 return Asked(told)
             now = self.forwarder.clock()
-        until = min(now + ASK_IN_WORK, patience.until) if in_work else patience.late
+        until = min(now + REPEATED_ASK_TIMEOUT_S, deadlines.until) if in_work else deadlines.late
         return await self.calls.ask(ask, until)
 
     async def _run(self, exchange: Exchange, ask: AdmissionAsk, cores: tuple[str, ...]) -> None:
@@ -161,36 +167,36 @@
             self.calls.end(cores, ask.operation, ask.attempt, ended.ending, ended.answer)
             running.ended.set_result(ended)
 
-    def _settle(self, exchange: Exchange, ask: AdmissionAsk, follows: Step, told: AdmissionTold) -> None:
+    def _settle(self, exchange: Exchange, ask: AdmissionAsk, follows: AdmissionStep, told: AdmissionTold) -> None:
         """Answer a request that does not run."""
         forwarder = self.forwarder
-        if follows is Step.LIMITED:
-            self.refusals.note(forwarder.clock(), ask.tenant, told.retry_after)
+        if follows is AdmissionStep.LIMITED:
+            self.refusals.record(forwarder.clock(), ask.tenant, told.retry_after)
             self._over_limit(exchange, told.retry_after)
-        elif follows is Step.ANSWER:
+        elif follows is AdmissionStep.ANSWER:
             assert told.answer is not None
             forwarder.note(exchange, "answered as the first try")
-            exchange.passed_on(repeated(told.answer, exchange.attempt))
-        elif follows is Step.CONFLICT:
+            exchange.respond_with(repeated(told.answer, exchange.attempt))
+        elif follows is AdmissionStep.CONFLICT:
             forwarder.note(exchange, "refused: its operation is in work")
-            exchange.own(409, "the operation is in work")
-        elif follows is Step.FAIL:
+            exchange.respond(409, "the operation is in work")
+        elif follows is AdmissionStep.FAIL:
             forwarder.note(exchange, "unknown: the operation's answer is lost")
-            exchange.own(502, "the operation may have run, its answer is lost")
+            exchange.respond(502, "the operation may have run, its answer is lost")
         else:
             forwarder.note(exchange, "refused: not admitted in time")
-            wait = come_back(max(told.retry_after, HANDS_WAIT), forwarder.luck.random())
-            exchange.own(503, "not admitted in time", wait)
+            wait = jittered_retry_after(max(told.retry_after, HANDS_WAIT), forwarder.rng.random())
+            exchange.respond(503, "not admitted in time", wait)
 
     def _over_limit(self, exchange: Exchange, wait: float) -> None:
         self.forwarder.note(exchange, "refused: over its tenant's limit")
         if exchange.stage is Stage.RUNNING:
-            exchange.own(429, "over the limit", wait)
+            exchange.respond(429, "over the limit", wait)
 
 
-def _patience(exchange: Exchange) -> Patience:
+def _deadlines(exchange: Exchange) -> AdmissionDeadlines:
     """How long a request may wait to be admitted, as its client sees it."""
     assert exchange.route is not None
-    until = exchange.until - CONFLICT_BEFORE
-    late = exchange.begun + max(0.0, exchange.route.target_latency * LATE_PART - CLIENT_WAY)
-    return Patience(min(waits_until(exchange, exchange.begun), until), min(late, until), until)
+    until = exchange.deadline - CONFLICT_BEFORE_DEADLINE_S
+    late = exchange.started_at + max(0.0, exchange.route.target_latency * LATE_ADMISSION_PART - CLIENT_ROUND_TRIP_S)
+    return AdmissionDeadlines(min(max_wait_until(exchange, exchange.started_at), until), min(late, until), until)
--- a/knotwalk/edge/ready.py
+++ b/knotwalk/edge/readiness.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from knotwalk.edge.front import Front
+from knotwalk.edge.client_server import ClientServer
 from knotwalk.runtime import text_port
 from knotwalk.runtime.logs import log_info, log_warning
 
@@ -20,8 +20,8 @@
 
     Not while it can't judge tenants' keys, where there are any: clients then fare better at other edges."""
 
-    def __init__(self, front: Front):
-        self.front = front
+    def __init__(self, client_server: ClientServer):
+        self.client_server = client_server
         self.wanted = False
         self._told = False
 
@@ -36,10 +36,10 @@
 
     def at(self, now: float) -> bool:
         """Whether new connections are wanted; what changes is logged."""
-        found = self.wanted and self.front.intake.judges_keys(now)
+        found = self.wanted and self.client_server.intake.judges_keys(now)
         if self.wanted and found != self._told:
             self._told = found
-            view = self.front.view
+            view = self.client_server.view
             version = view.configuration.version if view.configuration else 0
             if found:
                 log_info("ready", version=version, nodes=len(view.nodes))
--- a/knotwalk/edge/request_head.py
+++ b/knotwalk/edge/request_head.py
@@ -1,6 +1,6 @@
-"""The head of a client's request: what its headers say, and the same head as it goes on to a node. Pure.
+"""The head of a client's request: the values of its headers, and the head that is forwarded to a node. Pure.
 
-The parser has read names and values; what it leaves open (codings, doubled headers) is checked here.
+The parser splits names and values; what it does not check (transfer codings, duplicate headers) is checked here.
 """
 
 from __future__ import annotations
@@ -8,16 +8,16 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from knotwalk.edge.node_answer import HOP
+from knotwalk.edge.node_answer import HOP_BY_HOP_HEADERS
 
-# Written anew, or meant for this connection only: they go no further as they came.
-OURS = HOP | {b"content-length", b"deadline-ms", b"target-instance", b"expect"}
-# No Connection header takes these away.
-KEPT = frozenset({b"host", b"attempt-id", b"shard-key", b"operation-key"})
+# Headers that are not forwarded as they came: the edge writes them anew, or they are meant for this connection only.
+REPLACED_HEADERS = HOP_BY_HOP_HEADERS | {b"content-length", b"deadline-ms", b"target-instance", b"expect"}
+# Headers that a Connection header can't remove.
+PROTECTED_HEADERS = frozenset({b"host", b"attempt-id", b"shard-key", b"operation-key"})
 
 
-class Refusal(Exception):
-    """A request that is not read on: the status that says so."""
+class RequestRefusedError(Exception):
+    """A request that can't be served: the status and text of the edge's answer. The client sees both."""
 
     def __init__(self, status: int, text: str):
         super().__init__(text)
@@ -26,29 +26,29 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """What the headers say. `shard_key` and `deadline` are empty, which is no number, where they stand twice."""
+    """The values of the headers. `shard_key` and `deadline` are empty, which is no valid number, if sent twice."""
 
     target: bytes
-    modern: bool = True  # HTTP/1.1
+    is_http_11: bool = True  # HTTP/1.1
     host: bytes | None = None
     attempt: bytes = b""
     shard_key: bytes | None = None
     deadline: bytes | None = None
     operation: bytes = b""  # `Operation-Key`
-    authorization: bytes | None = None  # empty where it stands twice: it then holds no key
+    authorization: bytes | None = None  # empty, and so without a key, if sent twice
     length: int | None = None
     chunked: bool = False
-    expects: bool = False
-    lines: list[bytes] = field(default_factory=list)  # as it goes on to a node, without the empty line
+    expects_continue: bool = False
+    forwarded_lines: list[bytes] = field(default_factory=list)  # the head for a node, without the empty line
 
     def _host(self, value: bytes) -> None:
         if self.host is not None:
-            raise Refusal(400, "two hosts")
+            raise RequestRefusedError(400, "two hosts")
         self.host = value.strip()
 
     def _attempt(self, value: bytes) -> None:
         if self.attempt:
-            raise Refusal(400, "two ids")
+            raise RequestRefusedError(400, "two ids")
         self.attempt = value.strip()
 
     def _shard_key(self, value: bytes) -> None:
@@ -59,7 +59,7 @@
 
     def _operation(self, value: bytes) -> None:
         if self.operation:
-            raise Refusal(400, "two operation keys")
+            raise RequestRefusedError(400, "two operation keys")
         self.operation = value.strip()
 
     def _authorization(self, value: bytes) -> None:
@@ -68,16 +68,16 @@
     def _length(self, value: bytes) -> None:
         self.length = int(value)
 
-    def _coding(self, value: bytes) -> None:
-        if value.strip().lower() != b"chunked" or not self.modern:
-            raise Refusal(400, "a coding that is not spoken here")
+    def _transfer_encoding(self, value: bytes) -> None:
+        if value.strip().lower() != b"chunked" or not self.is_http_11:
+            raise RequestRefusedError(400, "a coding that is not spoken here")
         self.chunked = True
 
     def _expect(self, value: bytes) -> None:
-        self.expects = self.modern and value.strip().lower() == b"100-continue"
+        self.expects_continue = self.is_http_11 and value.strip().lower() == b"100-continue"
 
 
-READERS: dict[bytes, Callable[[RequestHead, bytes], None]] = {
+HEADER_READERS: dict[bytes, Callable[[RequestHead, bytes], None]] = {
     b"host": RequestHead._host,
     b"attempt-id": RequestHead._attempt,
     b"shard-key": RequestHead._shard_key,
@@ -85,31 +85,31 @@
     b"operation-key": RequestHead._operation,
     b"authorization": RequestHead._authorization,
     b"content-length": RequestHead._length,
-    b"transfer-encoding": RequestHead._coding,
+    b"transfer-encoding": RequestHead._transfer_encoding,
     b"expect": RequestHead._expect,
 }
 
 
 def read_head(
-    method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], modern: bool, withheld: frozenset[bytes]
+    method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], is_http_11: bool, withheld: frozenset[bytes]
 ) -> RequestHead:
-    """The head of a request; Refusal where it can't be served. Headers of `withheld` (lower case) go to no node."""
+    """The head of a request; RequestRefusedError if it can't be served. `withheld` headers (lower case) are dropped."""
     if not target.startswith(b"/"):
-        raise Refusal(400, "the target is no path")
-    head = RequestHead(target, modern)
-    head.lines += (method, b" ", target, b" HTTP/1.1\r\n")
-    named = [(name, name.lower(), value) for name, value in headers]
-    dropped = OURS | withheld
-    for _, low, value in named:
-        if low == b"connection":
-            dropped = dropped | ({token.strip().lower() for token in value.split(b",")} - KEPT)
-    for name, low, value in named:
-        if reader := READERS.get(low):
+        raise RequestRefusedError(400, "the target is no path")
+    head = RequestHead(target, is_http_11)
+    head.forwarded_lines += (method, b" ", target, b" HTTP/1.1\r\n")
+    named_headers = [(name, name.lower(), value) for name, value in headers]
+    dropped = REPLACED_HEADERS | withheld
+    for _, lower_name, value in named_headers:
+        if lower_name == b"connection":
+            dropped = dropped | ({token.strip().lower() for token in value.split(b",")} - PROTECTED_HEADERS)
+    for name, lower_name, value in named_headers:
+        if reader := HEADER_READERS.get(lower_name):
             reader(head, value)
-        if low not in dropped:
-            head.lines += (name, b": ", value, b"\r\n")
+        if lower_name not in dropped:
+            head.forwarded_lines += (name, b": ", value, b"\r\n")
     if head.host is None:
-        raise Refusal(400, "no Host")
+        raise RequestRefusedError(400, "no Host")
     if not head.attempt:
-        raise Refusal(400, "no Attempt-Id")
+        raise RequestRefusedError(400, "no Attempt-Id")
     return head
--- a/knotwalk/edge/stages.py
+++ b/knotwalk/edge/stages.py
@@ -1,30 +1,31 @@
-"""The stages of a client's request at an edge, and what its stage means once the client has ended its side. Pure.
+"""The stages of a client's request at an edge, and whether a request goes on once the client has half-closed. Pure.
 
-A client that closes its connection sends what one sends that ends only its side and still reads (a FIN): the two can't
-be told apart until something is written. So what may be repeated is broken off, as if the client had closed: to ask
-again does no harm. What must not be repeated and has begun is carried to its end and answered, as if it still read.
+A client that closes its connection sends a FIN, and so does one that only shuts down its sending side and still reads:
+the two can't be distinguished until something is written. So an idempotent request is aborted, as if the client had
+closed, since sending it again does no harm. A non-idempotent request that was started is completed and answered, as if
+the client still read.
 """
 
 from enum import Enum
 
-# Seconds after its client has ended its side within which a request may still be offered to a node: enough for one that
-# was sent whole with the end right behind it, and under the half second after which work for clients that have left
-# counts against the gateway.
-OFFER_AFTER_END = 0.4
+# Time after the client's half-close within which a request may still be offered to a node: enough for a request that
+# was sent completely with the FIN right behind it, and less than the half second after which work for clients that are
+# gone counts against the gateway.
+OFFER_AFTER_HALF_CLOSE_S = 0.4
 
 
 class Stage(Enum):
     """States of a request."""
 
-    READING = "reading"  # its body has not been read as far as it must be
-    READY = "ready"  # may be carried, waits its turn
-    RUNNING = "running"  # being carried
-    ANSWERED = "answered"  # its answer is known, waits its turn
-    WRITING = "writing"  # its answer is passed on as it comes
+    READING = "reading"  # its body has not been read far enough to be forwarded
+    READY = "ready"  # may be forwarded, waits for its turn
+    RUNNING = "running"  # being forwarded
+    ANSWERED = "answered"  # its answer is known and waits for its turn
+    WRITING = "writing"  # its answer is streamed to the client
     DONE = "done"
 
 
-STAGES = {
+STAGE_TRANSITIONS = {
     Stage.READING: {Stage.READY, Stage.ANSWERED, Stage.DONE},
     Stage.READY: {Stage.RUNNING, Stage.ANSWERED, Stage.DONE},
     Stage.RUNNING: {Stage.ANSWERED, Stage.DONE},
@@ -32,15 +33,15 @@
     Stage.WRITING: {Stage.DONE},
     Stage.DONE: set(),
 }
-BEGUN = frozenset({Stage.RUNNING, Stage.ANSWERED, Stage.WRITING})
+STARTED_STAGES = frozenset({Stage.RUNNING, Stage.ANSWERED, Stage.WRITING})
 
 
-def outlives_its_client(stage: Stage, repeatable: bool) -> bool:
-    """Whether the oldest request of a connection is carried on, and answered, though its client has ended its side.
+def continues_after_half_close(stage: Stage, idempotent: bool) -> bool:
+    """Whether the oldest request of a connection goes on and is answered after its client has half-closed.
 
-    >>> outlives_its_client(Stage.RUNNING, False), outlives_its_client(Stage.READY, False)
+    >>> continues_after_half_close(Stage.RUNNING, False), continues_after_half_close(Stage.READY, False)
     (True, False)
-    >>> any(outlives_its_client(stage, True) for stage in Stage)
+    >>> any(continues_after_half_close(stage, True) for stage in Stage)
     False
     """
-    return not repeatable and stage in BEGUN
+    return not idempotent and stage in STARTED_STAGES
--- a/tests/simulation/connections.py
+++ b/tests/simulation/connections.py
@@ -247,7 +247,7 @@
 def _leave(calls: Calls, number: int, exchange: Exchange) -> None:
     """The client of a call is gone."""
     calls.left[number] = calls.loop.now
-    exchange.leave()
+    exchange.abandon()
 
 
 async def _to_nodes(calls: Calls, forwarder: Forwarder, chance: random.Random, first: int) -> None:
@@ -258,11 +258,11 @@
             calls.careful.add(number)
         exchange = Exchange(clock(), b"POST", lambda exchange: None)
         exchange.head = b"POST /x HTTP/1.1\r\nAttempt-Id: a%d\r\n" % number
-        exchange.attempt, exchange.length, exchange.body_whole = b"a%d" % number, 0, True
-        exchange.until = clock() + 0.5
+        exchange.attempt, exchange.length, exchange.body_complete = b"a%d" % number, 0, True
+        exchange.deadline = clock() + 0.5
         forwarder.routed(exchange, Route("r", "h", "/", not careful, 0.5, 0.3, 1, (("s", 1.0),), 3), None)
-        exchange.to(Stage.READY)
-        exchange.to(Stage.RUNNING)
+        exchange.transition_to(Stage.READY)
+        exchange.transition_to(Stage.RUNNING)
         later = asyncio.get_running_loop().call_later
         timers = [later(chance.choice((0.03, 0.1, 0.5)), exchange.expire)]
         if chance.random() < LEAVES_PART:
--- a/tests/simulation/crash_gap.py
+++ b/tests/simulation/crash_gap.py
@@ -84,7 +84,7 @@
 
 def _watch(world: World, name: str, begun: float, found: Found) -> None:
     """Note when each slice of the node `name` is served again, and which live nodes' holds run out."""
-    lines = world.edge_processes["e0"].link.view.shardings["s"].lines  # type: ignore[attr-defined]
+    lines = world.edge_processes["e0"].view_poller.view.shardings["s"].lines  # type: ignore[attr-defined]
     waiting = {k for k, line in enumerate(lines) if line.owner == name}
     lapsed: set[int] = set()
     while world.loop.now < begun + WATCH:
--- a/tests/simulation/keys_judge.py
+++ b/tests/simulation/keys_judge.py
@@ -49,11 +49,11 @@
 
     def status(self, process: Process, key: str) -> int | None:
         """What an edge would refuse a key with now, 0 if it would take it; None without a configuration."""
-        link = process.link  # type: ignore[attr-defined]
-        if link.view.configuration is None:
+        view_poller = process.view_poller  # type: ignore[attr-defined]
+        if view_poller.view.configuration is None:
             return None
         shown = f"Token {key}".encode()
-        return check_key(ROUTE, link.view.tenant_keys, shown, link.freshness, process.clock()).status
+        return check_key(ROUTE, view_poller.view.tenant_keys, shown, view_poller.freshness, process.clock()).status
 
     def look(self, edge: str, process: Process) -> None:
         """What an edge would do now."""
@@ -65,7 +65,7 @@
         if status:
             return
         self.taken += 1
-        has = process.link.view.configuration.version  # type: ignore[attr-defined]
+        has = process.view_poller.view.configuration.version  # type: ignore[attr-defined]
         known = register.known(now - REVOKE_TIMEOUT)
         if has < known:
             self.world.judge.says(f"{now:.3f} {edge} takes keys by r{has}; r{known} was told {REVOKE_TIMEOUT:g} s ago")
--- a/tests/simulation/mistakes.py
+++ b/tests/simulation/mistakes.py
@@ -211,12 +211,12 @@
 
 
 ANSWERED = Keeper.answered
-MOVE = forwarder.move
+NEXT_STEP = forwarder.next_step
 
 
-def _move_again(end: Any, idempotent: bool, may_have_run: bool, again: bool, status: int = 0) -> Any:
+def _next_step_again(end: Any, idempotent: bool, may_have_run: bool, again: bool, status: int = 0) -> Any:
     """Offers any request again, as if all might run twice."""
-    return MOVE(end, True, may_have_run, again, status)
+    return NEXT_STEP(end, True, may_have_run, again, status)
 
 
 OPENED = program.opened
@@ -268,5 +268,5 @@
     "stale connection used again": _one(5, Connection, "ready", _ready_unasked),
     "answer of a node taken with its id unchecked": _one(5, AnswerReader, "_read_head", _any_answer),
     "answer of a core taken with its id unchecked": _one(5, caller.Connection, "on_headers_complete", _any_call),
-    "sent again though a byte left": _one(5, forwarder, "move", _move_again),
+    "sent again though a byte left": _one(5, forwarder, "next_step", _next_step_again),
 }
--- a/tests/simulation/programs.py
+++ b/tests/simulation/programs.py
@@ -23,7 +23,7 @@
     slice_manager,
 )
 from knotwalk.control_plane.compaction import Compaction
-from knotwalk.edge import link
+from knotwalk.edge import view_poller
 from knotwalk.runtime import life, logs
 from knotwalk.runtime.settings import Bounds, Machine, Platform, Settings, Tolerance
 from knotwalk.shared_state import messages
@@ -45,7 +45,7 @@
     list_poller,
     peer_api,
     slice_manager,
-    link,
+    view_poller,
 )
 
 
--- a/tests/simulation/shared_mistakes.py
+++ b/tests/simulation/shared_mistakes.py
@@ -72,7 +72,7 @@
 BUCKETS, FILL, OF, TAKE_AGAIN = Buckets.__init__, Bucket.fill, allowances.Limits.of, Escrow.take_again
 
 SHARED_MISTAKES: dict[str, Mistake] = {
-    "keys taken whatever was heard": _one(KEYS, Freshness, "holds", _always, 1),
+    "keys taken whatever was heard": _one(KEYS, Freshness, "is_valid", _always, 1),
     "lease of keys twice as long": _one(KEYS, Freshness, "__init__", _twice_as_long, 13),
     "a core's proof told as newer": _one(KEYS, peer_api, "PROOF", -10.0, 6),
     "keys that were taken away stay": _one(KEYS, cluster_view, "tenant_keys", _first_keys),
--- a/tests/simulation/walk.py
+++ b/tests/simulation/walk.py
@@ -111,7 +111,7 @@
     world.keys.settled()
     newest = world.register.known(world.loop.now)
     for name, process in world.edge_processes.items():
-        configuration = process.link.view.configuration  # type: ignore[attr-defined]
+        configuration = process.view_poller.view.configuration  # type: ignore[attr-defined]
         if configuration is None or configuration.version < newest:
             world.judge.says(
                 f"{name} shows {configuration and configuration.version} in the end, r{newest} is in force"
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -11,7 +11,7 @@
 
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.view_types import SLICES, WIDTH
-from knotwalk.edge.link import Link
+from knotwalk.edge.view_poller import ViewPoller
 from knotwalk.runtime.errors import value
 from knotwalk.runtime.settings import Bounds
 from knotwalk.runtime.units import seconds
@@ -196,7 +196,7 @@
         self.edge_processes[name] = process
         view = ClusterView()
         seeds = [f"{place.host}:{PEERS}" for place in self.places.values() if not place.gone][:5]
-        link = Link(
+        view_poller = ViewPoller(
             name,
             view,
             EdgeCaller(self, process.name, view),  # type: ignore[arg-type]
@@ -207,8 +207,8 @@
             lambda changed, edges: self.edges.news(process.name, view),
             keys_judge.freshness(),
         )
-        process.link = link  # type: ignore[attr-defined]
-        process.spawn(link.run())
+        process.view_poller = view_poller  # type: ignore[attr-defined]
+        process.spawn(view_poller.run())
 
     # -- the platform and its nodes
 
--- a/tests/standins/nodes.py
+++ b/tests/standins/nodes.py
@@ -11,7 +11,7 @@
 from knotwalk.configuration.objects import Configuration, Limits, Route, Service
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.view_types import Line, Node, Sharding
-from knotwalk.edge.front import Front
+from knotwalk.edge.client_server import ClientServer
 from knotwalk.runtime.logs import clock
 from knotwalk.runtime.settings import parse
 
@@ -190,12 +190,12 @@
             sharding.lines[at] = Line(owner, True, owner.id)
 
 
-async def front(made: ClusterView, now: Callable[[], float] = clock, **raw: object) -> Front:
+async def client_server(made: ClusterView, now: Callable[[], float] = clock, **raw: object) -> ClientServer:
     """A front on a port that the system chose, with a budget that has room."""
     settings = parse({"node_name": "edge", "zone": "a", "listen_addresses": {"data_plane": "127.0.0.1:1"}, **raw})
     settings.listen["data_plane"] = ("127.0.0.1", 0)
-    built = Front(settings, made, now, 1)
-    built.forwarder.began = now() - 100
+    built = ClientServer(settings, made, now, 1)
+    built.forwarder.started_at = now() - 100
     built.edges = 1
     await built.start()
     return built
--- a/tests/system/edge_case.py
+++ b/tests/system/edge_case.py
@@ -4,9 +4,9 @@
 import time
 import unittest
 
-from standins.nodes import RawClient, StandIn, answer, front, routes, view
+from standins.nodes import RawClient, StandIn, answer, client_server, routes, view
 
-from knotwalk.edge.choose import seen
+from knotwalk.edge.choose import stats_of
 
 # Seconds that an answer may take on a machine with much other work; who waits so long has failed.
 PATIENCE = 60
@@ -46,7 +46,7 @@
         self.loop.set_exception_handler(lambda loop, context: self.errors.append(context))
         self.nodes = [await StandIn(f"i-{at}").start() for at in range(2)]
         self.clients = []
-        self.front = None
+        self.client_server = None
 
     async def asyncTearDown(self):
         await self.end()
@@ -60,21 +60,21 @@
             client.close()
         for node in self.nodes:
             node.stop()
-        if self.front is not None:
-            self.front.drain()
-            await self.front.finished(0)
-            self.front._sweep.cancel()
+        if self.client_server is not None:
+            self.client_server.drain()
+            await self.client_server.finished(0)
+            self.client_server._sweep.cancel()
 
     async def begin(self, nodes=1, service="s", limits=None, capacity=4, table=None, **raw):
         """A front over some of the stand-ins."""
         self.view = view(
             [node.node(service, capacity=capacity) for node in self.nodes[:nodes]], table or routes(), limits
         )
-        self.front = await front(self.view, **raw)
-        return self.front
+        self.client_server = await client_server(self.view, **raw)
+        return self.client_server
 
     async def client(self):
-        client = await RawClient.to(self.front.port)
+        client = await RawClient.to(self.client_server.port)
         self.clients.append(client)
         return client
 
@@ -91,7 +91,7 @@
             node.seen.clear()
             node.script = list(script)
         for node in self.view.nodes.values():
-            seen(node).well()
+            stats_of(node).record_success()
 
 
 BOTH = (("/i/", True), ("/n/", False))
--- a/tests/system/operations_case.py
+++ b/tests/system/operations_case.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from standins.cores import Cores
-from standins.nodes import RawClient, answer, front, routes, view
+from standins.nodes import RawClient, answer, client_server, routes, view
 
 from knotwalk.configuration.objects import Route, Service
 from knotwalk.edge.admission_calls import AdmissionCalls
@@ -23,10 +23,10 @@
     def __init__(self):
         self.noted = []
 
-    def refused(self, now, tenant):
+    def refused_for(self, now, tenant):
         return None
 
-    def note(self, now, tenant, retry_after):
+    def record(self, now, tenant, retry_after):
         self.noted.append((tenant, retry_after))
 
 
@@ -39,18 +39,22 @@
 
     async def start(self, seen, contracts=("keys",)):
         self.lives += 1
-        self.front = await front(seen, active_contracts=list(contracts))
+        self.client_server = await client_server(seen, active_contracts=list(contracts))
         self.calls = AdmissionCalls(
-            "e", f"{id(self)}.{self.lives}", lambda: self.order, clock, 60.0, lambda: self.front.counts
+            "e", f"{id(self)}.{self.lives}", lambda: self.order, clock, 60.0, lambda: self.client_server.counts
         )
         self.cores.living.add(self.calls.life)
         self.calls.lanes = [self.cores, self.cores]
         self.calls.idle = list(self.calls.lanes)
         self.refusals = NeverRefused()
-        self.front.operations = Operations(
-            self.front.settings, self.front.forwarder, self.calls, lambda configuration, tenant: True, self.refusals
+        self.client_server.operations = Operations(
+            self.client_server.settings,
+            self.client_server.forwarder,
+            self.calls,
+            lambda configuration, tenant: True,
+            self.refusals,
         )
-        self.front.carry = self._carry
+        self.client_server.carry = self._carry
         return self
 
     def _carry(self, exchange):
@@ -59,13 +63,13 @@
             exchange.operation = found[1].decode()
         found = TENANT.search(exchange.head)
         exchange.tenant = found[1].decode() if found else "t"
-        type(self.front).carry(self.front, exchange)
+        type(self.client_server).carry(self.client_server, exchange)
 
     async def end(self):
         self.cores.living.discard(self.calls.life)
-        self.front.drain()
-        await self.front.finished(0)
-        self.front._sweep.cancel()
+        self.client_server.drain()
+        await self.client_server.finished(0)
+        self.client_server._sweep.cancel()
         await self.calls.finish(0)
 
 
@@ -98,7 +102,7 @@
             await edge.end()
 
     async def client(self, edge=0):
-        client = await RawClient.to(self.edges[edge].front.port)
+        client = await RawClient.to(self.edges[edge].client_server.port)
         self.clients.append(client)
         return client
 
--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -5,75 +5,90 @@
 
 from hypothesis import given, settings, strategies as some
 
-from knotwalk.admission.admission import FADE, FORGET, SHUN_LAST, Seen, come_back, worth_offering
-from knotwalk.admission.budget import Budget, Counter
-from knotwalk.admission.outcome import PROMISES, PROOFS, End, Move, Proof, judge, move
+from knotwalk.admission.admission import (
+    LOAD_DECAY_S,
+    MAX_AVOID_S,
+    USUAL_LOAD_DECAY_S,
+    NodeStats,
+    jittered_retry_after,
+    worth_offering,
+)
+from knotwalk.admission.budget import Budget, WindowCounter
+from knotwalk.admission.outcome import (
+    NEVER_RUN_STATUSES,
+    PROOFS,
+    NextStep,
+    Proof,
+    TryOutcome,
+    classify_answer,
+    next_step,
+)
 from knotwalk.configuration.objects import Route
 from knotwalk.discovery.view_types import Node
-from knotwalk.edge.choose import pick, seen, service_of
+from knotwalk.edge.choose import pick_node, service_of, stats_of
 
 
 class OutcomeCase(unittest.TestCase):
     def test_what_an_answer_proves(self):
         table = {
-            (200, False, True): End.ANSWERED,
-            (200, False, False): End.LOST,
-            (204, False, True): End.ANSWERED,
-            (200, True, True): End.LOST,  # a success that says it did not run belongs to nobody
-            (503, True, False): End.TURNED_AWAY,
-            (429, True, False): End.TURNED_AWAY,
-            (400, True, False): End.TURNED_AWAY,
-            (421, False, False): End.TURNED_AWAY,
-            (421, True, False): End.TURNED_AWAY,
-            (503, False, False): End.FAILED,
-            (429, False, False): End.FAILED,
-            (408, False, False): End.FAILED,
-            (500, False, False): End.FAILED,
-            (500, False, True): End.FAILED,
-            (502, False, False): End.FAILED,
-            (504, False, False): End.FAILED,
-            (404, False, False): End.ANSWERED,
-            (302, False, False): End.ANSWERED,
-            (501, False, False): End.ANSWERED,
+            (200, False, True): TryOutcome.ANSWERED,
+            (200, False, False): TryOutcome.LOST,
+            (204, False, True): TryOutcome.ANSWERED,
+            (200, True, True): TryOutcome.LOST,  # a success that says it did not run belongs to nobody
+            (503, True, False): TryOutcome.TURNED_AWAY,
+            (429, True, False): TryOutcome.TURNED_AWAY,
+            (400, True, False): TryOutcome.TURNED_AWAY,
+            (421, False, False): TryOutcome.TURNED_AWAY,
+            (421, True, False): TryOutcome.TURNED_AWAY,
+            (503, False, False): TryOutcome.FAILED,
+            (429, False, False): TryOutcome.FAILED,
+            (408, False, False): TryOutcome.FAILED,
+            (500, False, False): TryOutcome.FAILED,
+            (500, False, True): TryOutcome.FAILED,
+            (502, False, False): TryOutcome.FAILED,
+            (504, False, False): TryOutcome.FAILED,
+            (404, False, False): TryOutcome.ANSWERED,
+            (302, False, False): TryOutcome.ANSWERED,
+            (501, False, False): TryOutcome.ANSWERED,
         }
         for (status, not_executed, sealed), end in table.items():
             with self.subTest(status=status, not_executed=not_executed, sealed=sealed):
-                self.assertIs(judge(status, not_executed, sealed), end)
+                self.assertIs(classify_answer(status, not_executed, sealed), end)
 
     def test_what_follows(self):
         """Every case: no second run of what must not be repeated, no promise after it may have run."""
-        for end in End:
+        for end in TryOutcome:
             for idempotent in (False, True):
                 for before in (False, True):
                     for again in (False, True):
                         for status in (0, 200, 500, 503, 408):
-                            found = move(end, idempotent, before, again, status)
+                            found = next_step(end, idempotent, before, again, status)
                             may_have_run = before or PROOFS[end] is not Proof.NEVER_RAN
                             with self.subTest(end=end, idempotent=idempotent, before=before, again=again):
-                                if found is Move.AGAIN:
+                                if found is NextStep.RETRY:
                                     self.assertTrue(again)
                                     self.assertTrue(idempotent or not may_have_run)
-                                if found is Move.COME_BACK:
+                                if found is NextStep.REFUSE:
                                     self.assertFalse(may_have_run)
-                                if found is Move.PASS_ON:
-                                    self.assertIn(end, (End.ANSWERED, End.FAILED))
-                                    self.assertFalse(end is End.FAILED and status in PROMISES)
-                                if end is End.ANSWERED:
-                                    self.assertIs(found, Move.PASS_ON)
-                                if end is End.SILENT:
-                                    self.assertIs(found, Move.LATE)
-                                if end is End.LOST and not (idempotent and again):
-                                    self.assertIs(found, Move.UNKNOWN)
+                                if found is NextStep.PASS_ON:
+                                    self.assertIn(end, (TryOutcome.ANSWERED, TryOutcome.FAILED))
+                                    self.assertFalse(end is TryOutcome.FAILED and status in NEVER_RUN_STATUSES)
+                                if end is TryOutcome.ANSWERED:
+                                    self.assertIs(found, NextStep.PASS_ON)
+                                if end is TryOutcome.SILENT:
+                                    self.assertIs(found, NextStep.TIMED_OUT)
+                                if end is TryOutcome.LOST and not (idempotent and again):
+                                    self.assertIs(found, NextStep.UNKNOWN)
 
 
 class BudgetCase(unittest.TestCase):
     def test_a_new_life_has_no_slack(self):
-        budget = Budget(0.2, 10.0, 64, began=100.0)
+        budget = Budget(0.2, 10.0, 64, started_at=100.0)
         self.assertFalse(budget.take(109.0, 1))
         self.assertTrue(budget.take(111.0, 1))
 
     def test_what_did_not_arrive_is_given_back(self):
-        budget = Budget(0.0, 10.0, 10, began=-100.0)
+        budget = Budget(0.0, 10.0, 10, started_at=-100.0)
         for _ in range(50):
             self.assertTrue(budget.take(5.0, 1))
             budget.give_back(5.0)
@@ -82,13 +97,13 @@
     @settings(max_examples=60, deadline=None)
     @given(some.lists(some.tuples(some.floats(0, 40), some.integers(1, 20)), max_size=60), some.floats(0, 40))
     def test_counts_are_bounded_from_both_sides(self, events, at):
-        counter = Counter(10.0)
+        counter = WindowCounter(10.0)
         events = sorted(event for event in events if event[0] <= at)
         for now, count in events:
             counter.add(now, count)
         true = sum(count for now, count in events if at - 10.0 < now <= at)
-        self.assertLessEqual(counter.at_least(at), true)
-        self.assertGreaterEqual(counter.at_most(at), true)
+        self.assertLessEqual(counter.lower_bound(at), true)
+        self.assertGreaterEqual(counter.upper_bound(at), true)
 
     @settings(max_examples=25, deadline=None)
     @given(
@@ -135,35 +150,35 @@
 
 class AdmissionCase(unittest.TestCase):
     def test_load_told_is_others_only_and_fades(self):
-        known = Seen()
-        known.flying = 2
-        known.told(10.0, running=2, waiting=3, slots=2)
-        self.assertEqual(known.in_hand(10.0), 4)  # the answered request was among those told
-        self.assertEqual(known.in_hand(10.1 + FADE), 2)
+        stats = NodeStats()
+        stats.in_flight = 2
+        stats.record_load(10.0, running=2, waiting=3, slots=2)
+        self.assertEqual(stats.outstanding(10.0), 4)  # the answered request was among those told
+        self.assertEqual(stats.outstanding(10.1 + LOAD_DECAY_S), 2)
 
     def test_a_node_that_is_always_full_is_not_taken_for_an_idle_one(self):
         """An edge among many hears of a node once a second; by then its last word has faded, what it usually says has
         not."""
-        known = Seen()
+        stats = NodeStats()
         for second in range(6):
-            known.told(float(second), running=2, waiting=5, slots=2)
-        self.assertAlmostEqual(known.in_hand(5.0 + FADE), 0)
-        self.assertGreater(known.usually(5.0 + FADE), 2)
-        self.assertAlmostEqual(known.usually(5.0 + FORGET), 0)
-        known.told(6.0, running=1, waiting=0, slots=2)
-        self.assertEqual(known.usually(6.0), 0)  # the last word counts alone while it is fresh
+            stats.record_load(float(second), running=2, waiting=5, slots=2)
+        self.assertAlmostEqual(stats.outstanding(5.0 + LOAD_DECAY_S), 0)
+        self.assertGreater(stats.usual_outstanding(5.0 + LOAD_DECAY_S), 2)
+        self.assertAlmostEqual(stats.usual_outstanding(5.0 + USUAL_LOAD_DECAY_S), 0)
+        stats.record_load(6.0, running=1, waiting=0, slots=2)
+        self.assertEqual(stats.usual_outstanding(6.0), 0)  # the last word counts alone while it is fresh
 
     def test_the_lowest_rank_yields_where_it_would_be_late(self):
         """Four in hand at two slots: 0.3 s to an answer. The aim binds the lowest rank, higher ones the deadline."""
-        offered = [worth_offering(4, 2, False, 0.12, 1.0, rank, aim=0.15) for rank in range(4)]
+        offered = [worth_offering(4, 2, False, 0.12, 1.0, rank, target_latency=0.15) for rank in range(4)]
         self.assertEqual(offered, [True, True, False, False])
-        self.assertTrue(worth_offering(4, 2, False, 0.12, 1.0, 2, aim=0.3))
-        self.assertTrue(worth_offering(1, 2, False, 0.5, 1.0, 2, aim=0.15))  # a free slot is always worth it
+        self.assertTrue(worth_offering(4, 2, False, 0.12, 1.0, 2, target_latency=0.3))
+        self.assertTrue(worth_offering(1, 2, False, 0.5, 1.0, 2, target_latency=0.15))  # a free slot is always worth it
 
     def test_a_wrong_mean_is_put_right(self):
         """Whatever the mean of work says, a free slot is offered a request; else nothing would be learned again."""
-        self.assertTrue(worth_offering(0, 2, False, work=60.0, left=0.5, priority=3))
-        self.assertFalse(worth_offering(2, 2, False, work=60.0, left=0.5, priority=0))
+        self.assertTrue(worth_offering(0, 2, False, work=60.0, time_left=0.5, priority=3))
+        self.assertFalse(worth_offering(2, 2, False, work=60.0, time_left=0.5, priority=0))
 
     def test_lower_ranks_give_up_earlier(self):
         admitted = [worth_offering(9, 2, False, 0.1, 0.6, rank) for rank in range(4)]
@@ -173,21 +188,21 @@
         self.assertFalse(worth_offering(10, 2, False, 0.001, 10.0, 0))
 
     def test_trouble_grows_and_ends(self):
-        known = Seen()
-        known.trouble(0.0, reached=True)
-        self.assertEqual(known.shunned_until, 0.0)  # one lost answer tells little
+        stats = NodeStats()
+        stats.record_failure(0.0, reached=True)
+        self.assertEqual(stats.avoided_until, 0.0)  # one lost answer tells little
         now = spans = 0
         for _ in range(8):
-            known.trouble(now, reached=False)
-            spans = known.shunned_until - now
-            now = known.shunned_until
-        self.assertEqual(spans, SHUN_LAST)
-        known.well()
-        self.assertEqual(known.shunned_until, 0.0)
+            stats.record_failure(now, reached=False)
+            spans = stats.avoided_until - now
+            now = stats.avoided_until
+        self.assertEqual(spans, MAX_AVOID_S)
+        stats.record_success()
+        self.assertEqual(stats.avoided_until, 0.0)
 
     @given(some.floats(0, 100), some.floats(0, 1))
     def test_come_back_is_short(self, wait, jitter):
-        self.assertTrue(0.03 <= come_back(wait, jitter) <= 0.4)
+        self.assertTrue(0.03 <= jittered_retry_after(wait, jitter) <= 0.4)
 
 
 def nodes(*zones, capacity=2):
@@ -198,23 +213,25 @@
     luck = random.Random(7)
 
     def picks(self, found, skip=(), now=10.0, size=0):
-        return {node.id if node else None for node in (pick(found, now, "a", self.luck, skip, size) for _ in range(60))}
+        return {
+            node.id if node else None for node in (pick_node(found, now, "a", self.luck, skip, size) for _ in range(60))
+        }
 
     def test_near_unless_clearly_worse(self):
         found = nodes("a", "a", "b")
         self.assertEqual(self.picks(found), {"i-0", "i-1"})
         for node in found[:2]:
-            seen(node).flying, seen(node).silent_since = 3, 10.0
+            stats_of(node).in_flight, stats_of(node).silent_since = 3, 10.0
         self.assertEqual(self.picks(found), {"i-2"})
         self.assertEqual(self.picks(found, size=4096), {"i-0", "i-1"})  # bytes between zones are priced
         for node in found[:2]:
-            seen(node).flying = 5
+            stats_of(node).in_flight = 5
         self.assertEqual(self.picks(found, size=10**6), {"i-2"})
 
     def test_draining_never_shunned_last(self):
         found = nodes("a", "a", "a")
         found[0].draining = True
-        seen(found[1]).trouble(10.0, reached=False)
+        stats_of(found[1]).record_failure(10.0, reached=False)
         self.assertEqual(self.picks(found), {"i-2"})
         self.assertEqual(self.picks(found, skip={"i-2"}), {"i-1"})
         self.assertEqual(self.picks(found, skip={"i-1", "i-2"}), {None})
--- a/tests/system/test_admission_calls.py
+++ b/tests/system/test_admission_calls.py
@@ -11,12 +11,21 @@
 from hypothesis import given, strategies as st
 from standins.cores import Cores
 
-from knotwalk.admission.outcome import End, Move
+from knotwalk.admission.outcome import NextStep, TryOutcome
 from knotwalk.edge import operation_steps
 from knotwalk.edge.__main__ import Edge
 from knotwalk.edge.admission_calls import AdmissionCalls
 from knotwalk.edge.node_answer import Answer
-from knotwalk.edge.operation_steps import AT_ONCE, Patience, Step, UntoldEnds, repeated, run_end, step, stored
+from knotwalk.edge.operation_steps import (
+    FINAL_STEPS,
+    AdmissionDeadlines,
+    AdmissionStep,
+    PendingEnds,
+    admission_step,
+    repeated,
+    run_end,
+    stored,
+)
 from knotwalk.runtime.logs import clock
 from knotwalk.runtime.serve import Listener, app
 from knotwalk.runtime.settings import parse
@@ -40,39 +49,64 @@
 
 class StepTest(unittest.TestCase):
     def test_each_told_has_what_follows(self):
-        times = Patience(early=1.1, late=1.3, until=2.0)
+        times = AdmissionDeadlines(early=1.1, late=1.3, until=2.0)
         moments = (1.0, 1.2, 1.4, 2.0)
         waits = {
-            (Admission.IN_WORK, None): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
-            (Admission.IN_WORK, 1.0): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
-            (Admission.IN_WORK, 1.9): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
-            (Admission.UNAVAILABLE, 1.0): (Step.WAIT, Step.WAIT, Step.WAIT, Step.COME_BACK),  # an old word: no conflict
-            (Admission.UNAVAILABLE, 1.9): (Step.WAIT, Step.WAIT, Step.WAIT, Step.CONFLICT),
+            (Admission.IN_WORK, None): (
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.CONFLICT,
+            ),
+            (Admission.IN_WORK, 1.0): (
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.CONFLICT,
+            ),
+            (Admission.IN_WORK, 1.9): (
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.CONFLICT,
+            ),
+            (Admission.UNAVAILABLE, 1.0): (
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.REFUSE,
+            ),  # an old word: no conflict
+            (Admission.UNAVAILABLE, 1.9): (
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.WAIT,
+                AdmissionStep.CONFLICT,
+            ),
         }
-        hopeless = (Step.WAIT, Step.COME_BACK, Step.COME_BACK, Step.COME_BACK)
-        on_its_way = (Step.WAIT, Step.WAIT, Step.COME_BACK, Step.COME_BACK)
+        hopeless = (AdmissionStep.WAIT, AdmissionStep.REFUSE, AdmissionStep.REFUSE, AdmissionStep.REFUSE)
+        on_its_way = (AdmissionStep.WAIT, AdmissionStep.WAIT, AdmissionStep.REFUSE, AdmissionStep.REFUSE)
         for admission in Admission:
             for in_work_at in (None, 1.0, 1.9):
                 for wait in (0.0, 0.2):
                     with self.subTest(admission, in_work_at=in_work_at, wait=wait):
                         told = AdmissionTold(admission, wait)
-                        follows = tuple(step(told, in_work_at, now, times) for now in moments)
+                        follows = tuple(admission_step(told, in_work_at, now, times) for now in moments)
                         if (admission, in_work_at) == (Admission.UNAVAILABLE, None):
                             self.assertEqual(follows, hopeless if wait else on_its_way)
-                        elif admission in AT_ONCE:
-                            self.assertEqual(set(follows), {AT_ONCE[admission]})
+                        elif admission in FINAL_STEPS:
+                            self.assertEqual(set(follows), {FINAL_STEPS[admission]})
                         else:
                             self.assertEqual(follows, waits[admission, in_work_at])
 
     def test_only_what_surely_never_ran_is_given_back(self):
-        whole, streamed = Answer(End.ANSWERED), Answer(End.ANSWERED)
-        whole.status, whole.body, streamed.whole = 200, b"x", False
-        for move in Move:
+        whole, streamed = Answer(TryOutcome.ANSWERED), Answer(TryOutcome.ANSWERED)
+        whole.status, whole.body, streamed.is_complete = 200, b"x", False
+        for move in NextStep:
             for answer in (None, whole, streamed):
                 with self.subTest(move, answer=answer):
                     ended = run_end(move, answer)
-                    self.assertEqual(ended.ending is Ending.NEVER_RAN, move is Move.COME_BACK)
-                    self.assertEqual(ended.ending is Ending.ANSWERED, move is Move.PASS_ON and answer is whole)
+                    self.assertEqual(ended.ending is Ending.NEVER_RAN, move is NextStep.REFUSE)
+                    self.assertEqual(ended.ending is Ending.ANSWERED, move is NextStep.PASS_ON and answer is whole)
 
     def test_a_repeat_gets_the_answer_under_its_own_id(self):
         answer = repeated(KEPT, b"a2")
@@ -83,37 +117,37 @@
 
 class UntoldEndsTest(unittest.TestCase):
     def test_an_end_is_due_again_later_and_later_until_its_window_is_over(self):
-        ends, end, due = UntoldEnds(60.0), OperationEnd(OPERATION, "a1", Ending.ANSWERED, KEPT), []
+        ends, end, due = PendingEnds(60.0), OperationEnd(OPERATION, "a1", Ending.ANSWERED, KEPT), []
         ends.add(0.0, "core", end, 0.0)
         for now in range(0, 6100):
             if found := ends.due(now / 100):
                 due.append(now / 100)
-                ends.sent(now / 100, "core", [one.end for one in found])
+                ends.mark_sent(now / 100, "core", [one.end for one in found])
         self.assertEqual(due[:4], [0.0, 0.5, 1.5, 3.5])
         self.assertLess(due[-1], 60.0)
         self.assertEqual((len(ends.waiting), ends.size), (0, 0))
 
     def test_an_end_goes_with_a_call_that_is_made_anyway_or_by_itself_when_it_is_due(self):
-        ends, end = UntoldEnds(60.0), OperationEnd(OPERATION, "a1", Ending.ANSWERED, KEPT)
+        ends, end = PendingEnds(60.0), OperationEnd(OPERATION, "a1", Ending.ANSWERED, KEPT)
         ends.add(0.0, "core", end, 0.25)
         self.assertEqual((ends.due(0.1), ends.ready(0.1, "another")), ([], []))
         self.assertEqual([one.end for one in ends.ready(0.1, "core")], [end])
         self.assertEqual([one.end for one in ends.due(0.25)], [end])
-        ends.sent(0.1, "core", [end])
+        ends.mark_sent(0.1, "core", [end])
         self.assertEqual((ends.due(0.3), ends.ready(0.3, "core")), ([], []))  # it is on its way
         self.assertEqual([one.end for one in ends.due(0.6)], [end])
         ends.add(1.0, "core", end, 1.25)
-        ends.hurry()
+        ends.make_due()
         self.assertEqual([one.end for one in ends.due(1.0)], [end])
 
     @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 40), st.booleans())))
     def test_bytes_and_number_are_bounded(self, steps):
-        with mock.patch.multiple(operation_steps, MOST_ENDS=5, MOST_BYTES=90):
-            ends = UntoldEnds(60.0)
+        with mock.patch.multiple(operation_steps, MAX_ENDS=5, MAX_BYTES=90):
+            ends = PendingEnds(60.0)
             for number, size, done in steps:
                 end = OperationEnd(str(number), "a", Ending.ANSWERED, StoredAnswer(200, (), b"x" * size))
                 if done:
-                    ends.done("core", [end])
+                    ends.mark_accepted("core", [end])
                 else:
                     ends.add(0.0, "core", end, 0.0)
                 self.assertEqual(ends.size, sum(one.size for one in ends.waiting.values()))
@@ -193,17 +227,17 @@
     def test_asks_are_made_where_a_part_of_the_rules_wants_them(self):
         for contracts, asks in (((), False), (("base", "own"), False), (("keys",), True), (("quota",), True)):
             with self.subTest(contracts):
-                self.assertEqual(self.edge(*contracts).front.operations is not None, asks)
+                self.assertEqual(self.edge(*contracts).client_server.operations is not None, asks)
 
     def test_the_core_that_is_heard_is_asked_first_then_those_that_are_near_and_well(self):
         edge = self.edge("keys")
         self.assertEqual(edge.cores(), [])
         edge.view.cores = ["far", "failed", "near", "heard"]
-        edge.link.zones = {"far": "b", "failed": "a", "near": "a", "heard": "b"}
-        edge.link.left["failed"] = 0.0
-        edge.link.core = "heard"
+        edge.view_poller.zones = {"far": "b", "failed": "a", "near": "a", "heard": "b"}
+        edge.view_poller.failed_at["failed"] = 0.0
+        edge.view_poller.core = "heard"
         self.assertEqual(edge.cores(), ["heard", "near", "far", "failed"])
-        edge.link.core = None
+        edge.view_poller.core = None
         self.assertEqual(edge.cores()[0], "near")
 
     def test_two_lives_never_have_one_name(self):
@@ -281,7 +315,7 @@
     """Asks and ends between a real edge's caller and a real port."""
 
     async def asyncSetUp(self):
-        for bound in ("edge.admission_calls.PATIENCE", "control_plane.admissions.CLAIM_WAIT"):
+        for bound in ("edge.admission_calls.CALL_TIMEOUT_S", "control_plane.admissions.CLAIM_WAIT"):
             patched = mock.patch(f"knotwalk.{bound}", 60.0)  # a busy machine may stall a test for longer
             patched.start()
             self.addCleanup(patched.stop)
@@ -368,7 +402,10 @@
                 raise ConnectionRefusedError
 
             loop = asyncio.get_running_loop()
-            with mock.patch.object(loop, "create_connection", refused), mock.patch("knotwalk.edge.caller.IDLE", -1.0):
+            with (
+                mock.patch.object(loop, "create_connection", refused),
+                mock.patch("knotwalk.edge.caller.MAX_IDLE_S", -1.0),
+            ):
                 await self.calls.ask(AdmissionAsk("t", OPERATION, "a2"), clock() + 0.02)
             self.known = [f"127.0.0.1:{self.port}"]
             self.calls.failed.clear()
--- a/tests/system/test_allowances.py
+++ b/tests/system/test_allowances.py
@@ -7,7 +7,7 @@
 
 from knotwalk.configuration.objects import Configuration, Limits, Tenant
 from knotwalk.control_plane.allowances import OTHERS, TENANTS_NAMED, Allowances
-from knotwalk.edge.limits import REFUSE_FOR, REMEMBERED, Refusals, needs_ask
+from knotwalk.edge.limits import MAX_REMEMBERED_TENANTS, REFUSE_FOR_S, Refusals, needs_ask
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.logs import clock
 from knotwalk.runtime.settings import Settings, Tolerance
@@ -169,14 +169,14 @@
 
     def test_one_tenant_is_refused_for_a_moment_and_no_other(self):
         refusals = Refusals()
-        refusals.note(10.0, "a", 1.0)
-        self.assertAlmostEqual(refusals.refused(10.01, "a"), 0.99)
-        self.assertEqual(refusals.refused(10.01, "b"), 0.0)
-        self.assertEqual(refusals.refused(10.0 + REFUSE_FOR, "a"), 0.0)
-        self.assertEqual(refusals.unasked, 1)
+        refusals.record(10.0, "a", 1.0)
+        self.assertAlmostEqual(refusals.refused_for(10.01, "a"), 0.99)
+        self.assertEqual(refusals.refused_for(10.01, "b"), 0.0)
+        self.assertEqual(refusals.refused_for(10.0 + REFUSE_FOR_S, "a"), 0.0)
+        self.assertEqual(refusals.refused_without_ask, 1)
 
     def test_what_has_passed_is_forgotten(self):
         refusals = Refusals()
-        for k in range(3 * REMEMBERED):
-            refusals.note(float(k), f"t{k}", 1.0)
-        self.assertLessEqual(len(refusals.found), REMEMBERED)
+        for k in range(3 * MAX_REMEMBERED_TENANTS):
+            refusals.record(float(k), f"t{k}", 1.0)
+        self.assertLessEqual(len(refusals.by_tenant), MAX_REMEMBERED_TENANTS)
--- a/tests/system/test_caller.py
+++ b/tests/system/test_caller.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest import mock
 
-from knotwalk.edge.caller import Caller, Connection, Line
+from knotwalk.edge.caller import Caller, CallState, Connection
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.packing import pack
 
@@ -23,7 +23,9 @@
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.url = f"http://127.0.0.1:{self.server.sockets[0].getsockname()[1]}/cluster-view"
         self.caller = Caller()
-        patched = mock.patch("knotwalk.edge.caller.CONNECT", 60.0)  # a busy machine may stall a test for longer
+        patched = mock.patch(
+            "knotwalk.edge.caller.CONNECT_TIMEOUT_S", 60.0
+        )  # a busy machine may stall a test for longer
         patched.start()
         self.addCleanup(patched.stop)
 
@@ -86,7 +88,7 @@
             with self.subTest(bad[-20:]), self.assertRaises(PeerError):
                 await self.call((head % len(bad) + bad, False))
             self.assertEqual(await self.call((WELL, False)), {"a": 1})
-        with mock.patch("knotwalk.edge.caller.MOST", 5000), self.assertRaises(PeerError):
+        with mock.patch("knotwalk.edge.caller.MAX_ANSWER_BYTES", 5000), self.assertRaises(PeerError):
             await self.call((head % len(data) + data, False))
 
     async def test_what_is_no_answer_fails_the_call_and_ends_the_connection(self):
@@ -139,7 +141,7 @@
         for allowed in (0.02, 0.04):  # and not so soon again, should it be there after all
             with (
                 mock.patch.object(self.loop, "create_connection", dark),
-                mock.patch("knotwalk.edge.caller.CONNECT", 0.01),
+                mock.patch("knotwalk.edge.caller.CONNECT_TIMEOUT_S", 0.01),
                 self.assertRaises(PeerError) as met,
             ):
                 await self.call(patience=60)
@@ -157,11 +159,11 @@
             told.transport, caller = mock.Mock(), Caller()
             caller._connection = mock.AsyncMock(return_value=told)
             with (
-                mock.patch("knotwalk.edge.caller.WHOLE", whole),
+                mock.patch("knotwalk.edge.caller.MAX_ANSWER_S", whole),
                 mock.patch("asyncio.timeout", lambda seconds: limits.append(real(seconds)) or limits[-1]),
             ):
                 call = asyncio.ensure_future(caller.json("POST", "http://127.0.0.1:9/cluster view", {}, 60))
-                while told.line is not Line.WAITING:
+                while told.state is not CallState.WAITING:
                     await asyncio.sleep(0)
             first = limits[0].when()
             told.data_received(WELL[:20])
--- a/tests/system/test_client_leaves.py
+++ b/tests/system/test_client_leaves.py
@@ -10,11 +10,11 @@
 import time
 import unittest
 
-from standins.nodes import SHED, RawClient, StandIn, answer, front, routes, view
+from standins.nodes import SHED, RawClient, StandIn, answer, client_server, routes, view
 
 from knotwalk.discovery.view_types import Line
-from knotwalk.edge.client_connection import Hearing
-from knotwalk.edge.client_state import DEPTH
+from knotwalk.edge.client_connection import PeerEnd
+from knotwalk.edge.client_state import MAX_PIPELINED
 from tests.system.edge_case import EdgeCase
 
 LONG = 60.0  # seconds of deadline and route time: none of them ends work here
@@ -63,7 +63,7 @@
         nodes = [node.node(service, capacity=40) for service in ("s", "k") for node in self.nodes]
         for node in nodes:
             node.id = f"{node.id}-{node.service}"
-        self.front = await front(view(nodes, routes(timeout=LONG, aim=LONG)))
+        self.client_server = await client_server(view(nodes, routes(timeout=LONG, aim=LONG)))
 
     async def fill(self, client):
         """Send a body until it stays unread: sockets hold megabytes, how many differs from system to system."""
@@ -74,7 +74,7 @@
             if sent < BODY_MORE - PIECE and not client.writer.transport.get_write_buffer_size():
                 client.writer.write(bytes(PIECE))
                 sent += PIECE
-            return any("body" in c.holds for c in self.front.clients)
+            return any("body" in c.holds for c in self.client_server.clients)
 
         await until(unread, "the body stays unread")
 
@@ -84,7 +84,7 @@
     async def idle(self):
         """Nobody works and nothing is open any more."""
         await until(lambda: not self.working(), "nodes stop")
-        await until(lambda: not self.front.open and not self.front.clients, "the edge is rid of it")
+        await until(lambda: not self.client_server.open and not self.client_server.clients, "the edge is rid of it")
 
     # -- ways to go, at a request that is under way
 
@@ -105,9 +105,9 @@
         for leave in (RawClient.close, RawClient.reset):
             with self.subTest("pipeline", leave=leave.__name__):
                 client = await self.client()
-                for at in range(DEPTH):
+                for at in range(MAX_PIPELINED):
                     client.ask(id=f"p{at}", **HELD)
-                await until(lambda: len(self.working()) == DEPTH, "all at work")
+                await until(lambda: len(self.working()) == MAX_PIPELINED, "all at work")
                 leave(client)
                 await self.idle()
         await self.begin(Deaf)
@@ -117,7 +117,7 @@
                 client.ask("/i/", "b1", "POST", f"Content-Length: {BODY_MORE}\r\n", deadline=DEADLINE)
                 await self.fill(client)
                 leave(client)
-                await until(lambda: not self.front.open, "given up")
+                await until(lambda: not self.client_server.open, "given up")
 
     async def test_nothing_is_begun_or_goes_on_whenever_it_leaves(self):
         """Over seeds: pipelines of both kinds left at any turn of the loop, by either way, before nodes that hold, shed
@@ -161,19 +161,19 @@
     async def test_what_lay_unread_with_its_clients_end_behind_it_begins_nowhere(self):
         """An edge without a cluster view reads nothing: once it has one, who has left meanwhile is not served."""
         await self.begin()
-        configuration = self.front.view.configuration
+        configuration = self.client_server.view.configuration
         for leave in (RawClient.close, RawClient.reset):
             with self.subTest(leave=leave.__name__):
                 await self.warm(2)
-                self.front.view.configuration = None
+                self.client_server.view.configuration = None
                 client, other = await self.client(), await self.client()
                 client.ask("/i/", "left", **HELD)
                 other.ask("/i/", "stays", **HELD)
-                await until(lambda: len(self.front.clients) == 2, "both are connected")
+                await until(lambda: len(self.client_server.clients) == 2, "both are connected")
                 leave(client)
                 await until(lambda: len(self.heard_ends()) == 1, "its end has come")
-                self.front.view.configuration = configuration
-                for one in list(self.front.clients):
+                self.client_server.view.configuration = configuration
+                for one in list(self.client_server.clients):
                     one.begun()
                 await until(self.working, "at work")
                 self.assertEqual([r.attempt for r in self.nodes[0].seen[2:]], ["stays"])
@@ -196,22 +196,22 @@
 
     def heard_ends(self):
         """Clients whose end can be heard on their sockets, or has been."""
-        count = 2 - len(self.front.clients)
-        return [1] * count + [one for one in self.front.clients if one._hear() is not Hearing.NOTHING]
+        count = 2 - len(self.client_server.clients)
+        return [1] * count + [one for one in self.client_server.clients if one._probe_peer_end() is not PeerEnd.NONE]
 
     async def test_who_waits_for_a_node_is_offered_to_none_once_its_client_has_reset(self):
         await self.begin()
-        owners = self.front.view.shardings["k"]
+        owners = self.client_server.view.shardings["k"]
         for prefix in ("/ki/", "/kn/"):
             with self.subTest(prefix=prefix):
                 lines, owners.lines = owners.lines, [Line() for _ in owners.lines]
                 client = await self.client()
                 client.ask(prefix, "waits", "POST", **HELD)
-                await until(lambda: self.front.forwarder.waiting, "it waits for an owner")
+                await until(lambda: self.client_server.forwarder.waiting, "it waits for an owner")
                 client.reset()
                 await self.idle()
                 owners.lines = lines
-                self.front.view_changed({"lines"})
+                self.client_server.view_changed({"lines"})
                 for _ in range(20):
                     await asyncio.sleep(0)
                 self.assertEqual(self.nodes[0].seen, [])
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -24,7 +24,7 @@
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.loads import Loads, merge
 from knotwalk.discovery.view_types import Node
-from knotwalk.edge.link import FIRST_WAIT, WAIT, Link
+from knotwalk.edge.view_poller import FIRST_POLL_WAIT_S, POLL_WAIT_S, ViewPoller
 from knotwalk.leases.orders import UNSENT, Grant, Pace as LeasePace
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.packing import LEAST, unpack
@@ -285,13 +285,15 @@
         for seed in range(4):
             asked.clear()
             waits.clear()
-            link = Link("e", ClusterView(), Cores(), ADDRESSES, seed, "z", dict, lambda changed, edges: None)
+            view_poller = ViewPoller(
+                "e", ClusterView(), Cores(), ADDRESSES, seed, "z", dict, lambda changed, edges: None
+            )
             with self.assertRaises(asyncio.CancelledError), self.assertLogs(level="WARNING"):
-                await link.run()
+                await view_poller.run()
             self.assertEqual(asked[0], asked[1])
             self.assertNotEqual(asked[1], asked[2])
             self.assertEqual(
-                waits, [FIRST_WAIT, WAIT, FIRST_WAIT]
+                waits, [FIRST_POLL_WAIT_S, POLL_WAIT_S, FIRST_POLL_WAIT_S]
             )  # one that is not known to live is not waited for long
 
     async def test_a_core_that_never_gets_fresh_is_served_by_and_others_are_asked_all_the_while(self):
@@ -311,19 +313,21 @@
                     return told | {"provisional": {"config": {"order": 5}, "nodes": {}}}  # not understood
                 return told | {"provisional": json.loads(json.dumps(board.provisional(nodes, 0.0)))}
 
-        link = Link("e", ClusterView(), Cores(), ADDRESSES, 1, "z", dict, lambda changed, edges: heard.append(edges))
+        view_poller = ViewPoller(
+            "e", ClusterView(), Cores(), ADDRESSES, 1, "z", dict, lambda changed, edges: heard.append(edges)
+        )
         with (
             self.assertRaises(asyncio.CancelledError),
-            mock.patch("knotwalk.edge.link.PAUSE_MOST", 0.0),
+            mock.patch("knotwalk.edge.view_poller.MAX_RETRY_PAUSE_S", 0.0),
             self.assertLogs(level="WARNING") as logs,
         ):
-            await link.run()
+            await view_poller.run()
         self.assertEqual([bare for _, bare in asked], [True, True] + [False] * 7)
         self.assertEqual(
             ({url for url, _ in asked}, len(logs.output)), ({f"http://{at}/cluster-view" for at in ADDRESSES}, 1)
         )
-        self.assertEqual((heard, link.view.whole, link.view.config_order), ([0], True, 5))
-        self.assertTrue(link.view.provisional)
+        self.assertEqual((heard, view_poller.view.whole, view_poller.view.config_order), ([0], True, 5))
+        self.assertTrue(view_poller.view.provisional)
 
 
 class ProvisionalCase(unittest.IsolatedAsyncioTestCase):
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -22,8 +22,8 @@
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.loads import Loads
 from knotwalk.discovery.view_types import Node
-from knotwalk.edge import link
-from knotwalk.edge.link import Link
+from knotwalk.edge import view_poller
+from knotwalk.edge.view_poller import ViewPoller
 from knotwalk.leases.tenure import LEASE, PROOF
 from knotwalk.runtime.errors import PeerError
 from tests.standins.jumps import Loop, clock
@@ -237,9 +237,9 @@
 @contextmanager
 def jumping(*modules):
     with ExitStack() as stack:
-        for module in modules or (consensus_driver, control, list_poller, peer_api, link):
+        for module in modules or (consensus_driver, control, list_poller, peer_api, view_poller):
             stack.enter_context(mock.patch.object(module, "clock", clock))
-        for module in (consensus_driver, control, list_poller, peer_api, link):
+        for module in (consensus_driver, control, list_poller, peer_api, view_poller):
             for name in ("log_info", "log_warning"):
                 if hasattr(module, name):
                     stack.enter_context(mock.patch.object(module, name))
@@ -389,7 +389,9 @@
 
     def edge(self, world, seeds, seed=1):
         news = []
-        edge = Link("e", ClusterView(), world_caller(world), seeds, seed, "z", dict, lambda *told: news.append(told))
+        edge = ViewPoller(
+            "e", ClusterView(), world_caller(world), seeds, seed, "z", dict, lambda *told: news.append(told)
+        )
         return edge, news
 
     def test_no_core_calls_itself_fresh_for_longer_than_its_leader_was_proven_and_fresh_after(self):
