--- a/tests/system/test_edge.py
+++ b/tests/system/test_edge.py
@@ -13,7 +13,7 @@
 from standins.nodes import ELSEWHERE, SHED, answer, routes, show
 
 from knotwalk.discovery.view_types import WIDTH, Line
-from knotwalk.edge.choose import seen
+from knotwalk.edge.choose import stats_of
 from tests.system.edge_case import (
     BOTH,
     PATIENCE,
@@ -95,8 +95,8 @@
 
     async def test_no_further_try_without_budget(self):
         await self.begin()
-        self.front.forwarder.began = self.front.clock()
-        self.front.forwarder.budgets.clear()
+        self.client_server.forwarder.started_at = self.client_server.clock()
+        self.client_server.forwarder.budgets.clear()
         self.reset(None)
         self.assertEqual((await self.ask("/i/"))[0], 502)
         self.assertEqual(self.runs(), 1)
@@ -107,13 +107,13 @@
         self.nodes[0].server.close()
         for prefix, _ in BOTH * 3:
             for node in self.view.nodes.values():
-                seen(node).well()
+                stats_of(node).record_success()
             self.assertEqual((await self.ask(prefix))[0], 200)
         show(self.view, [self.view.nodes["i-0"]])
         status, headers, _ = await self.ask("/n/")
         self.assertEqual(status, 503)
         self.assertIn("retry-after", headers)
-        self.assertEqual(self.front.forwarder.budgets["s"].extras.total, 0)
+        self.assertEqual(self.client_server.forwarder.budgets["s"].retries.total, 0)
 
     async def test_silence_is_waited_out(self):
         """A silent node is given up at the deadline, not before; then it may have run."""
@@ -165,16 +165,16 @@
                 client.ask(prefix, "three")
                 self.assertEqual((await client.answer())[0], 200)
                 self.assertNotEqual(self.nodes[0].seen[2].connection, self.nodes[0].seen[0].connection)
-                self.front.drain()
-                await self.front.finished(0)
-                self.front._sweep.cancel()
+                self.client_server.drain()
+                await self.client_server.finished(0)
+                self.client_server._sweep.cancel()
 
     async def test_bytes_on_an_idle_connection_end_it(self):
         """Unread bytes are seen before reuse, even if the loop has not got to them."""
         await self.begin()
         self.nodes[0].script = [lambda r, w: answer(r, extra="Keep-Alive: timeout=9\r\n")] * 3
         await self.ask("/n/")
-        (connection,) = self.front.forwarder.pools["i-0"].idle
+        (connection,) = self.client_server.forwarder.pools["i-0"].idle
         self.assertTrue(connection.ready(True))
         self.nodes[0].writers[0].write(b"junk")
         select.select([connection.transport.get_extra_info("socket").fileno()], [], [], 5)
@@ -186,7 +186,7 @@
         """Not at all beyond the idle time told; for what must not be repeated, not beyond half of it."""
         await self.begin()
         now = [0.0]
-        self.front.forwarder.clock = lambda: now[0]
+        self.client_server.forwarder.clock = lambda: now[0]
         keep = [lambda r, w: answer(r, extra="Keep-Alive: timeout=9\r\n")] * 9
         self.nodes[0].script = keep
         used = []
@@ -236,11 +236,11 @@
         line.open = False
         client = await self.client()
         client.ask("/kn/", headers=self.key(5))
-        while not self.front.forwarder.waiting:
+        while not self.client_server.forwarder.waiting:
             await asyncio.sleep(0)
         other = self.view.nodes["i-1"]
         line.node, line.owner, line.open = other, other.id, True
-        self.front.view_changed({"lines"})
+        self.client_server.view_changed({"lines"})
         self.assertEqual((await client.answer())[0], 200)
         self.assertEqual(len(self.nodes[1].seen), 1)
 
@@ -249,7 +249,7 @@
         await self.begin(2, "k", table=routes(aim=0.1), now=held.now)
         self.view.shardings["k"].lines[0] = Line()
         asked = self.loop.create_task(self.ask("/kn/", headers=self.key(5)))
-        await wait_for(lambda: self.front.forwarder.waiting)
+        await wait_for(lambda: self.client_server.forwarder.waiting)
         held.moment += 0.1
         await wait_for(asked.done)
         status, headers, _ = await asked
@@ -262,11 +262,11 @@
         await self.begin(1, "k", table=routes(aim=0.4))
         waits = []
 
-        async def waited(x, among, until):
-            waits.append(until - x.begun)
+        async def waited(exchange, among, until):
+            waits.append(until - exchange.started_at)
             return False
 
-        self.front.forwarder._waited = waited
+        self.client_server.forwarder._wait_for_change = waited
         line = self.view.shardings["k"].line(0)
         line.open = False
         self.assertEqual((await self.ask("/kn/", headers=self.key(0)))[0], 503)
@@ -283,11 +283,11 @@
         line = self.view.shardings["k"].line(0)
         client = await self.client()
         client.ask("/kn/", headers=self.key(0))
-        while not self.front.forwarder.waiting:
+        while not self.client_server.forwarder.waiting:
             await asyncio.sleep(0)
         other = self.view.nodes["i-1"]
         line.node, line.owner = other, other.id
-        self.front.view_changed({"lines"})
+        self.client_server.view_changed({"lines"})
         self.assertEqual((await client.answer())[0], 200)
         self.assertEqual([len(node.seen) for node in self.nodes], [1, 1])
 
@@ -312,11 +312,11 @@
         await self.begin(1, "k", table=routes(aim=0.1), now=held.now)
         node = self.view.nodes["i-0"]
         node.draining = True
-        self.front.view_changed({"nodes"})
+        self.client_server.view_changed({"nodes"})
         self.assertEqual((await self.ask("/kn/", headers=self.key(0)))[0], 200)
-        seen(node).draining_since -= 2.0
+        stats_of(node).draining_since -= 2.0
         refused = self.loop.create_task(self.ask("/kn/", headers=self.key(0)))
-        await wait_for(lambda: self.front.forwarder.waiting)
+        await wait_for(lambda: self.client_server.forwarder.waiting)
         held.moment += 0.1
         self.assertEqual((await refused)[0], 503)
 
@@ -329,10 +329,10 @@
         client.ask("/kn/", headers=self.key(0), deadline=300)
         first = self.loop.create_task(client.answer())
         await wait_for(self.runs)
-        known = seen(self.view.nodes["i-0"])
-        known.silent_since -= 0.5
+        stats = stats_of(self.view.nodes["i-0"])
+        stats.silent_since -= 0.5
         second = self.loop.create_task(self.ask("/kn/", headers=self.key(0)))
-        await wait_for(lambda: self.front.forwarder.waiting)
+        await wait_for(lambda: self.client_server.forwarder.waiting)
         held.moment += 0.1
         await wait_for(second.done)
         self.assertEqual((await second)[0], 503)
@@ -347,12 +347,12 @@
         await self.begin(2, table=routes(aim=1.0), now=held.now)
         for node in self.view.nodes.values():
             node.draining = True
-        self.front.view_changed({"nodes"})
+        self.client_server.view_changed({"nodes"})
         self.assertEqual((await self.ask("/n/"))[0], 200)
         for node in self.view.nodes.values():
-            seen(node).draining_since -= 2.0
+            stats_of(node).draining_since -= 2.0
         refused = self.loop.create_task(self.ask("/n/"))
-        await wait_for(lambda: self.front.forwarder.waiting)
+        await wait_for(lambda: self.client_server.forwarder.waiting)
         held.moment += 1.0
         self.assertEqual((await refused)[0], 503)
 
@@ -361,7 +361,7 @@
         self.nodes[0].script = [lambda r, w: answer(r, extra="Keep-Alive: timeout=9\r\n")]
         await self.ask("/kn/", headers=self.key(0))
         del self.view.nodes["i-0"]
-        self.front.view_changed({"nodes"})
+        self.client_server.view_changed({"nodes"})
         await asyncio.wait_for(self.nodes[0].left.wait(), PATIENCE)
 
     async def test_report(self):
@@ -369,12 +369,12 @@
         self.nodes[0].load = "1,2,4"
         await self.ask("/kn/", headers=self.key(0))
         await self.ask("/kn/", headers=self.key(WIDTH + 2))
-        found = self.front.report(0.0)
+        found = self.client_server.report(0.0)
         self.assertEqual(found["demand"], {"k": {0: 1, 1: 1}})
         self.assertEqual(found["nodes"]["i-0"], [2, 1, 4])
         self.assertEqual(found["nodes"]["i-1"][:6], [0, 0, 4, 1, 0, 0])
         self.assertGreater(found["nodes"]["i-1"][6], 0.0)  # the answered one's seconds: all that it is judged by
-        self.assertEqual(self.front.report(0.0), {"demand": {}, "nodes": {}, "bad": {}})
+        self.assertEqual(self.client_server.report(0.0), {"demand": {}, "nodes": {}, "bad": {}})
 
     async def test_report_of_trouble(self):
         """Lost and failed tries, and refusals by a node that tells free slots, are bad; by a full one they are not."""
@@ -390,9 +390,9 @@
             ([shed[1]], None),
         ):
             self.reset(*script)
-            seen(self.view.nodes["i-0"]).__init__()
+            stats_of(self.view.nodes["i-0"]).__init__()
             await self.ask("/kn/", headers=self.key(0))
-            self.assertEqual(self.front.report(0.0)["bad"].get("i-0"), bad, script)
+            self.assertEqual(self.client_server.report(0.0)["bad"].get("i-0"), bad, script)
 
     async def test_tally(self):
         """How requests ended, by cause and rank; a dead owner is one that was not reached, also to who finds it so."""
@@ -401,9 +401,9 @@
         for _ in range(4):
             await self.ask("/kn/", headers=self.key(0))
         self.view.nodes["i-0"].address = ("127.0.0.1", 9)
-        self.front.forwarder.pools["i-0"].close()
+        self.client_server.forwarder.pools["i-0"].close()
         await self.ask("/kn/", headers=self.key(0))
-        found = self.front.forwarder.tally()
+        found = self.client_server.forwarder.take_counts()
         self.assertEqual(
             {cause: count for cause, count in found.items() if "rank" in cause},
             {
@@ -415,7 +415,7 @@
             },
         )
         self.assertEqual((found["sent"], found["not connected"]), (4, 1))
-        self.assertEqual(self.front.forwarder.tally(), {})
+        self.assertEqual(self.client_server.forwarder.take_counts(), {})
 
     async def test_the_lowest_rank_yields_at_a_node_that_is_usually_full(self):
         """Its last word has faded: a higher rank is offered to it, the lowest gives way, told by when there is room."""
@@ -423,15 +423,20 @@
         for rank, wanted in ((0, 200), (2, 503)):
             table = [dataclasses.replace(route, priority=rank) for route in routes(aim=0.1)]
             await self.begin(1, "k", capacity=2, table=table, now=held.now)
-            known = seen(self.view.nodes["i-0"])
-            known.others, known.usual, known.others_at, known.work = 9.0, 9.0, self.front.clock() - 0.7, 0.1
+            stats = stats_of(self.view.nodes["i-0"])
+            stats.others_load, stats.usual_others_load, stats.others_load_at, stats.mean_work_s = (
+                9.0,
+                9.0,
+                self.client_server.clock() - 0.7,
+                0.1,
+            )
             asked = asyncio.ensure_future(self.ask("/ki/", headers=self.key(0)))
             while not asked.done():  # time moves by what is done, not by how fast the machine does it
                 await turns()
                 held.moment += 0.001
             self.assertEqual((await asked)[0], wanted)
-            self.front.drain()
-            await self.front.finished(0)
+            self.client_server.drain()
+            await self.client_server.finished(0)
 
     async def test_full_by_what_is_known(self):
         """An owner that told a long queue is not offered more than can be done in time."""
--- a/tests/system/test_edge_ends.py
+++ b/tests/system/test_edge_ends.py
@@ -46,15 +46,15 @@
         client = await self.held("/i/")
         client.reset()
         await asyncio.wait_for(self.nodes[0].left.wait(), PATIENCE)
-        while self.front.open:
+        while self.client_server.open:
             await asyncio.sleep(0)
         client = await self.held("/n/")
         client.reset()
-        while self.front.clients:
+        while self.client_server.clients:
             await asyncio.sleep(0)
-        self.assertEqual((self.front.open, self.nodes[0].gone), (1, [0]))
+        self.assertEqual((self.client_server.open, self.nodes[0].gone), (1, [0]))
         self.go.set()
-        while self.front.open:
+        while self.client_server.open:
             await asyncio.sleep(0)
         self.assertEqual((await self.ask("/n/"))[0], 200)
         self.assertEqual([r.connection for r in self.nodes[0].seen], [0, 1, 1])
@@ -63,14 +63,14 @@
         """The system says so as our side is ended, ahead of the loop: the connection is over, and nothing fails."""
         await self.begin()
         await self.held("/n/")
-        (client,) = self.front.clients
+        (client,) = self.client_server.clients
         client.transport.write_eof = mock.Mock(side_effect=OSError(107, "not connected"))
-        self.front.draining = True  # so that the answer is the connection's last
+        self.client_server.draining = True  # so that the answer is the connection's last
         with self.assertNoLogs(level="ERROR"):
             self.go.set()
-            while self.front.clients:
+            while self.client_server.clients:
                 await asyncio.sleep(0)
-        self.assertEqual((self.front.open, client.transport.write_eof.called), (0, True))
+        self.assertEqual((self.client_server.open, client.transport.write_eof.called), (0, True))
 
     async def test_the_client_ends_its_side(self):
         """What it sent whole is still answered."""
@@ -90,9 +90,9 @@
         idle.ask("/i/", "zero")
         await idle.answer()
         client = await self.held("/n/", b"abc")
-        port = self.front.port
-        self.front.drain()
-        ending = asyncio.ensure_future(self.front.finished(self.front.clock() + PATIENCE))
+        port = self.client_server.port
+        self.client_server.drain()
+        ending = asyncio.ensure_future(self.client_server.finished(self.client_server.clock() + PATIENCE))
         with self.assertRaises(OSError):
             await RawClient.to(port)
         idle.ask("/i/", "late")
@@ -104,18 +104,20 @@
         self.assertEqual((status, headers["connection"]), (200, "close"))
         await asyncio.wait_for(ending, PATIENCE)
         self.assertEqual(await client.rest(), b"")
-        self.assertEqual(self.front.open, 0)
+        self.assertEqual(self.client_server.open, 0)
 
     async def test_a_drain_takes_in_who_waits_to_be_accepted(self):
         """Its handshake is the system's work: a busy edge that closed its gate reset such clients, asked or not."""
         await self.begin(table=routes(timeout=PATIENCE))
-        made = [socket.create_connection(("127.0.0.1", self.front.port)) for _ in range(3)]  # the loop has no turn
+        made = [
+            socket.create_connection(("127.0.0.1", self.client_server.port)) for _ in range(3)
+        ]  # the loop has no turn
         clients = []
         try:
             for at, one in enumerate(made):
                 one.sendall(b"GET /n/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: w%d\r\nDeadline-Ms: 60000\r\n\r\n" % at)
-            self.front.drain()
-            ending = asyncio.ensure_future(self.front.finished(self.front.clock() + PATIENCE))
+            self.client_server.drain()
+            ending = asyncio.ensure_future(self.client_server.finished(self.client_server.clock() + PATIENCE))
             clients += [RawClient(*await asyncio.open_connection(sock=one)) for one in made]
             for at, client in enumerate(clients):
                 status, headers, _ = await asyncio.wait_for(client.answer(), PATIENCE)
@@ -129,8 +131,8 @@
         held = Held(self.loop)
         await self.begin(now=held.now)
         client = await self.held("/n/")
-        self.front.drain()
-        ending = asyncio.ensure_future(self.front.finished(held.moment + 0.05))
+        self.client_server.drain()
+        ending = asyncio.ensure_future(self.client_server.finished(held.moment + 0.05))
         await turns()
         self.assertFalse(ending.done())
         held.moment += 0.051
@@ -140,23 +142,23 @@
 
     async def test_a_client_of_an_edge_that_starts_is_read_once_there_is_a_picture(self):
         await self.begin()
-        table, self.view.configuration, self.front.started = self.view.configuration, None, False
+        table, self.view.configuration, self.client_server.started = self.view.configuration, None, False
         client = await self.client()
         client.ask("/i/")
-        await wait_for(lambda: any(c.holds for c in self.front.clients))
+        await wait_for(lambda: any(c.holds for c in self.client_server.clients))
         self.assertEqual(self.runs(), 0)
         self.view.configuration = table
-        self.front.view_changed({"config"})
+        self.client_server.view_changed({"config"})
         self.assertEqual((await asyncio.wait_for(client.answer(), PATIENCE))[0], 200)
 
     async def test_a_client_of_an_edge_without_a_picture_is_let_go_unread(self):
         """Closed with the request unread: it may be sent elsewhere, whatever its kind."""
         await self.begin()
-        self.view.configuration, self.front.started = None, False
+        self.view.configuration, self.client_server.started = None, False
         client = await self.client()
         client.ask("/i/")
-        await wait_for(lambda: any(c.holds for c in self.front.clients))
-        for held in list(self.front.clients):
+        await wait_for(lambda: any(c.holds for c in self.client_server.clients))
+        for held in list(self.client_server.clients):
             held._give_up()
         with self.assertRaises((ConnectionResetError, asyncio.IncompleteReadError)):
             await asyncio.wait_for(client.answer(), PATIENCE)
@@ -180,7 +182,7 @@
     async def test_no_room(self):
         """Beyond the descriptors, connections end before anything is read of them."""
         await self.begin()
-        self.front.connection_budget = ConnectionBudget(1, 1, 9)
+        self.client_server.connection_budget = ConnectionBudget(1, 1, 9)
         (first,), gate = await self.crowd(1, 1)
         await wait_for(lambda: self.runs() == 1)
         second = await self.client()
@@ -197,21 +199,24 @@
         """A crowd on a machine of a dozen descriptors: none of the clients' answers is lost, and idle connections give
         way. Before, accepting failed a thousand times a second, and what was accepted found no descriptor to a node."""
         await self.begin(nodes=2)
-        self.front.connection_budget, self.front.forwarder.connection_slots.most = ConnectionBudget(4, 2, 2), 2
+        self.client_server.connection_budget, self.client_server.forwarder.connection_slots.most = (
+            ConnectionBudget(4, 2, 2),
+            2,
+        )
         clients, gate = await self.crowd(4, 2)
-        await wait_for(lambda: self.runs() == 2 and len(self.front.forwarder.connection_slots.waiting) == 2)
+        await wait_for(lambda: self.runs() == 2 and len(self.client_server.forwarder.connection_slots.waiting) == 2)
         gate.set()  # two wait for a descriptor, not for a node: they go on as soon as one is free
         heads = [(await asyncio.wait_for(client.answer(), PATIENCE))[:2] for client in clients]
         self.assertEqual([status for status, _ in heads], [200] * 4)
         self.assertIn("close", [heads.get("connection") for _, heads in heads])  # past a part of them none is kept
-        self.assertLessEqual(self.front.forwarder.connection_slots.open, 2)
+        self.assertLessEqual(self.client_server.forwarder.connection_slots.open, 2)
         for _ in range(12):
             self.assertEqual((await self.ask())[0], 200)
         self.assertEqual(
-            self.front.forwarder.connection_slots.open,
-            sum(len(pool.all) for pool in self.front.forwarder.pools.values()),
+            self.client_server.forwarder.connection_slots.open,
+            sum(len(pool.all) for pool in self.client_server.forwarder.pools.values()),
         )
-        self.assertLessEqual(len(self.front.clients), 4)
+        self.assertLessEqual(len(self.client_server.clients), 4)
 
     async def test_no_descriptor_whatever_is_counted(self):
         """A node can't be called for want of a descriptor: the request has not run, and is told so."""
--- a/tests/system/test_edge_passing.py
+++ b/tests/system/test_edge_passing.py
@@ -9,9 +9,9 @@
 import unittest
 
 from standins.jumps import Held
-from standins.nodes import ELSEWHERE, SHED, answer, front, view
+from standins.nodes import ELSEWHERE, SHED, answer, client_server, view
 
-from knotwalk.edge.choose import seen
+from knotwalk.edge.choose import stats_of
 from tests.system.edge_case import (
     BOTH,
     CUT,
@@ -136,7 +136,7 @@
             for _ in range(50):
                 await asyncio.sleep(0)
         self.assertLess(sent, 25_000_000)  # buffers of the kernel, mostly
-        held = [c.transport.get_write_buffer_size() for c in self.front.clients]
+        held = [c.transport.get_write_buffer_size() for c in self.client_server.clients]
         self.assertLess(max(held), 600_000)
         client.reader._limit = 1 << 22
         await client.reader.readuntil(b"\r\n\r\n")
@@ -254,7 +254,7 @@
             await self.mishaps(random.Random(seed))
 
     async def mishaps(self, luck):
-        self.front = await front(view([node.node(capacity=50) for node in self.nodes]), now=self.now)
+        self.client_server = await client_server(view([node.node(capacity=50) for node in self.nodes]), now=self.now)
         ran = []  # ids, in the order in which nodes began on them
         for node in self.nodes:
             node.seen.clear()
@@ -304,14 +304,14 @@
             self.assertIn(status, (200, 500, 502, 503))
             self.assertLessEqual(sum(r.attempt == id for node in self.nodes for r in node.seen), 2)
         self.assertGreater(sum(status == 200 for status, _ in found.values()), 40)
-        self.assertEqual(self.front.open, 0)
-        self.assertEqual({seen(node).flying for node in self.front.view.nodes.values()}, {0})
+        self.assertEqual(self.client_server.open, 0)
+        self.assertEqual({stats_of(node).in_flight for node in self.client_server.view.nodes.values()}, {0})
         for node in self.nodes:
             for r in node.seen:
                 self.assertEqual(r.line.split(" ")[1].rpartition("/")[2], r.attempt)
-        self.front.drain()
-        await self.front.finished(0)
-        self.front._sweep.cancel()
+        self.client_server.drain()
+        await self.client_server.finished(0)
+        self.client_server._sweep.cancel()
 
 
 if __name__ == "__main__":
--- a/tests/system/test_edge_reading.py
+++ b/tests/system/test_edge_reading.py
@@ -71,7 +71,7 @@
             client.ask(f"/i/{at}", f"id{at}")
         for at in range(500):
             self.assertEqual((await asyncio.wait_for(client.answer(), PATIENCE))[1]["attempt-id"], f"id{at}")
-        (pool,) = self.front.forwarder.pools.values()
+        (pool,) = self.client_server.forwarder.pools.values()
         self.assertLessEqual(len(pool.all), 16)
 
     async def test_smuggling(self):
@@ -182,19 +182,19 @@
 
     async def test_slow_heads_bodies_and_idlers_end(self):
         await self.begin(limits=Limits(header_timeout=3.0, idle_timeout=15.0))
-        now = [self.front.clock()]
-        self.front.clock = lambda: now[0]
+        now = [self.client_server.clock()]
+        self.client_server.clock = lambda: now[0]
         idle, head, body = [await self.client() for _ in range(3)]
         head.writer.write(b"GET /i/ HTTP/1.1\r\nHo")
         body.ask("/n/", method="POST", headers="Content-Length: 9\r\n")
-        while sum(c.head_since is not None or c.reading is not None for c in self.front.clients) < 2:
+        while sum(c.head_since is not None or c.reading is not None for c in self.client_server.clients) < 2:
             await asyncio.sleep(0)
         now[0] += 4.0
-        for client in list(self.front.clients):
+        for client in list(self.client_server.clients):
             client.look(now[0])
         self.assertEqual((await head.answer())[0], 408)
         now[0] += 12.0
-        for client in list(self.front.clients):
+        for client in list(self.client_server.clients):
             client.look(now[0])
         self.assertEqual(await idle.rest(), b"")
         self.assertEqual((await body.answer())[0], 408)
--- a/tests/system/test_edge_tenants.py
+++ b/tests/system/test_edge_tenants.py
@@ -10,8 +10,8 @@
 from knotwalk.configuration.objects import Configuration, Limits, Service, Tenant
 from knotwalk.configuration.tenants import TenantKeys
 from knotwalk.edge.connection_pool import Pool
-from knotwalk.edge.link import Link
-from knotwalk.edge.ready import Readiness
+from knotwalk.edge.readiness import Readiness
+from knotwalk.edge.view_poller import ViewPoller
 from tests.system.edge_case import EdgeCase, turns, wait_for
 
 BOUNDS = {"global_revocation": True, "revoke_timeout": "5s"}
@@ -36,12 +36,12 @@
 
     async def begin(self, nodes=1, tenants=TENANTS, bounds=BOUNDS, proven=True, **raw):
         self.held = Held(self.loop)
-        front = await super().begin(nodes, table=table(), now=self.held.now, timing_bounds=bounds, **raw)
+        client_server = await super().begin(nodes, table=table(), now=self.held.now, timing_bounds=bounds, **raw)
         self.give(tenants)
         if proven:
-            front.forwarder.freshness.proven(self.held.now(), 0.0)
-        front.started = front.serves
-        return front
+            client_server.forwarder.freshness.renew(self.held.now(), 0.0)
+        client_server.started = client_server.serves
+        return client_server
 
     def give(self, tenants):
         """A configuration with these tenants is in force at the edge."""
@@ -126,8 +126,10 @@
 
     async def test_what_is_noted_of_a_request(self):
         begun = []
-        front = await self.begin()
-        with mock.patch.object(front, "carry", lambda exchange: (begun.append(exchange), exchange.own(503, "", 0.1))):
+        client_server = await self.begin()
+        with mock.patch.object(
+            client_server, "carry", lambda exchange: (begun.append(exchange), exchange.respond(503, "", 0.1))
+        ):
             for path, headers in (
                 ("/i/", token("k1")),
                 ("/i/", token("k3")),
@@ -141,15 +143,20 @@
             found, [("first", 3, ""), ("second", 1, ""), ("", 1, ""), ("second", 1, "k-1"), ("second", 1, "")]
         )
         self.assertIn(b"Operation-Key: k-1\r\n", begun[3].head)
-        self.assertTrue(all(not one.repeatable for one in begun[3:]))
+        self.assertTrue(all(not one.is_repeatable for one in begun[3:]))
         self.assertEqual(await self.status("/o/", token("k3") + "Operation-Key: a\r\nOperation-Key: b\r\n"), 400)
 
     async def test_no_key_is_logged_or_counted(self):
-        front = await self.begin()
+        client_server = await self.begin()
         for path, headers in (("/i/", token("SECRET-1")), ("/p/", token("SECRET-1")), ("/i/", token("k1"))):
             await self.asked(path, headers)
         text = repr(
-            (front.counts, front.report(self.held.now()), self.view.configuration, self.view.tenant_keys.tenants)
+            (
+                client_server.counts,
+                client_server.report(self.held.now()),
+                self.view.configuration,
+                self.view.tenant_keys.tenants,
+            )
         )
         for key in ("SECRET-1", "k1", "k3"):
             self.assertNotIn(key, text)
@@ -160,7 +167,7 @@
 
     async def test_past_its_lease_no_request_that_needs_a_key_is_taken_and_clients_go_elsewhere(self):
         """Past `config_apply` no request is refused for a key that a newer configuration may hold."""
-        front = await self.begin()
+        client_server = await self.begin()
         for moved, refuses, held in (
             (1.9, True, True),
             (0.1, False, True),
@@ -184,7 +191,7 @@
                         self.assertLess(float(told["retry-after"]), 0.3)
             self.assertEqual(await self.status("/p/"), 200)
             self.assertEqual(await self.status("/x/"), 404)
-        front.forwarder.freshness.proven(self.held.now() - 1.0, -0.5)
+        client_server.forwarder.freshness.renew(self.held.now() - 1.0, -0.5)
         self.assertEqual(await self.status(headers=token("k1")), 200)
 
     async def test_a_key_revoked_while_the_edge_is_cut_off_ends_here_in_time(self):
@@ -202,26 +209,26 @@
         self.held.moment += 5.0
         self.assertEqual(await self.status(headers=token("new")), 503)
         self.give(TENANTS | {"third": Tenant("third", ("new",))})
-        self.front.forwarder.freshness.proven(self.held.now(), 0.0)
+        self.client_server.forwarder.freshness.renew(self.held.now(), 0.0)
         self.assertEqual(await self.status(headers=token("new")), 200)
 
     async def test_a_key_is_refused_up_to_config_apply_only(self):
         for bounds, length in ((BOUNDS, 2.0), (LOOSE, 2.0), (BOUNDS | {"config_apply": "1s"}, 1.0)):
-            front = await self.begin(bounds=bounds)
+            client_server = await self.begin(bounds=bounds)
             self.held.moment += length - 0.1
             self.assertEqual(await self.status(headers=token("new")), 401)
             self.held.moment += 0.1
             self.assertEqual(await self.status(headers=token("new")), 503)
-            front.drain()
-            await front.finished(0)
+            client_server.drain()
+            await client_server.finished(0)
 
     async def test_a_configuration_of_a_core_that_only_just_started_judges_no_key(self):
         await self.begin(proven=False)
         asked = [self.loop.create_task(self.status(headers=headers)) for headers in (token("k1"), token("k4"), "")]
         await turns()
         self.assertEqual((self.runs(), [one.done() for one in asked]), (0, [False] * 3))  # unread, so sent elsewhere
-        self.front.forwarder.freshness.proven(self.held.now(), 0.0)
-        self.front.view_changed({"config"})
+        self.client_server.forwarder.freshness.renew(self.held.now(), 0.0)
+        self.client_server.view_changed({"config"})
         self.assertEqual([await one for one in asked], [200, 401, 401])
 
     async def test_where_revocation_does_not_bind_machines_out_of_touch_only_refusals_need_the_lease(self):
@@ -243,12 +250,12 @@
         await self.begin(0)
         tries = [self.asked(path, token("k1"), deadline=9000) for path in ("/i/", "/n/", "/o/")]
         asked = [self.loop.create_task(one) for one in tries]
-        await wait_for(lambda: len(self.front.forwarder.waiting) == 3)
+        await wait_for(lambda: len(self.client_server.forwarder.waiting) == 3)
         self.held.moment += 4.8
         node = self.nodes[0].node()
         self.view.nodes[node.id] = node
         self.view.by_service["s"] = [node]
-        self.front.view_changed({"nodes"})
+        self.client_server.view_changed({"nodes"})
         for one in asked:
             await wait_for(one.done)
             self.assertEqual((await one)[0], 503)
@@ -282,15 +289,15 @@
     """What the platform is told."""
 
     async def test_an_edge_that_can_not_judge_keys_is_not_ready_until_a_fresh_core_answers(self):
-        front = await self.begin()
-        readiness = Readiness(front)
+        client_server = await self.begin()
+        readiness = Readiness(client_server)
         self.assertFalse(readiness.at(self.held.now()))
         with self.assertLogs(level="INFO") as logs:
             readiness.begin(self.held.now())
             for moved, wanted in ((0.0, True), (4.6, True), (0.2, False), (3.0, False)):
                 self.held.moment += moved
                 self.assertEqual(readiness.at(self.held.now()), wanted)
-            front.forwarder.freshness.proven(self.held.now(), 0.0)
+            client_server.forwarder.freshness.renew(self.held.now(), 0.0)
             self.assertTrue(readiness.at(self.held.now()))
             readiness.end()
             self.assertFalse(readiness.at(self.held.now()))
@@ -299,28 +306,30 @@
     async def test_without_tenants_or_where_revocation_does_not_bind_it_stays_ready(self):
         for tenants, bounds in (({}, BOUNDS), (TENANTS, LOOSE)):
             await self.begin(tenants=tenants, bounds=bounds, proven=False)
-            readiness = Readiness(self.front)
+            readiness = Readiness(self.client_server)
             readiness.begin(self.held.now())
             self.held.moment += 100.0
             self.assertTrue(readiness.at(self.held.now()))
-            self.front.drain()
+            self.client_server.drain()
 
     async def test_an_edge_that_took_its_first_answer_past_its_lease_serves_from_the_next(self):
-        front = await self.begin(proven=False)
+        client_server = await self.begin(proven=False)
         stood = [5.0, 0.0]  # seconds between a call and its answer
 
         async def json(*_):
             self.held.moment += stood.pop(0)
             return {"fresh": True, "zone": "z", "edges": 1, "proven": -0.1}
 
-        told = mock.Mock(side_effect=lambda changed, _: front.view_changed(changed))
-        link = Link("e", self.view, mock.Mock(json=json), [], 1, "z", dict, told, front.forwarder.freshness)
-        with mock.patch("knotwalk.edge.link.clock", self.held.now):
-            self.assertTrue(await link.turn("core"))
-            self.assertFalse(front.started)
+        told = mock.Mock(side_effect=lambda changed, _: client_server.view_changed(changed))
+        view_poller = ViewPoller(
+            "e", self.view, mock.Mock(json=json), [], 1, "z", dict, told, client_server.forwarder.freshness
+        )
+        with mock.patch("knotwalk.edge.view_poller.clock", self.held.now):
+            self.assertTrue(await view_poller.poll("core"))
+            self.assertFalse(client_server.started)
             asked = self.loop.create_task(self.status(headers=token("k1")))
             await turns()
             self.assertFalse(asked.done())
-            self.assertTrue(await link.turn("core"))
-        self.assertTrue(front.started)
+            self.assertTrue(await view_poller.poll("core"))
+        self.assertTrue(client_server.started)
         self.assertEqual((await asked, told.call_count), (200, 2))
--- a/tests/system/test_freshness.py
+++ b/tests/system/test_freshness.py
@@ -6,8 +6,8 @@
 
 from knotwalk.discovery.cluster_view import ClusterView
 from knotwalk.discovery.view_types import FRESH
-from knotwalk.edge.freshness import CALLS, MARGIN, REFUSAL_MARGIN, Freshness
-from knotwalk.edge.link import WAIT, Link
+from knotwalk.edge.freshness import CALLS_PER_LEASE, LEASE_MARGIN_S, REFUSAL_MARGIN_S, Freshness
+from knotwalk.edge.view_poller import POLL_WAIT_S, ViewPoller
 from knotwalk.leases.tenure import PROOF
 from tests.standins.jumps import clock
 from tests.system.test_control_plane import ADDRESSES
@@ -20,28 +20,30 @@
 class LeaseCase(unittest.TestCase):
     def test_it_runs_from_the_core_s_proof_and_never_back(self):
         lease = Freshness(REVOKE, True)
-        self.assertFalse(lease.holds(-1e9))
-        lease.proven(100.0, -0.5)
-        end = 99.5 + REVOKE - MARGIN
-        self.assertEqual((lease.holds(end - 0.001), lease.holds(end)), (True, False))
-        lease.proven(99.0, 0.1)
-        self.assertTrue(lease.holds(end - 0.001))
-        lease.proven(101.0, 0.9)
-        self.assertTrue(lease.holds(end + 2.0))
+        self.assertFalse(lease.is_valid(-1e9))
+        lease.renew(100.0, -0.5)
+        end = 99.5 + REVOKE - LEASE_MARGIN_S
+        self.assertEqual((lease.is_valid(end - 0.001), lease.is_valid(end)), (True, False))
+        lease.renew(99.0, 0.1)
+        self.assertTrue(lease.is_valid(end - 0.001))
+        lease.renew(101.0, 0.9)
+        self.assertTrue(lease.is_valid(end + 2.0))
 
     def test_a_core_that_does_not_tell_may_be_as_far_behind_as_a_fresh_one_can_be(self):
         lease = Freshness(REVOKE, True)
-        lease.proven(100.0, None)
+        lease.renew(100.0, None)
         self.assertEqual(lease.proven_at, 100.0 - FRESH - PROOF)
 
     def test_where_it_binds_nobody_out_of_touch_keys_are_accepted_past_it(self):
         lease = Freshness(REVOKE, False)
-        self.assertEqual((lease.accepts(0.0), lease.holds(0.0), lease.wait(WAIT)), (True, False, WAIT))
-        self.assertFalse(Freshness(REVOKE, True).accepts(0.0))
+        self.assertEqual(
+            (lease.can_accept(0.0), lease.is_valid(0.0), lease.poll_wait(POLL_WAIT_S)), (True, False, POLL_WAIT_S)
+        )
+        self.assertFalse(Freshness(REVOKE, True).can_accept(0.0))
 
     def test_calls_wait_for_a_part_of_a_short_lease_only(self):
-        self.assertEqual(Freshness(REVOKE, True).wait(WAIT), WAIT)
-        self.assertEqual(Freshness(1.3, True).wait(WAIT), 1.0 / CALLS)
+        self.assertEqual(Freshness(REVOKE, True).poll_wait(POLL_WAIT_S), POLL_WAIT_S)
+        self.assertEqual(Freshness(1.3, True).poll_wait(POLL_WAIT_S), 1.0 / CALLS_PER_LEASE)
         self.assertEqual(Freshness(0.1, True).length, 0.0)
 
 
@@ -56,9 +58,9 @@
         self.looks: list[tuple[float, bool, int]] = []  # when, whether the lease held, the version in force here
         self.ages: list[float] = []  # seconds since the configuration here was proven the newest, at each look
         seeds = list(ADDRESSES)
-        self.link = Link("e", self.view, self, seeds, 1, "z", dict, lambda *told: None, self.lease)
+        self.view_poller = ViewPoller("e", self.view, self, seeds, 1, "z", dict, lambda *told: None, self.lease)
         loop = asyncio.get_running_loop()
-        self.works = [loop.create_task(self.link.run()), loop.create_task(self.watch())]
+        self.works = [loop.create_task(self.view_poller.run()), loop.create_task(self.watch())]
 
     async def json(self, *given):
         """A call of the link; while the edge stands still its answer waits."""
@@ -71,7 +73,7 @@
         while True:
             await self.running.wait()
             version = self.view.configuration.version if self.view.configuration else 0
-            self.looks.append((clock(), self.lease.holds(clock()), version))
+            self.looks.append((clock(), self.lease.is_valid(clock()), version))
             if self.lease.proven_at > -1e9:
                 self.ages.append(clock() - self.lease.proven_at)
             await asyncio.sleep(LOOK)
@@ -90,7 +92,7 @@
 
         async def story(world):
             edge = Edge(world, revoke)
-            await world.until(lambda: edge.lease.holds(clock()))
+            await world.until(lambda: edge.lease.is_valid(clock()))
             await asyncio.sleep(3)
             found["begun"] = clock()
             over = trouble(world, edge)
@@ -123,7 +125,7 @@
         found = self.through(trouble)
         self.check(found)
         held = [at for at, held, _ in found["looks"] if held and found["begun"] <= at < found["over"]]
-        self.assertGreater(max(held) - found["begun"], REVOKE - MARGIN - WAIT - FRESH - PROOF)
+        self.assertGreater(max(held) - found["begun"], REVOKE - LEASE_MARGIN_S - POLL_WAIT_S - FRESH - PROOF)
         self.assertFalse(all(held for _, held, _ in found["looks"]))
 
     def test_an_edge_whose_core_is_cut_off_or_frozen_hears_another_before_its_lease_ends(self):
@@ -134,7 +136,7 @@
                     def trouble(world, edge, shape=shape, role=role):
                         leader = world.leader()
                         core = leader if role == "leader" else next(c for c in world.cores.values() if c is not leader)
-                        edge.link.core = core.at
+                        edge.view_poller.core = core.at
                         if shape == "frozen":
                             core.freeze()
                             return core.thaw
@@ -166,7 +168,7 @@
     def test_in_calm_keys_can_be_refused_at_all_times(self):
         found = self.through(lambda world, edge: lambda: None, lasts=30.0)
         self.assertGreater(len(found["ages"]), 1000)
-        self.assertLess(max(found["ages"]), CONFIG_APPLY - REFUSAL_MARGIN)
+        self.assertLess(max(found["ages"]), CONFIG_APPLY - REFUSAL_MARGIN_S)
 
     def test_a_proof_that_is_told_too_late_is_found(self):
         """The check itself: an edge that counts from an answer, and a little more."""
@@ -178,7 +180,7 @@
         def from_the_answer(self, asked_at, after):
             self.proven_at = max(self.proven_at, clock() + 2.0)
 
-        with mock.patch.object(Freshness, "proven", from_the_answer), self.assertRaises(AssertionError):
+        with mock.patch.object(Freshness, "renew", from_the_answer), self.assertRaises(AssertionError):
             self.check(self.through(trouble))
 
 
--- a/tests/system/test_operations.py
+++ b/tests/system/test_operations.py
@@ -81,7 +81,7 @@
 
     async def test_without_the_contract_a_keyed_request_is_one_that_must_not_be_repeated(self):
         await self.begin(contracts=("base",))
-        self.edges[0].front.operations.needs_ask = lambda configuration, tenant: False
+        self.edges[0].client_server.operations.needs_ask = lambda configuration, tenant: False
         self.nodes[0].script = [None]
         self.assertEqual((await self.ask("a1"))[0], 502)
         self.assertEqual((await self.ask("a2"))[0], 200)
@@ -265,15 +265,15 @@
         await self.begin()
         self.nodes[0].script = [lambda request, writer: answer(request, extra="Keep-Alive: timeout=60\r\n")]
         self.assertEqual((await self.ask("a0", key="another"))[0], 200)  # its connection is kept: nothing to wait for
-        forwarder = self.edges[0].front.forwarder
-        chosen = forwarder._node
+        forwarder = self.edges[0].client_server.forwarder
+        chosen = forwarder._select_node
 
         async def frozen(exchange, *rest):
             node = await chosen(exchange, *rest)
-            exchange.until = forwarder.clock() - 1  # the deadline passed while the process stood still
+            exchange.deadline = forwarder.clock() - 1  # the deadline passed while the process stood still
             return node
 
-        with mock.patch.object(forwarder, "_node", frozen):
+        with mock.patch.object(forwarder, "_select_node", frozen):
             self.assertEqual((await self.ask("a1"))[0], 503)
         await self.told()
         self.assertEqual(self.runs(), 1)
@@ -282,7 +282,7 @@
 
     async def test_a_claim_is_not_used_long_after_it_was_asked_for(self):
         await self.begin()
-        with mock.patch("knotwalk.edge.operations.SEND_WITHIN", -1.0):
+        with mock.patch("knotwalk.edge.operations.SEND_WITHIN_S", -1.0):
             self.assertEqual((await self.ask("a1"))[0], 503)
         await self.told()
         self.assertEqual((await self.ask("a2", 1))[0], 200)
@@ -317,7 +317,7 @@
         first.reset()
         await asyncio.sleep(0.05)
         go.set()
-        await wait_for(lambda: not self.edges[0].front.open)
+        await wait_for(lambda: not self.edges[0].client_server.open)
         await self.told()
         self.assertEqual((await self.ask("a2", 1))[0], 502)
         self.assertEqual(self.runs(), 1)
@@ -331,7 +331,7 @@
         await wait_for(lambda: self.cores[1].calls > 1)
         second.reset()
         began = self.loop.time()
-        await wait_for(lambda: not self.edges[1].front.open)
+        await wait_for(lambda: not self.edges[1].client_server.open)
         self.assertLess(self.loop.time() - began, 1.0)
         go.set()
 
@@ -341,7 +341,7 @@
         first = await self.send("a1")
         await wait_for(lambda: self.edges[0].calls.idle == [self.cores])
         first.reset()
-        await wait_for(lambda: not self.edges[0].front.open)
+        await wait_for(lambda: not self.edges[0].client_server.open)
         self.cores[0].pause = 0.0
         await self.told()
         self.assertEqual(self.runs(), 0)
@@ -421,6 +421,6 @@
 
     async def test_a_tenant_that_is_refused_is_not_asked_for(self):
         await self.begin()
-        with mock.patch.object(self.edges[0].refusals, "refused", lambda now, tenant: 0.3):
+        with mock.patch.object(self.edges[0].refusals, "refused_for", lambda now, tenant: 0.3):
             status, headers, _ = await self.ask("a1")
         self.assertEqual((status, headers["retry-after"], self.cores[0].calls), (429, "0.300", 0))
--- a/tests/system/test_outliers.py
+++ b/tests/system/test_outliers.py
@@ -8,7 +8,7 @@
 from knotwalk.discovery.loads import SPAN, Loads
 from knotwalk.discovery.outliers import AGAIN, PART, REST, REST_LAST, OutlierDetection
 from knotwalk.discovery.view_types import Node
-from knotwalk.edge.choose import pick
+from knotwalk.edge.choose import pick_node
 from tests.system.test_placement import Fleet
 
 
@@ -127,8 +127,8 @@
     def test_no_request_of_an_undivided_service_goes_there_while_there_are_others(self):
         nodes = [Node(f"n{n}", "s", ("10.0.0.1", n), "z", 2, ailing=n != 2) for n in range(4)]
         luck = random.Random(1)
-        self.assertEqual({pick(nodes, 0.0, "z", luck).id for _ in range(50)}, {"n2"})
-        self.assertEqual({pick(nodes[:2], 0.0, "z", luck).id for _ in range(50)}, {"n0", "n1"})
+        self.assertEqual({pick_node(nodes, 0.0, "z", luck).id for _ in range(50)}, {"n2"})
+        self.assertEqual({pick_node(nodes[:2], 0.0, "z", luck).id for _ in range(50)}, {"n0", "n1"})
 
     def test_edges_go_by_the_core_that_they_heard_last(self):
         first, second, view = Board("one"), Board("two"), ClusterView()
--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -13,7 +13,7 @@
 import aiohttp
 from standins import mishaps
 from standins.mishaps import HEAD_READ, MISHAPS, POINTS, POISED, READ, Peer
-from standins.nodes import RawClient, front, routes, view
+from standins.nodes import RawClient, client_server, routes, view
 
 from knotwalk.admission import outcome
 from knotwalk.cli.offer import NoAnswer, Operator
@@ -44,12 +44,14 @@
 
     async def open(self, peer):
         # A node of another name than the last test's: what an edge learns of a node stays with the node.
-        self.front = await front(view([Node("i-1", "s", peer.address, "a", 4)], routes(DEADLINE, DEADLINE)))
+        self.client_server = await client_server(
+            view([Node("i-1", "s", peer.address, "a", 4)], routes(DEADLINE, DEADLINE))
+        )
 
     async def call(self, number, patience=LONG):
-        for node in self.front.view.nodes.values():
+        for node in self.client_server.view.nodes.values():
             node.seen = None  # whatever was learnt must not keep the next call from being sent
-        client = await RawClient.to(self.front.port)
+        client = await RawClient.to(self.client_server.port)
         try:
             client.ask(self.path, f"id{number}", deadline=int(min(patience, DEADLINE) * 1000))
             status, headers, body = await asyncio.wait_for(client.answer(), LONG)
@@ -60,11 +62,11 @@
         if status == 200:
             assert headers["attempt-id"] == f"id{number}", headers
             return number_in(body)
-        return "promised" if status in outcome.PROMISES else FAILED
+        return "promised" if status in outcome.NEVER_RUN_STATUSES else FAILED
 
     async def close(self):
-        self.front.drain()
-        await self.front.finished(0)
+        self.client_server.drain()
+        await self.client_server.finished(0)
 
 
 class EdgeToNodeRepeatable(EdgeToNode):
@@ -155,7 +157,7 @@
 class ReuseCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
-        for target in ("knotwalk.edge.caller.CONNECT", "knotwalk.edge.node_try.CONNECT"):
+        for target in ("knotwalk.edge.caller.CONNECT_TIMEOUT_S", "knotwalk.edge.node_try.CONNECT_TIMEOUT_S"):
             patched = mock.patch(target, LONG)  # a busy machine may stall a test for longer
             patched.start()
             self.addCleanup(patched.stop)
@@ -312,7 +314,7 @@
                 writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        made = await front(view([Node("i-1", "s", server.sockets[0].getsockname()[:2], "a", 4)]))
+        made = await client_server(view([Node("i-1", "s", server.sockets[0].getsockname()[:2], "a", 4)]))
         for number in range(3):
             client = await RawClient.to(made.port)
             client.ask("/n/", f"id{number}")
@@ -336,7 +338,7 @@
         with mock.patch.object(runtime_call, "spoilt", lambda protocol: not protocol.is_connected()):  # as aiohttp does
             self.assertTrue(await self.idle(Grant, mishaps.extra, 50))
             self.assertTrue(await self.idle(List, mishaps.extra, 0))
-        with mock.patch.object(edge_caller.Connection, "fit", lambda self: self.line is edge_caller.Line.IDLE):
+        with mock.patch.object(edge_caller.Connection, "fit", lambda self: self.state is edge_caller.CallState.IDLE):
             with mock.patch.object(edge_caller.Connection, "on_headers_complete", lambda self: None):
                 self.assertTrue(await self.idle(EdgeToCore, mishaps.extra, 0))
 
@@ -358,7 +360,7 @@
 
     async def test_what_may_not_be_repeated_sent_twice(self):
         """A reset after a byte left counts as proof that nothing ran; a library that sends again by itself."""
-        proofs = {**outcome.PROOFS, outcome.End.LOST: outcome.Proof.NEVER_RAN}
+        proofs = {**outcome.PROOFS, outcome.TryOutcome.LOST: outcome.Proof.NEVER_RAN}
         with mock.patch.object(outcome, "PROOFS", proofs), mock.patch.object(forwarder, "PROOFS", proofs):
             self.assertTrue(await self.found((EdgeToNode,), (mishaps.reset,), (READ,)))
         session = runtime_call.session
