--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -25,7 +25,7 @@
 from knotwalk.discovery.loads import LoadReports, merge_report
 from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.discovery.view_types import Node
-from knotwalk.edge.link import FIRST_WAIT, WAIT, Link
+from knotwalk.edge.view_poller import FIRST_POLL_WAIT_S, POLL_WAIT_S, ViewPoller
 from knotwalk.leases.actions import UNSENT, Grant, GrantTiming
 from knotwalk.runtime.compression import MIN_COMPRESSED_BYTES, decompress
 from knotwalk.runtime.errors import PeerError
@@ -289,13 +289,15 @@
         for seed in range(4):
             asked.clear()
             waits.clear()
-            link = Link("e", ClusterView(), Cores(), ADDRESSES, seed, "z", dict, lambda changed, edges: None)
+            view_poller = ViewPoller(
+                "e", ClusterView(), Cores(), ADDRESSES, seed, "z", dict, lambda changed, edges: None
+            )
             with self.assertRaises(asyncio.CancelledError), self.assertLogs(level="WARNING"):
-                await link.run()
+                await view_poller.run()
             self.assertEqual(asked[0], asked[1])
             self.assertNotEqual(asked[1], asked[2])
             self.assertEqual(
-                waits, [FIRST_WAIT, WAIT, FIRST_WAIT]
+                waits, [FIRST_POLL_WAIT_S, POLL_WAIT_S, FIRST_POLL_WAIT_S]
             )  # a core that has not answered yet gets a short wait
 
     async def test_an_edge_uses_a_provisional_view_while_it_keeps_asking_other_cores(self):
@@ -315,19 +317,21 @@
                     return answer | {"provisional": {"config": {"order": 5}, "nodes": {}}}  # malformed
                 return answer | {"provisional": json.loads(json.dumps(board.provisional_view(nodes, 0.0)))}
 
-        link = Link("e", ClusterView(), Cores(), ADDRESSES, 1, "z", dict, lambda changed, edges: heard.append(edges))
+        view_poller = ViewPoller(
+            "e", ClusterView(), Cores(), ADDRESSES, 1, "z", dict, lambda changed, edges: heard.append(edges)
+        )
         with (
             self.assertRaises(asyncio.CancelledError),
-            mock.patch("knotwalk.edge.link.PAUSE_MOST", 0.0),
+            mock.patch("knotwalk.edge.view_poller.MAX_RETRY_PAUSE_S", 0.0),
             self.assertLogs(level="WARNING") as logs,
         ):
-            await link.run()
+            await view_poller.run()
         self.assertEqual([bare for _, bare in asked], [True, True] + [False] * 7)
         self.assertEqual(
             ({url for url, _ in asked}, len(logs.output)), ({f"http://{at}/cluster-view" for at in ADDRESSES}, 1)
         )
-        self.assertEqual((heard, link.view.is_complete, link.view.config_order), ([0], True, 5))
-        self.assertTrue(link.view.provisional)
+        self.assertEqual((heard, view_poller.view.is_complete, view_poller.view.config_order), ([0], True, 5))
+        self.assertTrue(view_poller.view.provisional)
 
 
 class ProvisionalCase(unittest.IsolatedAsyncioTestCase):
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -23,8 +23,8 @@
 from knotwalk.discovery.loads import LoadReports
 from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.discovery.view_types import Node
-from knotwalk.edge import link
-from knotwalk.edge.link import Link
+from knotwalk.edge import view_poller
+from knotwalk.edge.view_poller import ViewPoller
 from knotwalk.leases.conductor_leases import LEADERSHIP_PROOF_S, LEASE_S
 from knotwalk.runtime.errors import PeerError
 from tests.standins.jumps import Loop, clock
@@ -247,9 +247,9 @@
 @contextmanager
 def virtual_time(*modules):
     with ExitStack() as stack:
-        for module in modules or (consensus_driver, control, list_poller, peer_api, link):
+        for module in modules or (consensus_driver, control, list_poller, peer_api, view_poller):
             stack.enter_context(mock.patch.object(module, "clock", clock))
-        for module in (consensus_driver, control, list_poller, peer_api, link):
+        for module in (consensus_driver, control, list_poller, peer_api, view_poller):
             for name in ("log_info", "log_warning"):
                 if hasattr(module, name):
                     stack.enter_context(mock.patch.object(module, name))
@@ -400,7 +400,7 @@
 
     def edge(self, world, seeds, seed=1):
         updates = []
-        edge = Link(
+        edge = ViewPoller(
             "e", ClusterView(), world_caller(world), seeds, seed, "z", dict, lambda *update: updates.append(update)
         )
         return edge, updates
--- a/tests/system/test_operations.py
+++ b/tests/system/test_operations.py
@@ -82,7 +82,7 @@
 
     async def test_without_the_contract_a_keyed_request_is_treated_as_not_idempotent(self):
         await self.begin(contracts=("base",))
-        self.edges[0].front.operations.needs_ask = lambda configuration, tenant: False
+        self.edges[0].client_server.operations.needs_ask = lambda configuration, tenant: False
         self.nodes[0].script = [None]
         self.assertEqual((await self.ask("a1"))[0], 502)
         self.assertEqual((await self.ask("a2"))[0], 200)
@@ -271,15 +271,15 @@
         self.assertEqual(
             (await self.ask("a0", key="another"))[0], 200
         )  # its connection is kept open, so the next request needn't wait for one
-        forwarder = self.edges[0].front.forwarder
-        chosen = forwarder._node
+        forwarder = self.edges[0].client_server.forwarder
+        chosen = forwarder._select_node
 
         async def frozen(exchange, *rest):
             node = await chosen(exchange, *rest)
-            exchange.until = forwarder.clock() - 1  # as if the deadline had passed while the process was paused
+            exchange.deadline = forwarder.clock() - 1  # as if the deadline had passed while the process was paused
             return node
 
-        with mock.patch.object(forwarder, "_node", frozen):
+        with mock.patch.object(forwarder, "_select_node", frozen):
             self.assertEqual((await self.ask("a1"))[0], 503)
         await self.reported()
         self.assertEqual(self.runs(), 1)
@@ -288,7 +288,7 @@
 
     async def test_a_claim_is_not_used_long_after_its_request(self):
         await self.begin()
-        with mock.patch("knotwalk.edge.operations.SEND_WITHIN", -1.0):
+        with mock.patch("knotwalk.edge.operations.SEND_WITHIN_S", -1.0):
             self.assertEqual((await self.ask("a1"))[0], 503)
         await self.reported()
         self.assertEqual((await self.ask("a2", 1))[0], 200)
@@ -323,7 +323,7 @@
         first.reset()
         await asyncio.sleep(0.05)
         go.set()
-        await wait_for(lambda: not self.edges[0].front.open)
+        await wait_for(lambda: not self.edges[0].client_server.open)
         await self.reported()
         self.assertEqual((await self.ask("a2", 1))[0], 502)
         self.assertEqual(self.runs(), 1)
@@ -337,7 +337,7 @@
         await wait_for(lambda: self.cores[1].calls > 1)
         second.reset()
         began = self.loop.time()
-        await wait_for(lambda: not self.edges[1].front.open)
+        await wait_for(lambda: not self.edges[1].client_server.open)
         self.assertLess(self.loop.time() - began, 1.0)
         go.set()
 
@@ -347,7 +347,7 @@
         first = await self.send("a1")
         await wait_for(lambda: self.edges[0].calls.idle == [self.cores])
         first.reset()
-        await wait_for(lambda: not self.edges[0].front.open)
+        await wait_for(lambda: not self.edges[0].client_server.open)
         self.cores[0].pause = 0.0
         await self.reported()
         self.assertEqual(self.runs(), 0)
@@ -427,6 +427,6 @@
 
     async def test_a_locally_refused_tenant_causes_no_admission_request(self):
         await self.begin()
-        with mock.patch.object(self.edges[0].refusals, "refused", lambda now, tenant: 0.3):
+        with mock.patch.object(self.edges[0].refusals, "refused_for", lambda now, tenant: 0.3):
             status, headers, _ = await self.ask("a1")
         self.assertEqual((status, headers["retry-after"], self.cores[0].calls), (429, "0.300", 0))
--- a/tests/system/test_outliers.py
+++ b/tests/system/test_outliers.py
@@ -14,7 +14,7 @@
 )
 from knotwalk.discovery.view_publisher import ViewPublisher
 from knotwalk.discovery.view_types import Node
-from knotwalk.edge.choose import pick
+from knotwalk.edge.choose import pick_node
 from tests.system.test_placement import Fleet
 
 
@@ -137,8 +137,8 @@
     def test_an_outlier_gets_no_request_of_an_unsharded_service_while_there_are_others(self):
         nodes = [Node(f"n{n}", "s", ("10.0.0.1", n), "z", 2, is_outlier=n != 2) for n in range(4)]
         chance = random.Random(1)
-        self.assertEqual({pick(nodes, 0.0, "z", chance).id for _ in range(50)}, {"n2"})
-        self.assertEqual({pick(nodes[:2], 0.0, "z", chance).id for _ in range(50)}, {"n0", "n1"})
+        self.assertEqual({pick_node(nodes, 0.0, "z", chance).id for _ in range(50)}, {"n2"})
+        self.assertEqual({pick_node(nodes[:2], 0.0, "z", chance).id for _ in range(50)}, {"n0", "n1"})
 
     def test_an_edge_uses_the_outliers_of_the_core_that_it_heard_last(self):
         first, second, view = ViewPublisher("one"), ViewPublisher("two"), ClusterView()
