--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -126,7 +126,9 @@
         """Lease slices of `before` to `to`, if by now `before` certainly may not act and `to` may; returns whether it
         was done."""
         now = clock()
-        may_not_act = not before or not conductor_leases.is_alive(now, before) and conductor_leases.has_ended(now, before)
+        may_not_act = (
+            not before or not conductor_leases.is_alive(now, before) and conductor_leases.has_ended(now, before)
+        )
         if not self.is_current(conductor_leases) or not may_not_act or not conductor_leases.is_alive(now, to):
             return False
         return await self.propose_lease(service, before, to, runs)
--- a/knotwalk/control_plane/metrics.py
+++ b/knotwalk/control_plane/metrics.py
@@ -23,7 +23,9 @@
 
 def slices(plane: ControlPlane) -> Metric:
     """The slices that this core leases, by state."""
-    counts = Counter((tenure.service, tenure.state.value) for tenure in plane.conductor.grant_manager.slice_leases.values())
+    counts = Counter(
+        (tenure.service, tenure.state.value) for tenure in plane.conductor.grant_manager.slice_leases.values()
+    )
     samples: dict[tuple[str, ...], float] = {
         (service, state.value): counts[service, state.value]
         for service in plane.consensus.state.ledger.slices
@@ -126,7 +128,9 @@
     yield gauge("knotwalk_core_configuration_version", "the configuration in force, 0 for none", state.version)
     yield gauge("knotwalk_core_disk_refuses", "1 while a write hangs or was refused", plane.consensus.disk_failing)
     yield gauge(
-        "knotwalk_core_lease_seconds", "left of this core's lease of its slices", manager.grant_manager.lease_until - now
+        "knotwalk_core_lease_seconds",
+        "left of this core's lease of its slices",
+        manager.grant_manager.lease_until - now,
     )
     yield gauge("knotwalk_core_edges", "edges heard of in the last ten seconds", plane.loads.edge_count(now))
     yield slices(plane)
--- a/knotwalk/edge/__main__.py
+++ b/knotwalk/edge/__main__.py
@@ -89,7 +89,9 @@
     async def run(self) -> None:
         """Serve until the end is asked for, then finish what was read."""
         self.ending.install()
-        readiness_server = await readiness.listen(*self.settings.listen_address("readiness"), lambda: self.readiness.at(clock()))
+        readiness_server = await readiness.listen(
+            *self.settings.listen_address("readiness"), lambda: self.readiness.at(clock())
+        )
         await self.client_server.start()
         serving_metrics = asyncio.get_running_loop().create_task(self.serve_metrics())
         polling = asyncio.get_running_loop().create_task(self.view_poller.run())
--- a/knotwalk/edge/operations.py
+++ b/knotwalk/edge/operations.py
@@ -167,7 +167,9 @@
             self.calls.end(cores, ask.operation, ask.attempt, ended.ending, ended.answer)
             running.ended.set_result(ended)
 
-    def _settle(self, exchange: Exchange, ask: AdmissionRequest, follows: AdmissionStep, told: AdmissionResponse) -> None:
+    def _settle(
+        self, exchange: Exchange, ask: AdmissionRequest, follows: AdmissionStep, told: AdmissionResponse
+    ) -> None:
         """Answer a request that does not run."""
         forwarder = self.forwarder
         if follows is AdmissionStep.LIMITED:
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -585,7 +585,9 @@
                 ):
                     poller.on_leadership(True)
                     conductor_leases = poller.conductor_leases
-                    conductor_leases.since -= 10 * LEASE_S  # the leases of all conductors that were not heard have expired
+                    conductor_leases.since -= (
+                        10 * LEASE_S
+                    )  # the leases of all conductors that were not heard have expired
                     conductor_leases.renew(clock(), a)
                     happens = {
                         "nothing": lambda: None,
--- a/tests/system/test_freshness.py
+++ b/tests/system/test_freshness.py
@@ -128,7 +128,8 @@
         self.check(found)
         held = [at for at, held, _ in found["looks"] if held and found["begun"] <= at < found["over"]]
         self.assertGreater(
-            max(held) - found["begun"], REVOKE - LEASE_MARGIN_S - POLL_WAIT_S - MAX_LEADER_SILENCE_S - LEADERSHIP_PROOF_S
+            max(held) - found["begun"],
+            REVOKE - LEASE_MARGIN_S - POLL_WAIT_S - MAX_LEADER_SILENCE_S - LEADERSHIP_PROOF_S,
         )
         self.assertFalse(all(held for _, held, _ in found["looks"]))
 
