--- a/knotwalk/discovery/view_publisher.py
+++ b/knotwalk/discovery/view_publisher.py
@@ -40,9 +40,8 @@
         self.nodes: dict[str, Node] = {}
         self.nodes_order = (-1, -1)
         self.kept_lists: dict[tuple[int, int], int] = {}  # revision by order of the most recent node lists
-        self.node_revisions: dict[
-            str, int
-        ] = {}  # revision of a node's last change, also of removed nodes back to the oldest kept list
+        # Revision of a node's last change; of removed nodes too, back to the oldest kept list.
+        self.node_revisions: dict[str, int] = {}
         self.assignments: dict[str, list[tuple[str, bool]]] = {}
         self.assignments_order = -1
         self.assignment_orders: dict[str, list[int]] = {}  # order of the last known change of each slice
