--- a/knotwalk/net/collectors.py
+++ b/knotwalk/net/collectors.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Mapping, Set
 
-from knotwalk.net.ending import Ending
+from knotwalk.net.close_reason import Ending
 from knotwalk.net.log import Log
 from knotwalk.net.loop import Link, Loop, Unreadable
 from knotwalk.net.resp import Resp, packed
--- a/knotwalk/net/discovery.py
+++ b/knotwalk/net/discovery.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 
 from knotwalk.net import http
-from knotwalk.net.ending import Ending, Role, outcome
+from knotwalk.net.close_reason import Ending, Role, outcome
 from knotwalk.net.log import Log
 from knotwalk.net.loop import AGAIN_FIRST, Kept, Link, Loop, Timer, Unreadable
 from knotwalk.wire_values import SERVER_STATES, error_text, parse_amount
--- a/knotwalk/net/loop.py
+++ b/knotwalk/net/loop.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from knotwalk.net.ending import Ending
+from knotwalk.net.close_reason import Ending
 from knotwalk.net.ring import Ring
 
 IN_MOST = 1 << 14  # bytes read at once: machines take all they are fed, so the ring never holds more
--- a/knotwalk/net/relay.py
+++ b/knotwalk/net/relay.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 
 from knotwalk.net import http
-from knotwalk.net.ending import Ending, Outcome, Role, outcome
+from knotwalk.net.close_reason import Ending, Outcome, Role, outcome
 from knotwalk.net.log import Log
 from knotwalk.net.loop import AGAIN_FIRST, AGAIN_MOST, CONNECT, Kept, Link, Loop, Timer, TooLong, Unreadable
 from knotwalk.wire_values import error_text, parse_amount, parse_count
--- a/knotwalk/pubsub/client.py
+++ b/knotwalk/pubsub/client.py
@@ -6,7 +6,7 @@
 import ssl
 from collections.abc import Callable, Mapping, Sequence
 
-from knotwalk.net.ending import Ending
+from knotwalk.net.close_reason import Ending
 from knotwalk.net.loop import Link, Loop, Timer, Unreadable
 from knotwalk.pubsub import wire
 from knotwalk.pubsub.secure import Secure
--- a/knotwalk/pubsub/front.py
+++ b/knotwalk/pubsub/front.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from knotwalk.net.ending import Ending
+from knotwalk.net.close_reason import Ending
 from knotwalk.net.log import Log
 from knotwalk.net.loop import Link, Loop, Timer
 from knotwalk.pubsub import wire
--- a/knotwalk/pubsub/secure.py
+++ b/knotwalk/pubsub/secure.py
@@ -7,7 +7,7 @@
 import ssl
 from typing import Any
 
-from knotwalk.net.ending import Ending
+from knotwalk.net.close_reason import Ending
 from knotwalk.net.loop import Link, Peer, Unreadable
 
 READ = 1 << 14  # bytes of a TLS record
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from knotwalk.net.ending import Ending
+from knotwalk.net.close_reason import Ending
 from knotwalk.net.loop import Loop, Timer, Unreadable
 from knotwalk.net.ring import Ring
 
--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -11,8 +11,8 @@
 from unittest import mock
 
 import aiohttp
-from standins import mishaps
-from standins.mishaps import HEAD_READ, MISHAPS, POINTS, POISED, READ, Peer
+from standins import faulty_peer
+from standins.faulty_peer import HEAD_READ, MISHAPS, POINTS, POISED, READ, Peer
 from standins.nodes import RawClient, front, routes, view
 
 from knotwalk.admission import outcome
@@ -144,7 +144,7 @@
 # Paths whose peers name no call in their answers: a whole answer that comes after a call was sent counts as its own.
 UNNAMED = (Grant, Release, List)
 # A mishap, and the points, after which the connection may be used on: nothing odd has come.
-HARMLESS = {(mishaps.interim, READ), (mishaps.interim, HEAD_READ)}
+HARMLESS = {(faulty_peer.interim, READ), (faulty_peer.interim, HEAD_READ)}
 
 
 def turns(count):
@@ -185,7 +185,7 @@
         async with self.against(path, point=point, mishap=mishap, at=at) as (peer, one):
             results = []
             for number in range(4):
-                mute = mishap in (mishaps.silence, mishaps.extra, mishaps.half) or point == POISED
+                mute = mishap in (faulty_peer.silence, faulty_peer.extra, faulty_peer.half) or point == POISED
                 results.append(await one.call(number, SHORT if mute and number <= at + 1 else LONG))
             found = self.judged(path, peer, results)
             if results[-1] != 3:
@@ -204,7 +204,7 @@
             found = self.judged(path, peer, results)
             # An end that the peer's loop has not carried out can't be seen: the call is lost then, and not sent again
             # by anybody who doesn't know that it may be.
-            unseen = mishap in (mishaps.close, mishaps.reset) and not count
+            unseen = mishap in (faulty_peer.close, faulty_peer.reset) and not count
             if results != [0, 1, 2] and not (unseen and results == [0, FAILED, 2]):
                 found.append(f"calls got {results}")
             if [call.connection for call in peer.calls[1:]].count(0):
@@ -217,7 +217,7 @@
         for path in paths:
             for mishap in chosen:
                 for point in points:
-                    if path in UNNAMED and mishap is mishaps.stray and point in (POISED, HEAD_READ, READ):
+                    if path in UNNAMED and mishap is faulty_peer.stray and point in (POISED, HEAD_READ, READ):
                         continue
                     for at in (0, 1):
                         found += await self.met(path, mishap, point, at)
@@ -258,7 +258,7 @@
 
     async def test_table(self):
         for path in PATHS:
-            for mishap in set(MISHAPS) - {mishaps.silence}:
+            for mishap in set(MISHAPS) - {faulty_peer.silence}:
                 for count in (0, 50):
                     with self.subTest(f"{path.__name__}, {mishap.__name__}, {count}"):
                         self.assertEqual(await self.idle(path, mishap, count), [])
@@ -269,7 +269,7 @@
 
     async def late(self, path, cancelled):
         """Call 1 is given up on a connection that has been used; its answer comes; call 2 gets its own."""
-        async with self.against(path, point=READ, mishap=mishaps.silence, at=1) as (peer, one):
+        async with self.against(path, point=READ, mishap=faulty_peer.silence, at=1) as (peer, one):
             self.assertEqual(await one.call(0), 0)
             task = asyncio.ensure_future(one.call(1, LONG if cancelled else SHORT))
             while len(peer.calls) < 2:
@@ -279,7 +279,7 @@
             await asyncio.gather(task, return_exceptions=True)
             spoilt = peer.calls[1].connection
             if not peer.writers[spoilt].is_closing():
-                peer.writers[spoilt].write(mishaps.answer(peer.calls[1]))
+                peer.writers[spoilt].write(faulty_peer.answer(peer.calls[1]))
             self.assertEqual(await one.call(2), 2)
             self.assertEqual(self.judged(path, peer, [0, FAILED, 2]), [])
             self.assertNotEqual(peer.calls[-1].connection, spoilt)
@@ -336,11 +336,11 @@
         with mock.patch.object(
             runtime_call, "has_unexpected_input", lambda protocol: not protocol.is_connected()
         ):  # as aiohttp does
-            self.assertTrue(await self.idle(Grant, mishaps.extra, 50))
-            self.assertTrue(await self.idle(List, mishaps.extra, 0))
+            self.assertTrue(await self.idle(Grant, faulty_peer.extra, 50))
+            self.assertTrue(await self.idle(List, faulty_peer.extra, 0))
         with mock.patch.object(edge_caller.Connection, "fit", lambda self: self.line is edge_caller.Line.IDLE):
             with mock.patch.object(edge_caller.Connection, "on_headers_complete", lambda self: None):
-                self.assertTrue(await self.idle(EdgeToCore, mishaps.extra, 0))
+                self.assertTrue(await self.idle(EdgeToCore, faulty_peer.extra, 0))
 
     async def test_a_late_answer_taken_for_the_next_calls(self):
         """Ids unchecked: a stray answer is passed on as the request's own, or as the call's."""
@@ -352,17 +352,17 @@
 
         with mock.patch.object(node_connection.Connection, "_read_head", unchecked):
             with self.assertRaises(AssertionError):
-                await self.found((EdgeToNode,), (mishaps.stray,), (READ,))
+                await self.found((EdgeToNode,), (faulty_peer.stray,), (READ,))
         with mock.patch.object(edge_caller.Connection, "on_headers_complete", lambda self: None):
-            self.assertTrue(await self.found((EdgeToCore,), (mishaps.stray,), (READ,)))
+            self.assertTrue(await self.found((EdgeToCore,), (faulty_peer.stray,), (READ,)))
         with mock.patch.object(runtime_call.CallIdResponse, "start", aiohttp.ClientResponse.start):
-            self.assertTrue(await self.found((CoreToCore,), (mishaps.stray,), (READ,)))
+            self.assertTrue(await self.found((CoreToCore,), (faulty_peer.stray,), (READ,)))
 
     async def test_what_may_not_be_repeated_sent_twice(self):
         """A reset after a byte left counts as proof that nothing ran; a library that sends again by itself."""
         proofs = {**outcome.PROOFS, outcome.End.LOST: outcome.Proof.NEVER_RAN}
         with mock.patch.object(outcome, "PROOFS", proofs), mock.patch.object(forwarder, "PROOFS", proofs):
-            self.assertTrue(await self.found((EdgeToNode,), (mishaps.reset,), (READ,)))
+            self.assertTrue(await self.found((EdgeToNode,), (faulty_peer.reset,), (READ,)))
         session = runtime_call.make_session
 
         def retrying(*asked):
@@ -371,7 +371,7 @@
             return made
 
         with mock.patch.object(runtime_call, "make_session", retrying):
-            self.assertTrue(await self.found((List,), (mishaps.reset,), (READ,)))
+            self.assertTrue(await self.found((List,), (faulty_peer.reset,), (READ,)))
 
     async def test_a_release_on_a_connection_that_is_used_again(self):
         """Node's answers bear no id: without a connection of its own a release takes what comes late for its answer."""
@@ -381,7 +381,7 @@
 
         async with self.against(Shared) as (peer, one):
             await one.call(0)
-            peer.before_answer = lambda call: mishaps.answer(call, 0)
+            peer.before_answer = lambda call: faulty_peer.answer(call, 0)
             self.assertEqual(await one.call(1), 0)
         async with self.against(Release) as (peer, one):
             for number in range(3):
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -2,7 +2,7 @@
 
 import io
 
-from knotwalk.net.ending import Ending, Outcome, Role, outcome
+from knotwalk.net.close_reason import Ending, Outcome, Role, outcome
 from knotwalk.net.http import Answers
 from knotwalk.net.log import Log
 from knotwalk.net.loop import TooLong, Unreadable
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,9 +5,9 @@
 
 from standins.platform import Clock, Wire, answer, lines
 
+from knotwalk.net.close_reason import Ending
 from knotwalk.net.collectors import Callers
 from knotwalk.net.discovery import Watch
-from knotwalk.net.ending import Ending
 from knotwalk.net.relay import Calls, News
 from knotwalk.net.resp import packed
 from knotwalk.wire_values import ReportBounds
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -11,8 +11,8 @@
 from standins.platform import PATIENCE, SETTINGS, StandIn, call, run
 from standins.tapes import replayed
 
+from knotwalk.net.close_reason import Ending
 from knotwalk.net.conductor import Config, Host, Misfit
-from knotwalk.net.ending import Ending
 from knotwalk.net.log import Log
 from knotwalk.net.resp import packed
 from knotwalk.settings.operator import OperatorSettings, RecordSettings
