--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,8 +25,8 @@
 from standins.fleet import Fleet
 
 from knotwalk import decide
-from knotwalk.net.relay import Calls, Lines
-from knotwalk.net.resp import Resp, packed
+from knotwalk.net.relay import OrderSender, StreamParser
+from knotwalk.net.resp import RespParser, encode_message
 
 ROOT = Path(__file__).parent.parent
 SIZES = {30: 150, 120: 640, 200: 1600, 400: 3200}  # proxies by servers
@@ -156,7 +156,7 @@
         for name, f in inbox:
             if name == "heard":
                 reports.append(
-                    packed(
+                    encode_message(
                         "outcomes",
                         "zone",
                         f[1],
@@ -177,7 +177,7 @@
             elif name == "applied":
                 acks.append(b'{"type":"ack","object":{"proxy":%d,"mark":%d,"took_ms":310.4}}\n' % f)
     acks = acks[:20000]
-    resp, news = Resp(), Lines()
+    resp, news = RespParser(), StreamParser()
     list(news.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
     at = time.perf_counter()
     for k in range(0, len(reports), 100):
@@ -187,10 +187,10 @@
         piece = b"".join(acks[k : k + 100])
         list(news.feed(b"%x\r\n%s\r\n" % (len(piece), piece)))
     end = time.perf_counter()
-    calls = Calls(Still(), ("127.0.0.1", 1), Still(), Still())  # type: ignore[arg-type]
+    calls = OrderSender(Still(), ("127.0.0.1", 1), Still(), Still())  # type: ignore[arg-type]
     for k in range(0, len(orders), 100):
-        calls.link, calls.under_way = Still(), []  # type: ignore[assignment]
-        calls.order(orders[k : k + 100])
+        calls.connection, calls.in_flight = Still(), []  # type: ignore[assignment]
+        calls.add_orders(orders[k : k + 100])
     encoded = time.perf_counter() - end
     return {
         "order": round(1e6 * encoded / max(1, len(orders)), 2),
--- a/benchmarks/pubsub.py
+++ b/benchmarks/pubsub.py
@@ -27,7 +27,7 @@
 from standins.hubs import SMALL, World, alike, filled, proxies
 from standins.platform import StandIn
 
-from knotwalk.net.resp import packed
+from knotwalk.net.resp import encode_message
 from knotwalk.pubsub import wire
 from knotwalk.pubsub.hub import Hub
 from knotwalk.pubsub.subscriber import Subscriber
@@ -349,7 +349,7 @@
             lambda: msgpack.packb({"s": rows, "shut": {}, "levels": {}}),
             lambda data: msgpack.unpackb(data, strict_map_key=False),
         ),
-        "resp": (lambda: packed(*words), None),
+        "resp": (lambda: encode_message(*words), None),
     }
     out = {}
     for name, (write, read) in forms.items():
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -27,7 +27,7 @@
 from knotwalk.net.conductor import Config, Host
 from knotwalk.net.log import Log
 from knotwalk.net.loop import Loop
-from knotwalk.net.resp import packed
+from knotwalk.net.resp import encode_message
 from knotwalk.record.feed import Feed
 from knotwalk.record.reader import Recording
 from knotwalk.record.recorder import Recorder
@@ -109,22 +109,22 @@
         hosts = []
         for record in (None, OperatorSettings(RecordSettings(True, folder + "/r"))):
             config = Config({"EDGE_CONFIG": str(path)})
-            config.settings, config.tick = day.settings, 0.0
+            config.settings, config.tick_s = day.settings, 0.0
             config.methods = {"m0": 0, "m1": 1}
             config.bounds = ReportBounds(frozenset({"east", "west"}), GROWN.slices, 1e9, 1e9)
             host = Host(config, Log(open(os.devnull, "w")), record)
             host.loop.now = lambda: clock_of[0]  # type: ignore[method-assign]
-            host.names = {0: "m0", 1: "m1"}
-            host.callers.methods, host.callers.bounds, host.callers.ready = config.methods, config.bounds, True
-            host.news.calls.order = lambda orders: None  # type: ignore[method-assign]
+            host.method_names = {0: "m0", 1: "m1"}
+            host.collectors.methods, host.collectors.bounds, host.collectors.ready = config.methods, config.bounds, True
+            host.order_sender.add_orders = lambda orders: None  # type: ignore[method-assign]
             news = Quiet()
-            host.news.up(news)  # type: ignore[arg-type]
-            host.news.fed(news, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")  # type: ignore[arg-type]
-            caller = host.callers.accept()
-            caller.opened(Quiet())  # type: ignore[arg-type]
-            caller.fed(Quiet(), packed("agent", "zone", "east"))  # type: ignore[arg-type]
-            host.watch.entries = {f"s{k}": () for k in range(GROWN.servers)}  # type: ignore[assignment]
-            host.lives("start")
+            host.relay_stream.connection_ready(news)  # type: ignore[arg-type]
+            host.relay_stream.data_received(news, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")  # type: ignore[arg-type]
+            caller = host.collectors.accept()
+            caller.connection_made(Quiet())  # type: ignore[arg-type]
+            caller.data_received(Quiet(), encode_message("agent", "zone", "east"))  # type: ignore[arg-type]
+            host.list_watch.entries = {f"s{k}": () for k in range(GROWN.servers)}  # type: ignore[assignment]
+            host.begin_incarnation("start")
             hosts.append((host, news, caller))
         sides: tuple[list[float], list[float]] = ([], [])
         between, paced, clock = 0.0, rounds[0][0], time.perf_counter
@@ -135,15 +135,15 @@
                 host, news, caller = hosts[which]
                 begun = clock()
                 for name, f in told:
-                    host.tell(name, *f)
+                    host.enqueue(name, *f)
                 if news_bytes:
-                    host.news.fed(news, news_bytes)
+                    host.relay_stream.data_received(news, news_bytes)
                 if reports:
-                    caller.fed(Quiet(), reports)
-                    burst, host.callers.burst = host.callers.burst, []
+                    caller.data_received(Quiet(), reports)
+                    burst, host.collectors.burst = host.collectors.burst, []
                     for row in burst:
-                        host.tell(*row)
-                host.round()
+                        host.enqueue(*row)
+                host.run_round()
                 sides[which].append(clock() - begun)
             if now > paced + 0.1:  # the feed's own turn, ten times a second of the day
                 begun, paced = clock(), now
@@ -183,7 +183,7 @@
     def write(self, data: bytes) -> None:
         """Nobody reads it."""
 
-    def end(self, ending: object) -> None:
+    def close(self, ending: object) -> None:
         raise AssertionError(f"ended: {ending}")
 
 
@@ -196,7 +196,7 @@
             news += f"{len(text):x}\r\n{text}\r\n".encode()
         elif name == "heard":
             load = ",".join(f"{k}:{v}" for k, v in f[6].items())
-            reports += packed(
+            reports += encode_message(
                 "outcomes",
                 "zone",
                 f[1],
@@ -214,7 +214,7 @@
                 load,
             )
         elif name == "wanted":
-            reports += packed(
+            reports += encode_message(
                 "hot",
                 "slice",
                 str(f[0]),
@@ -309,8 +309,8 @@
         def turn(seconds: float) -> None:
             end = time.monotonic() + seconds
             while time.monotonic() < end:
-                loop.after(0.002, lambda: None)
-                loop.turn()
+                loop.call_later(0.002, lambda: None)
+                loop.run_once()
 
         for _ in range(kills):
             while feed.sock is None:
@@ -373,8 +373,8 @@
             end = time.monotonic() + seconds
             while time.monotonic() < end:
                 day.run(0.2)
-                loop.after(0.001, lambda: None)
-                loop.turn()
+                loop.call_later(0.001, lambda: None)
+                loop.run_once()
             if still:
                 feed.process.send_signal(signal.SIGCONT)
         feed.close()
--- a/knotwalk/net/close_reason.py
+++ b/knotwalk/net/close_reason.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 
-class Ending(Enum):
+class CloseReason(Enum):
     """Every way in which a connection can end."""
 
     CLOSED = "closed by the peer"
@@ -44,17 +44,17 @@
 
 
 # A connection that never came up has carried nothing.
-_NEVER_UP = {Ending.REFUSED, Ending.UNREACHABLE, Ending.TIMED_OUT}
+_NEVER_UP = {CloseReason.REFUSED, CloseReason.UNREACHABLE, CloseReason.TIMED_OUT}
 
 
-def outcome(role: Role, ending: Ending, sent: bool = False) -> Outcome:
+def outcome(role: Role, reason: CloseReason, sent: bool = False) -> Outcome:
     """What an ending means; `sent` says whether the last byte of a call had gone out.
 
-    >>> outcome(Role.CALL, Ending.RESET, sent=True)
+    >>> outcome(Role.CALL, CloseReason.RESET, sent=True)
     <Outcome.UNSURE: 'the orders were carried out, or not at all'>
-    >>> outcome(Role.CALL, Ending.RESET, sent=False)
+    >>> outcome(Role.CALL, CloseReason.RESET, sent=False)
     <Outcome.UNDONE: 'the orders were not carried out'>
     """
     if role is Role.CALL:
-        return Outcome.UNSURE if sent and ending not in _NEVER_UP else Outcome.UNDONE
+        return Outcome.UNSURE if sent and reason not in _NEVER_UP else Outcome.UNDONE
     return {Role.NEWS: Outcome.STALE, Role.LIST: Outcome.LIST_FAILED, Role.CALLER: Outcome.NOTHING}[role]
--- a/knotwalk/net/collectors.py
+++ b/knotwalk/net/collectors.py
@@ -6,26 +6,26 @@
 
 from collections.abc import Callable, Mapping, Set
 
-from knotwalk.net.close_reason import Ending
+from knotwalk.net.close_reason import CloseReason
 from knotwalk.net.log import Log
-from knotwalk.net.loop import Link, Loop, Unreadable
-from knotwalk.net.resp import Resp, packed
+from knotwalk.net.loop import Connection, Loop, ProtocolError
+from knotwalk.net.resp import RespParser, encode_message
 from knotwalk.wire_values import LOAD_COLUMNS, ReportBounds, error_text, parse_amount, parse_count
 
-ALIVE = packed("alive")
+ALIVE = encode_message("alive")
 # Collectors send the sums of a period as a burst of messages, which the module is to see as a whole: it
 # judges servers by the period. A burst is over after the first, seconds of quiet (ten times what its pieces
 # lie apart on a busy core) with no message half there, and handed on after the second at the latest (a
 # quarter of a period of 1 s).
-QUIET, BURST = 0.02, 0.25
-JOIN = 1.0  # seconds to join: the protocol lets a connection be closed after that
-GONE = 10.0  # seconds of silence after which a zone's collector is let go, if another has joined for it
+QUIET_PERIOD_S, MAX_BURST_S = 0.02, 0.25
+JOIN_TIMEOUT_S = 1.0  # seconds to join: the protocol lets a connection be closed after that
+SILENT_AFTER_S = 10.0  # seconds of silence after which a zone's collector is let go, if another has joined for it
 
 
-def fields(items: list[str]) -> dict[str, str]:
+def parse_fields(items: list[str]) -> dict[str, str]:
     """Names and values that alternate.
 
-    >>> fields(["hot", "slice", "88"])
+    >>> parse_fields(["hot", "slice", "88"])
     {'slice': '88'}
     """
     if len(items) % 2 == 0:
@@ -33,10 +33,10 @@
     return dict(zip(items[1::2], items[2::2]))
 
 
-def load_of(text: str, bounds: ReportBounds) -> dict[str, float]:
+def parse_load(text: str, bounds: ReportBounds) -> dict[str, float]:
     """A load report.
 
-    >>> load_of("inflight:7,util:0.61", ReportBounds(frozenset(), 1, 100, 5))
+    >>> parse_load("inflight:7,util:0.61", ReportBounds(frozenset(), 1, 100, 5))
     {'inflight': 7.0, 'utilization': 0.61}
     """
     pairs = [part.partition(":") for part in text.split(",") if part]
@@ -46,7 +46,7 @@
     return load
 
 
-class Callers:
+class CollectorServer:
     """All that have connected, within so many seats and so many bytes of unfinished messages."""
 
     def __init__(
@@ -54,174 +54,178 @@
         loop: Loop,
         methods: Mapping[str, int],
         bounds: ReportBounds,
-        knows: Callable[[str], bool],
-        zones: Callable[[], Set[str]],
-        tell: Callable,
+        is_known_server: Callable[[str], bool],
+        known_zones: Callable[[], Set[str]],
+        enqueue: Callable,
         log: Log,
-        seats: int,
-        room: int,
+        max_connections: int,
+        max_unfinished_bytes: int,
     ):
-        self.loop, self.methods, self.bounds, self.tell, self.log = loop, methods, bounds, tell, log
-        self.knows, self.zones = knows, zones
-        self.seats, self.room = seats, room
+        self.loop, self.methods, self.bounds, self.enqueue, self.log = loop, methods, bounds, enqueue, log
+        self.is_known_server, self.known_zones = is_known_server, known_zones
+        self.max_connections, self.max_unfinished_bytes = max_connections, max_unfinished_bytes
         self.ready = False
-        self.links: dict["Caller", Link] = {}  # the one not heard of for longest first
-        self.held = 0  # bytes of unfinished messages
+        self.connections: dict["CollectorSession", Connection] = {}  # the one not heard of for longest first
+        self.unfinished_bytes = 0  # bytes of unfinished messages
         self.burst: list[tuple] = []  # reports of a burst that is not over yet
-        self.begun = self.latest = 0.0  # when its first and its last came
+        self.burst_started_at = self.last_report_at = 0.0  # when its first and its last came
 
-    def bound(self, seats: int, room: int) -> None:
+    def set_limits(self, max_connections: int, max_unfinished_bytes: int) -> None:
         """Other bounds from now on; what is past them ends."""
-        self.seats, self.room = seats, room
-        while len(self.links) > seats:
-            self.crowd_out(list(self.links))
+        self.max_connections, self.max_unfinished_bytes = max_connections, max_unfinished_bytes
+        while len(self.connections) > max_connections:
+            self.evict_one(list(self.connections))
 
-    def accept(self) -> "Caller":
-        return Caller(self)
+    def accept(self) -> "CollectorSession":
+        return CollectorSession(self)
 
-    def serve(self) -> None:
+    def start_serving(self) -> None:
         """From now on probes are answered, and those that wait are at once."""
         if not self.ready:
             self.ready = True
-            for caller, link in list(self.links.items()):
-                if caller.asked:
-                    link.write(ALIVE)
+            for session, connection in list(self.connections.items()):
+                if session.has_probed:
+                    connection.write(ALIVE)
 
-    def report(self, handler: str, *arguments: object) -> None:
+    def add_report(self, handler: str, *arguments: object) -> None:
         """A report, which goes on with the others of its burst."""
-        self.latest = self.loop.now()
+        self.last_report_at = self.loop.now()
         if not self.burst:
-            self.begun = self.latest
-            self.loop.after(QUIET, self.burst_over)
+            self.burst_started_at = self.last_report_at
+            self.loop.call_later(QUIET_PERIOD_S, self.end_burst)
         self.burst.append((handler, *arguments))
 
-    def burst_over(self) -> None:
-        now, end = self.loop.now(), self.begun + BURST
+    def end_burst(self) -> None:
+        now, end = self.loop.now(), self.burst_started_at + MAX_BURST_S
         # Half a message that was left there long ago is a silent connection's: nothing more is to come.
-        half = any(x.agent and x.held and x.latest > now - BURST for x in self.links)
-        due = min(now + QUIET if half else self.latest + QUIET, end)
+        half = any(x.has_joined and x.unfinished_bytes and x.last_data_at > now - MAX_BURST_S for x in self.connections)
+        due = min(now + QUIET_PERIOD_S if half else self.last_report_at + QUIET_PERIOD_S, end)
         if now < due:
-            self.loop.at(due, self.burst_over)
+            self.loop.call_at(due, self.end_burst)
             return
         burst, self.burst = self.burst, []
         for report in burst if self.ready else ():  # before that nothing that it could be on is in our charge
-            self.tell(*report)
+            self.enqueue(*report)
 
-    def crowd_out(self, among: list["Caller"]) -> None:
+    def evict_one(self, among: list["CollectorSession"]) -> None:
         """End the one that is least of a loss: a silent stranger must not cost a collector its seat."""
         if among:
-            self.links[min(among, key=lambda x: (x.agent, x.spoke))].end(Ending.CROWDED)
+            self.connections[min(among, key=lambda x: (x.has_joined, x.has_sent))].close(CloseReason.CROWDED)
 
 
-class Caller:
+class CollectorSession:
     """One that has connected."""
 
-    def __init__(self, callers: Callers):
-        self.all, self.resp = callers, Resp()
-        self.spoke = self.agent = self.asked = False
-        self.zone, self.held = "", 0
-        self.latest = 0.0  # when bytes last came
+    def __init__(self, server: CollectorServer):
+        self.server, self.parser = server, RespParser()
+        self.has_sent = self.has_joined = self.has_probed = False
+        self.zone, self.unfinished_bytes = "", 0
+        self.last_data_at = 0.0  # when bytes last came
 
-    def opened(self, link: Link) -> None:
-        self.all.links[self] = link
-        link.timer = self.all.loop.after(JOIN, lambda: self.stayed(link))
-        if len(self.all.links) > self.all.seats:
-            self.all.crowd_out([x for x in self.all.links if x is not self])
+    def connection_made(self, connection: Connection) -> None:
+        self.server.connections[self] = connection
+        connection.timer = self.server.loop.call_later(JOIN_TIMEOUT_S, lambda: self.on_join_timeout(connection))
+        if len(self.server.connections) > self.server.max_connections:
+            self.server.evict_one([x for x in self.server.connections if x is not self])
 
-    def stayed(self, link: Link) -> None:
+    def on_join_timeout(self, connection: Connection) -> None:
         """It has had its time to join. Guards against strangers that keep their connections for good."""
-        if self.asked and not self.all.ready:  # it waits for us, not we for it
-            link.timer = self.all.loop.after(JOIN, lambda: self.stayed(link))
+        if self.has_probed and not self.server.ready:  # it waits for us, not we for it
+            connection.timer = self.server.loop.call_later(JOIN_TIMEOUT_S, lambda: self.on_join_timeout(connection))
         else:
-            link.end(Ending.STRANGER)
+            connection.close(CloseReason.STRANGER)
 
-    def join(self, link: Link, zone: str) -> None:
-        if zone not in self.all.zones():
+    def join(self, connection: Connection, zone: str) -> None:
+        if zone not in self.server.known_zones():
             raise ValueError(f"no such zone '{zone}'")
-        self.agent, self.zone = True, zone
-        if link.timer:
-            link.timer.cancel()
+        self.has_joined, self.zone = True, zone
+        if connection.timer:
+            connection.timer.cancel()
         # A machine that was cut off leaves its old connections open and silent: they would pile up.
-        for other, old in list(self.all.links.items()):
-            if other.agent and other.zone == zone and other.latest < self.latest - GONE:
-                old.end(Ending.SILENT)
-
-    def fed(self, link: Link, data: memoryview) -> None:
-        self.latest = self.all.loop.now()
-        for items in self.resp.feed(data):
-            self.spoke = True
-            self.all.links[self] = self.all.links.pop(self)
+        for other, old in list(self.server.connections.items()):
+            if other.has_joined and other.zone == zone and other.last_data_at < self.last_data_at - SILENT_AFTER_S:
+                old.close(CloseReason.SILENT)
+
+    def data_received(self, connection: Connection, data: memoryview) -> None:
+        self.last_data_at = self.server.loop.now()
+        for items in self.parser.feed(data):
+            self.has_sent = True
+            self.server.connections[self] = self.server.connections.pop(self)
             if items:
                 try:
-                    self.message(link, items)
+                    self.handle_message(connection, items)
                 except (ValueError, KeyError) as fault:
-                    if not self.agent:  # spoilt reports come from collectors alone: it is a stranger
-                        raise Unreadable(f"unjoined, {items[0][:40]}: {error_text(fault)}") from None
-                    self.all.log("message dropped", f"{' '.join(items)[:120]}: {error_text(fault)}")
-            if link.over:
+                    if not self.has_joined:  # spoilt reports come from collectors alone: it is a stranger
+                        raise ProtocolError(f"unjoined, {items[0][:40]}: {error_text(fault)}") from None
+                    self.server.log("message dropped", f"{' '.join(items)[:120]}: {error_text(fault)}")
+            if connection.closed:
                 return
-        self.hold(self.resp.weight())
+        self.set_unfinished_bytes(self.parser.buffered_bytes())
 
-    def hold(self, weight: int) -> None:
+    def set_unfinished_bytes(self, size: int) -> None:
         """Half messages must not fill the memory: past the room, the ones that hold most are ended."""
-        self.all.held += weight - self.held
-        self.held = weight
-        while self.all.held > self.all.room:
-            most = max(x.held for x in self.all.links)
-            self.all.crowd_out([x for x in self.all.links if x.held == most])
+        self.server.unfinished_bytes += size - self.unfinished_bytes
+        self.unfinished_bytes = size
+        while self.server.unfinished_bytes > self.server.max_unfinished_bytes:
+            most = max(x.unfinished_bytes for x in self.server.connections)
+            self.server.evict_one([x for x in self.server.connections if x.unfinished_bytes == most])
 
-    def message(self, link: Link, items: list[str]) -> None:
+    def handle_message(self, connection: Connection, items: list[str]) -> None:
         kind = items[0]
         if kind == "probe":
-            self.asked = True
-            if self.all.ready:
-                link.write(ALIVE)
+            self.has_probed = True
+            if self.server.ready:
+                connection.write(ALIVE)
             return
-        f, bounds = fields(items), self.all.bounds
+        fields, bounds = parse_fields(items), self.server.bounds
         if kind == "agent":
-            self.join(link, f["zone"])
-        elif not self.agent:
+            self.join(connection, fields["zone"])
+        elif not self.has_joined:
             raise ValueError("it has not joined")
         elif kind == "outcomes":
-            if not self.all.knows(f["server"]):
-                raise ValueError(f"no such server '{f['server']}'")
-            if f["zone"] not in self.all.zones():
-                raise ValueError(f"no such zone '{f['zone']}'")
-            span, tries, aborted = self.tries(f)
+            if not self.server.is_known_server(fields["server"]):
+                raise ValueError(f"no such server '{fields['server']}'")
+            if fields["zone"] not in self.server.known_zones():
+                raise ValueError(f"no such zone '{fields['zone']}'")
+            span, tries, aborted = self.parse_attempts(fields)
             parse_count(aborted, tries)
-            latency = parse_amount(f["mean_ms"]) / 1e3 if aborted < tries else 0.0
-            self.all.report(
+            latency = parse_amount(fields["mean_ms"]) / 1e3 if aborted < tries else 0.0
+            self.server.add_report(
                 "heard",
-                f["server"],
-                f["zone"],
+                fields["server"],
+                fields["zone"],
                 span,
                 tries,
                 aborted,
                 parse_amount(latency, bounds.latency),
-                load_of(f.get("load", ""), bounds),
+                parse_load(fields.get("load", ""), bounds),
             )
         elif kind == "hot":
-            if f["class"] not in self.all.methods:
-                raise ValueError(f"no such method '{f['class']}'")
-            span, tries, _ = self.tries(f)
-            self.all.report(
-                "wanted", parse_count(f["slice"], bounds.slices - 1), self.all.methods[f["class"]], span, tries
+            if fields["class"] not in self.server.methods:
+                raise ValueError(f"no such method '{fields['class']}'")
+            span, tries, _ = self.parse_attempts(fields)
+            self.server.add_report(
+                "wanted",
+                parse_count(fields["slice"], bounds.slices - 1),
+                self.server.methods[fields["class"]],
+                span,
+                tries,
             )
         else:
             raise ValueError("no such message")
 
-    def tries(self, f: Mapping[str, str]) -> tuple[float, int, int]:
+    def parse_attempts(self, fields: Mapping[str, str]) -> tuple[float, int, int]:
         """Seconds, tries in them, and those that were aborted."""
-        span = parse_amount(f["span_ms"], 1e3 * self.all.bounds.span) / 1e3
+        span = parse_amount(fields["span_ms"], 1e3 * self.server.bounds.span) / 1e3
         if not span:
             raise ValueError("a span of nothing")
-        most = self.all.bounds.rate * span
+        most = self.server.bounds.rate * span
         # Of a slice more may have failed than were begun (seen): tries end in a later span than they begin.
-        return span, parse_count(f["tries"], most), parse_count(f["failed"], most)
-
-    def ended(self, link: Link | None, ending: Ending) -> None:
-        self.all.links.pop(self, None)
-        self.all.held -= self.held
-        self.held = 0
-        if ending not in (Ending.CLOSED, Ending.LEFT):
-            self.all.log("caller ended", f"{ending.value} {link.fault if link else ''}")
+        return span, parse_count(fields["tries"], most), parse_count(fields["failed"], most)
+
+    def connection_lost(self, connection: Connection | None, reason: CloseReason) -> None:
+        self.server.connections.pop(self, None)
+        self.server.unfinished_bytes -= self.unfinished_bytes
+        self.unfinished_bytes = 0
+        if reason not in (CloseReason.CLOSED, CloseReason.LEFT):
+            self.server.log("caller ended", f"{reason.value} {connection.error if connection else ''}")
--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -16,11 +16,11 @@
 
 from knotwalk import decide, interface
 from knotwalk.decide import Conductor
-from knotwalk.net.collectors import Callers
-from knotwalk.net.discovery import Watch, entry
+from knotwalk.net.collectors import CollectorServer
+from knotwalk.net.discovery import ListWatch, parse_entry
 from knotwalk.net.log import Log
 from knotwalk.net.loop import Loop, Timer
-from knotwalk.net.relay import Calls, News
+from knotwalk.net.relay import OrderSender, RelayStream
 from knotwalk.order_log import OrderTee
 from knotwalk.placement import passes
 from knotwalk.state import carry_over
@@ -43,17 +43,17 @@
     from knotwalk.record.recorder import Recorder
     from knotwalk.settings.operator import OperatorSettings, PubsubSettings, RecordSettings
 
-SEATS = 0.8  # of the sockets allowed, for those that connect to us: our own peers take a dozen
-ROOM = 0.25  # of the memory allowed, for their unfinished messages: the program itself takes under 40 MB
+CONNECTIONS_FRACTION = 0.8  # of the sockets allowed, for those that connect to us: our own peers take a dozen
+UNFINISHED_FRACTION = 0.25  # of the memory allowed, for their unfinished messages: the program itself takes under 40 MB
 
 
-class Misfit(Exception):
+class ConfigError(Exception):
     """The environment or the configuration cannot be used; the text says what is wrong."""
 
 
-def address_of(text: str, what: str) -> tuple[str, int]:
+def parse_address(text: str, what: str) -> tuple[str, int]:
     """
-    >>> address_of("10.0.0.4:3000", "EDGE_LISTEN")
+    >>> parse_address("10.0.0.4:3000", "EDGE_LISTEN")
     ('10.0.0.4', 3000)
     """
     host, _, port = str(text).rpartition(":")
@@ -62,7 +62,7 @@
         if not 0 <= int(port) < 65536:
             raise ValueError
     except ValueError:
-        raise Misfit(f"{what} is no address with a port: '{text}'") from None
+        raise ConfigError(f"{what} is no address with a port: '{text}'") from None
     return host, int(port)
 
 
@@ -72,47 +72,49 @@
     def __init__(self, environ: Mapping[str, str]):
         path = environ.get("EDGE_CONFIG")
         if not path:
-            raise Misfit("EDGE_CONFIG is not set")
+            raise ConfigError("EDGE_CONFIG is not set")
         try:
             with open(path, encoding="utf-8") as file:
-                told = json.load(file)
+                payload = json.load(file)
         except (OSError, ValueError) as fault:
-            raise Misfit(f"EDGE_CONFIG: {path} cannot be read: {fault}") from None
-        if not isinstance(told, dict):
-            raise Misfit(f"EDGE_CONFIG: {path} holds no object")
+            raise ConfigError(f"EDGE_CONFIG: {path} cannot be read: {fault}") from None
+        if not isinstance(payload, dict):
+            raise ConfigError(f"EDGE_CONFIG: {path} holds no object")
         try:
-            self.name = str(environ.get("EDGE_NAME") or told["name"])
-            self.listen = address_of(environ.get("EDGE_LISTEN") or told["listen"], "EDGE_LISTEN")
-            self.discovery_told = told.get("discovery")  # as the file has it
-            self.discovery = address_of(environ.get("EDGE_DISCOVERY") or told["discovery"], "EDGE_DISCOVERY")
-            self.relay = address_of(told["hub"]["address"], "hub.address")
-            self.seed = int(str(told["seed"]), 16)
-            known = told.get("known") or {"version": 0, "servers": []}
+            self.name = str(environ.get("EDGE_NAME") or payload["name"])
+            self.listen = parse_address(environ.get("EDGE_LISTEN") or payload["listen"], "EDGE_LISTEN")
+            self.configured_discovery = payload.get("discovery")  # as the file has it
+            self.discovery = parse_address(environ.get("EDGE_DISCOVERY") or payload["discovery"], "EDGE_DISCOVERY")
+            self.relay = parse_address(payload["hub"]["address"], "hub.address")
+            self.seed = int(str(payload["seed"]), 16)
+            known = payload.get("known") or {"version": 0, "servers": []}
             self.known_version = int(known["version"])
-            self.known = [entry(f) for f in known["servers"]]
-            pairs = flatten_settings(told["settings"])
+            self.known = [parse_entry(f) for f in known["servers"]]
+            pairs = flatten_settings(payload["settings"])
             self.settings, self.methods = read_settings(pairs), read_methods(pairs)
             self.bounds, self.rules = read_bounds(pairs), read_limits(pairs)
-            self.tick = number_setting(pairs, "tick_us") / 1e6
-            limits = told.get("limits") or {}
-            self.seats = int(SEATS * parse_amount(limits.get("sockets", 1024)))
-            self.room = int(ROOM * 1e6 * parse_amount(limits.get("memory_mb", 192)))
-        except Misfit:
+            self.tick_s = number_setting(pairs, "tick_us") / 1e6
+            limits = payload.get("limits") or {}
+            self.max_connections = int(CONNECTIONS_FRACTION * parse_amount(limits.get("sockets", 1024)))
+            self.max_unfinished_bytes = int(UNFINISHED_FRACTION * 1e6 * parse_amount(limits.get("memory_mb", 192)))
+        except ConfigError:
             raise
         except (MalformedError, KeyError, ValueError, TypeError, AttributeError) as fault:
-            raise Misfit(f"EDGE_CONFIG: {path}: {error_text(fault)}") from None
+            raise ConfigError(f"EDGE_CONFIG: {path}: {error_text(fault)}") from None
 
-    def follow(self, old: "Config") -> None:
+    def inherit_addresses(self, old: "Config") -> None:
         """Take another's place in a running conductor, or raise what stands against it."""
         if (self.name, self.listen) != (old.name, old.listen):
-            raise Misfit("name and listen cannot change in a running conductor")
+            raise ConfigError("name and listen cannot change in a running conductor")
         # The environment is that of the start: it must not hide an address that the file has changed since.
         self.discovery = (
-            old.discovery if self.discovery_told == old.discovery_told else address_of(self.discovery_told, "discovery")
+            old.discovery
+            if self.configured_discovery == old.configured_discovery
+            else parse_address(self.configured_discovery, "discovery")
         )
 
 
-class Writer:
+class OrderWriter:
     """Orders of one round, in the relay's words."""
 
     def __init__(self, host: "Host"):
@@ -124,7 +126,9 @@
 
     def admit(self, slice_id: int | None, method: int, share: float, retry: int) -> None:
         order = {"do": "LIMIT"} if slice_id is None else {"do": "LIMIT", "group": slice_id}
-        self.orders.append({**order, "classes": [self.host.names[method]], "level": round(share, 6), "retry": retry})
+        self.orders.append(
+            {**order, "classes": [self.host.method_names[method]], "level": round(share, 6), "retry": retry}
+        )
 
     def withdraw(self, server: str, shut: bool) -> None:
         self.orders.append({"do": "OUT" if shut else "IN", "server": server})
@@ -136,7 +140,7 @@
         """The list is always watched."""
 
     def wake(self, at: float) -> None:
-        self.host.wake(at)
+        self.host.schedule_round(at)
 
     def note(self, text: str) -> None:
         self.host.log("note", text)
@@ -158,28 +162,36 @@
     def __init__(self, config: Config, log: Log, operator: "OperatorSettings | None" = None):
         self.config, self.log, self.loop = config, log, Loop()
         self.stopped = False
-        self.names = {k: name for name, k in config.methods.items()}
-        self.module = Conductor(config.settings, config.seed)
-        self.starts = 1
+        self.method_names = {k: name for name, k in config.methods.items()}
+        self.conductor = Conductor(config.settings, config.seed)
+        self.start_count = 1
         self.inbox: list[tuple[str, tuple]] = []
-        self.last = float("-inf")  # when the last round was
-        self.timer: Timer | None = None
-        self.news = News(self.loop, config.relay, self.tell, log)
-        self.calls = Calls(self.loop, config.relay, self.news, log)
-        self.watch = Watch(self.loop, config.discovery, config.known_version, config.known, self.tell, log)
-        self.callers = Callers(
-            self.loop, config.methods, config.bounds, self.knows, self.zones, self.tell, log, config.seats, config.room
+        self.last_round_at = float("-inf")  # when the last round was
+        self.round_timer: Timer | None = None
+        self.relay_stream = RelayStream(self.loop, config.relay, self.enqueue, log)
+        self.order_sender = OrderSender(self.loop, config.relay, self.relay_stream, log)
+        self.list_watch = ListWatch(self.loop, config.discovery, config.known_version, config.known, self.enqueue, log)
+        self.collectors = CollectorServer(
+            self.loop,
+            config.methods,
+            config.bounds,
+            self.is_known_server,
+            self.known_zones,
+            self.enqueue,
+            log,
+            config.max_connections,
+            config.max_unfinished_bytes,
         )
         self.recorder: Recorder | None = None
         self.feed: Feed | None = None
         self.publisher: Publisher | None = None
         self.keeper: Keeper | None = None
         if operator and operator.record.enabled:
-            self.record(operator.record)
+            self.start_recording(operator.record)
         if operator and operator.pubsub.enabled:
-            self.publish(operator.pubsub)
+            self.start_publishing(operator.pubsub)
 
-    def record(self, wanted: "RecordSettings") -> None:
+    def start_recording(self, wanted: "RecordSettings") -> None:
         """Record from the start on; what that takes is loaded only here."""
         from knotwalk.record.feed import Feed
         from knotwalk.record.recorder import Recorder
@@ -201,8 +213,8 @@
             self.log,
         )
 
-    def publish(self, wanted: "PubsubSettings") -> None:
-        """Open the publisher's port; what that takes is loaded only here. Raises Misfit."""
+    def start_publishing(self, wanted: "PubsubSettings") -> None:
+        """Open the publisher's port; what that takes is loaded only here. Raises ConfigError."""
         from pathlib import Path
 
         from knotwalk.pubsub import front, keep, wire
@@ -226,106 +238,106 @@
                 except keep.Unkept as fault:
                     self.log("table not kept", f"{path}: {fault}; a new epoch begins, and ends with this process")
         except front.Misfit as fault:
-            raise Misfit(f"pubsub: {fault}") from None
+            raise ConfigError(f"pubsub: {fault}") from None
         except OSError as fault:
-            raise Misfit(f"pubsub.keep: {fault.filename}: {fault.strerror}") from None
+            raise ConfigError(f"pubsub.keep: {fault.filename}: {fault.strerror}") from None
         hub = Hub(table, self.config.settings, key, wire.encoded, self.config.seed)
         self.publisher = front.Publisher(
             self.loop,
             hub,
             access,
-            self.tell,
-            lambda proxy: proxy in self.news.proxies,
+            self.enqueue,
+            lambda proxy: proxy in self.relay_stream.proxies,
             self.log,
-            min(int(wanted.subscribers), self.config.seats),
+            min(int(wanted.subscribers), self.config.max_connections),
             self.loop.now(),
-            lambda: self.news.heard and not self.news.reading,
+            lambda: self.relay_stream.has_connected and not self.relay_stream.reading_state,
         )
         try:
-            address = self.publisher.listen(address_of(wanted.listen, "pubsub.listen"))
+            address = self.publisher.listen(parse_address(wanted.listen, "pubsub.listen"))
         except OSError as fault:
-            raise Misfit(f"pubsub.listen: {wanted.listen}: {fault.strerror}") from None
+            raise ConfigError(f"pubsub.listen: {wanted.listen}: {fault.strerror}") from None
         self.log("publishing", "at %s:%d, epoch %s from version %d" % (*address, table.epoch, table.version))
 
-    def lives(self, why: str) -> None:
+    def begin_incarnation(self, why: str) -> None:
         """A new life of the module begins."""
         if self.recorder:
             self.recorder.life(
                 self.loop.now(),
-                self.module,
+                self.conductor,
                 self.config.settings,
                 self.config.rules,
-                self.config.seed + self.starts - 1,
+                self.config.seed + self.start_count - 1,
                 why,
             )
 
-    def tell(self, handler: str, *arguments: object) -> None:
+    def enqueue(self, handler: str, *arguments: object) -> None:
         """Something for the next round."""
         self.inbox.append((handler, arguments))
 
-    def knows(self, server: str) -> bool:
+    def is_known_server(self, server: str) -> bool:
         """Whether a server is listed or still known to the module: another name is a spoilt one."""
-        return server in self.watch.entries or server in self.module.servers
+        return server in self.list_watch.entries or server in self.conductor.servers
 
-    def zones(self) -> Set[str]:
+    def known_zones(self) -> Set[str]:
         """The zones that exist: as the settings have them, else those of servers and joined proxies."""
-        return self.config.bounds.zones or self.news.zones | {x[1] for x in self.watch.entries.values()}
+        return self.config.bounds.zones or self.relay_stream.zones | {x[1] for x in self.list_watch.entries.values()}
 
-    def wake(self, at: float) -> None:
+    def schedule_round(self, at: float) -> None:
         """A round at that time, unless one comes between it and the timer."""
-        self.loop.at(at, lambda: self.last >= at or self.round())
+        self.loop.call_at(at, lambda: self.last_round_at >= at or self.run_round())
 
-    def round(self) -> None:
+    def run_round(self) -> None:
         """Hand all that came in to the module, not sooner after the last round than the platform's tick."""
         now = self.loop.now()
-        if now < self.last + self.config.tick:
-            if self.timer is None:
-                self.timer = self.loop.at(self.last + self.config.tick, self.next_round)
+        if now < self.last_round_at + self.config.tick_s:
+            if self.round_timer is None:
+                self.round_timer = self.loop.call_at(self.last_round_at + self.config.tick_s, self.run_delayed_round)
             return
-        self.last = now
+        self.last_round_at = now
         inbox, self.inbox = self.inbox, []
-        out = Writer(self)
-        tape = OrderTee(out) if self.recorder or self.publisher else None
+        out = OrderWriter(self)
+        order_log = OrderTee(out) if self.recorder or self.publisher else None
         try:
-            self.module.decide(now, inbox, tape or out)
+            self.conductor.decide(now, inbox, order_log or out)
         except Exception:  # whatever it is: see restart
-            if tape and self.recorder:
-                self.recorder.failed(now, inbox, tape.orders, traceback.format_exc(limit=-3))
-            self.restart(inbox)
+            if order_log and self.recorder:
+                self.recorder.failed(now, inbox, order_log.orders, traceback.format_exc(limit=-3))
+            self.restart_after_failure(inbox)
         else:
-            self.calls.order(out.orders)
-            if tape and self.recorder:
-                self.recorder.round(now, inbox, tape.orders, self.module)
-            if tape and self.publisher:
+            self.order_sender.add_orders(out.orders)
+            if order_log and self.recorder:
+                self.recorder.round(now, inbox, order_log.orders, self.conductor)
+            if order_log and self.publisher:
                 if out.orders:  # one account a proxy over all fronts
-                    self.publisher.hub.charge(now, self.news.proxies)
-                self.publisher.round(now, inbox, tape.orders)
+                    self.publisher.hub.charge(now, self.relay_stream.proxies)
+                self.publisher.round(now, inbox, order_log.orders)
                 if self.keeper:
                     self.keeper.watch(self.publisher.anew)
 
-    def next_round(self) -> None:
-        self.timer = None
-        self.round()
+    def run_delayed_round(self) -> None:
+        self.round_timer = None
+        self.run_round()
 
-    def restart(self, inbox: list) -> None:
+    def restart_after_failure(self, inbox: list) -> None:
         """The decisions failed. A module that was left halfway may hold anything, so a new one starts from
         what stands, as after a crash, but without the seconds that one takes; what came in is dropped."""
         self.log("decisions failed", f"{traceback.format_exc(limit=-3)} on {inbox}")
-        self.renew("failed")
+        self.replace_conductor("failed")
 
-    def renew(self, why: str) -> None:
+    def replace_conductor(self, why: str) -> None:
         """A new module, that starts from what stands; what came in for the old one is void."""
-        old, self.module = self.module, Conductor(self.config.settings, self.config.seed + self.starts)
-        carry_over(old, self.module)
-        self.starts += 1
-        self.lives(why)
-        self.inbox, self.callers.burst = [], []
-        self.news.repeat()
+        old, self.conductor = self.conductor, Conductor(self.config.settings, self.config.seed + self.start_count)
+        carry_over(old, self.conductor)
+        self.start_count += 1
+        self.begin_incarnation(why)
+        self.inbox, self.collectors.burst = [], []
+        self.relay_stream.replay_state()
         # After the lines, which may be on servers that have gone: those are not in the list, and so known.
-        self.tell("listed", True, False, list(self.watch.entries.values()))
-        self.loop.after(self.config.tick, self.round)
+        self.enqueue("listed", True, False, list(self.list_watch.entries.values()))
+        self.loop.call_later(self.config.tick_s, self.run_round)
 
-    def signalled(self, number: int, environ: Mapping[str, str]) -> None:
+    def on_signal(self, number: int, environ: Mapping[str, str]) -> None:
         if number == signal.SIGHUP:
             self.reload(environ)
         else:
@@ -336,28 +348,28 @@
         old = self.config
         try:
             config = Config(environ)
-            config.follow(old)
-        except Misfit as fault:
+            config.inherit_addresses(old)
+        except ConfigError as fault:
             self.log("reload refused", f"{fault}; the old configuration stays")
             return
         self.config = config
         self.log("reloaded", "discovery is at %s:%d, the relay at %s:%d" % (*config.discovery, *config.relay))
-        self.callers.bound(config.seats, config.room)
+        self.collectors.set_limits(config.max_connections, config.max_unfinished_bytes)
         if self.publisher:
-            self.follow_keys()
+            self.reload_keys()
         if config.discovery != old.discovery:
-            self.watch.move(config.discovery)
+            self.list_watch.change_address(config.discovery)
         if config.relay != old.relay:
-            self.calls.move(config.relay)
-            self.news.move(config.relay)
+            self.order_sender.change_address(config.relay)
+            self.relay_stream.change_address(config.relay)
         if (config.settings, config.methods) != (old.settings, old.methods):
-            self.names = {k: name for name, k in config.methods.items()}
-            self.callers.methods, self.callers.bounds = config.methods, config.bounds
+            self.method_names = {k: name for name, k in config.methods.items()}
+            self.collectors.methods, self.collectors.bounds = config.methods, config.bounds
             if self.publisher:
                 self.publisher.hub.settings = config.settings
-            self.renew("reload")
+            self.replace_conductor("reload")
 
-    def follow_keys(self) -> None:
+    def reload_keys(self) -> None:
         """Read the publisher's keys and certificates anew, whole or not at all; streams that are up stay."""
         from knotwalk.pubsub import front
 
@@ -368,19 +380,19 @@
             self.log("reload refused", f"pubsub: {fault}; the old keys stay")
 
     def run(self) -> None:
-        self.lives("start")
-        self.tell("listed", True, True, self.config.known)
-        listener = self.loop.listen(self.config.listen, self.callers.accept)
+        self.begin_incarnation("start")
+        self.enqueue("listed", True, True, self.config.known)
+        listener = self.loop.listen(self.config.listen, self.collectors.accept)
         self.log("serving", "%s at %s:%d" % (self.config.name, *listener.sock.getsockname()))
-        self.watch.start()
-        self.news.start()
+        self.list_watch.start()
+        self.relay_stream.start()
         while not self.stopped:
             try:
-                self.loop.turn()
+                self.loop.run_once()
                 # The module's life begins, and its first waits run, when there is somebody to order.
-                if self.inbox and self.news.heard:
-                    self.callers.serve()
-                    self.round()
+                if self.inbox and self.relay_stream.has_connected:
+                    self.collectors.start_serving()
+                    self.run_round()
             except Exception:  # a fault of ours in one turn is no reason to leave the proxies alone
                 self.log("fault", traceback.format_exc(limit=-3))
         if self.feed:
@@ -389,8 +401,8 @@
             self.keeper.close()
 
 
-def wanted_of(operator: str | None) -> "OperatorSettings | None":
-    """What the operator's file asks for; raises Misfit."""
+def load_operator_settings(operator: str | None) -> "OperatorSettings | None":
+    """What the operator's file asks for; raises ConfigError."""
     if not operator:
         return None
     from knotwalk.settings.operator import SettingsError, load_in_subprocess
@@ -398,14 +410,14 @@
     try:
         return load_in_subprocess(operator)
     except SettingsError as fault:
-        raise Misfit(str(fault)) from None
+        raise ConfigError(str(fault)) from None
 
 
 def check(environ: Mapping[str, str], operator: str | None = None) -> int:
     """Read the configuration and say what it holds; the exit code."""
     try:
-        config, wanted = Config(environ), wanted_of(operator)
-    except Misfit as fault:
+        config, wanted = Config(environ), load_operator_settings(operator)
+    except ConfigError as fault:
         print(f"knotwalk: {fault}", file=sys.stderr)
         return 2
     s = config.settings
@@ -416,7 +428,7 @@
     methods = ", ".join(config.methods) or "none"
     print(f"{s.slices} slices, {len(config.known)} servers known, methods: {methods}")
     print(
-        f"a round every {config.tick * 1e3:g} ms at most, {config.seats} connections at most, "
+        f"a round every {config.tick_s * 1e3:g} ms at most, {config.max_connections} connections at most, "
         f"{s.messages_most or 'any number of'} messages to a proxy in {s.messages_span:g} s"
     )
     record, pubsub = (wanted.record, wanted.pubsub) if wanted else (None, None)
@@ -435,13 +447,13 @@
 
     `hangups`: SIGHUPs as they come before this has a loop; any of them is a reload once it serves."""
     try:
-        host = Host(Config(environ), Log(), wanted_of(operator))
-    except Misfit as fault:
+        host = Host(Config(environ), Log(), load_operator_settings(operator))
+    except ConfigError as fault:
         print(f"knotwalk: {fault}", file=sys.stderr)
         return 2
-    host.loop.signals((signal.SIGHUP, signal.SIGTERM, signal.SIGINT), lambda n: host.signalled(n, environ))
+    host.loop.add_signal_handlers((signal.SIGHUP, signal.SIGTERM, signal.SIGINT), lambda n: host.on_signal(n, environ))
     if hangups:
-        host.loop.after(0.0, lambda: host.signalled(signal.SIGHUP, environ))
+        host.loop.call_later(0.0, lambda: host.on_signal(signal.SIGHUP, environ))
     try:
         host.run()
     except OSError as fault:
--- a/knotwalk/net/discovery.py
+++ b/knotwalk/net/discovery.py
@@ -8,20 +8,20 @@
 from collections.abc import Callable, Mapping
 
 from knotwalk.net import http
-from knotwalk.net.close_reason import Ending, Role, outcome
+from knotwalk.net.close_reason import CloseReason, Role, outcome
 from knotwalk.net.log import Log
-from knotwalk.net.loop import AGAIN_FIRST, Kept, Link, Loop, Timer, Unreadable
+from knotwalk.net.loop import MIN_RECONNECT_DELAY_S, Connection, Loop, PersistentConnection, ProtocolError, Timer
 from knotwalk.wire_values import SERVER_STATES, error_text, parse_amount
 
-WAIT = 1.0  # seconds that a watch may wait: a change counts as told 2 s after, whether it came or not
-LATE = 0.5  # seconds past its wait after which a call is silent; the whole list has none
-LIST_MOST = 1 << 22  # bytes of an answer: some ten thousand servers
+WATCH_WAIT_S = 1.0  # seconds that a watch may wait: a change counts as payload 2 s after, whether it came or not
+ANSWER_MARGIN_S = 0.5  # seconds past its wait after which a call is silent; the whole list has none
+MAX_LIST_BYTES = 1 << 22  # bytes of an answer: some ten thousand servers
 
 
-def entry(f: Mapping) -> tuple:
+def parse_entry(f: Mapping) -> tuple:
     """One list entry as the module has it.
 
-    >>> entry({"id": "s", "zone": "cork", "state": "leaving", "weight": 1.5, "started_ms": 2500})
+    >>> parse_entry({"id": "s", "zone": "cork", "state": "leaving", "weight": 1.5, "started_ms": 2500})
     ('s', 'cork', 'draining', 1.5, 2.5)
     """
     if f["state"] not in SERVER_STATES:
@@ -35,79 +35,82 @@
     )
 
 
-class Watch(Kept):
+class ListWatch(PersistentConnection):
     """The watch: one call after the other on one connection."""
 
     def __init__(
-        self, loop: Loop, address: tuple[str, int], version: int, known: list[tuple], tell: Callable, log: Log
+        self, loop: Loop, address: tuple[str, int], version: int, known: list[tuple], enqueue: Callable, log: Log
     ):
         super().__init__(loop, address)
-        self.tell, self.log = tell, log
+        self.enqueue, self.log = enqueue, log
         self.version = version
         self.entries = {x[0]: x for x in known if x[2] != "gone"}  # the list as now held
-        self.answers, self.status, self.body = http.Answers(LIST_MOST), 0, b""
-        self.whole = True  # the next call asks for the whole list
-        self.silence: Timer | None = None
+        self.parser, self.status, self.body = http.ResponseParser(MAX_LIST_BYTES), 0, b""
+        self.needs_full_list = True  # the next call asks for the whole list
+        self.answer_timer: Timer | None = None
 
-    def ask(self, link: Link) -> None:
-        query = None if self.whole else {"since": self.version, "timeout_ms": int(WAIT * 1e3)}
+    def send_request(self, connection: Connection) -> None:
+        query = None if self.needs_full_list else {"since": self.version, "timeout_ms": int(WATCH_WAIT_S * 1e3)}
         self.status, self.body = 0, b""
-        self.silence = self.loop.after(LATE + (0 if self.whole else WAIT), lambda: link.end(Ending.SILENT))
-        link.write(http.request("%s:%d" % link.address, "GET", "/v1/servers", query))
-
-    def up(self, link: Link) -> None:
-        self.answers = http.Answers(LIST_MOST)
-        self.ask(link)
-
-    def fed(self, link: Link, data: memoryview) -> None:
-        for kind, value in self.answers.feed(data):
+        self.answer_timer = self.loop.call_later(
+            ANSWER_MARGIN_S + (0 if self.needs_full_list else WATCH_WAIT_S),
+            lambda: connection.close(CloseReason.SILENT),
+        )
+        connection.write(http.build_request("%s:%d" % connection.address, "GET", "/v1/servers", query))
+
+    def connection_ready(self, connection: Connection) -> None:
+        self.parser = http.ResponseParser(MAX_LIST_BYTES)
+        self.send_request(connection)
+
+    def data_received(self, connection: Connection, data: memoryview) -> None:
+        for kind, value in self.parser.feed(data):
             if kind == "status":
                 self.status = value
             elif kind == "piece":
                 self.body += value
             else:
-                if self.silence:
-                    self.silence.cancel()
-                self.answered()
+                if self.answer_timer:
+                    self.answer_timer.cancel()
+                self.on_answer()
                 if value:
-                    self.ask(link)
+                    self.send_request(connection)
                 else:  # an agent that closes after each answer: the watch goes on over the next one
-                    link.end(Ending.LEFT)
+                    connection.close(CloseReason.LEFT)
                     return
 
-    def answered(self) -> None:
+    def on_answer(self) -> None:
         if self.status != 200:
-            raise Unreadable(f"answer {self.status}: {self.body[:100]!r}")
+            raise ProtocolError(f"answer {self.status}: {self.body[:100]!r}")
         try:
-            told = json.loads(self.body)
-            version, full, servers = int(told["version"]), bool(told["full"]), told["servers"]
-            entries = [entry(f) for f in servers]
+            payload = json.loads(self.body)
+            version, full, servers = int(payload["version"]), bool(payload["full"]), payload["servers"]
+            entries = [parse_entry(f) for f in servers]
         except (ValueError, TypeError, AttributeError, KeyError) as fault:
-            raise Unreadable(f"no list: {error_text(fault)}") from None
-        if not self.whole:
-            self.wait = AGAIN_FIRST
+            raise ProtocolError(f"no list: {error_text(fault)}") from None
+        if not self.needs_full_list:
+            self.reconnect_delay = MIN_RECONNECT_DELAY_S
         if not full and version < self.version:
-            self.whole = True  # restarted with an older list: changes to that are none to ours
+            self.needs_full_list = True  # restarted with an older list: changes to that are none to ours
             return
         if full:
-            self.whole, self.entries = False, {}
+            self.needs_full_list, self.entries = False, {}
         for x in entries:  # what has gone is let go: a list that is renewed all day would fill the memory
             self.entries.pop(x[0], None)
             if x[2] != "gone":
                 self.entries[x[0]] = x
         if full or entries:
-            self.tell("listed", full, False, entries)
+            self.enqueue("listed", full, False, entries)
         self.version = version
 
-    def lost(self, link: Link | None, ending: Ending) -> None:
-        if self.silence:
-            self.silence.cancel()
-        if ending is not Ending.LEFT:
-            # After a gap the whole list: changes may have been told to a connection that is gone.
-            self.whole = True
-            means = outcome(Role.LIST, ending)
-            self.log("list lost", f"{ending.value}: {means.value} {link.fault if link else ''}")
-
-    def move(self, address: tuple[str, int]) -> None:
-        self.whole = True  # versions there may differ
-        super().move(address)
+    def connection_failed(self, connection: Connection | None, reason: CloseReason) -> None:
+        if self.answer_timer:
+            self.answer_timer.cancel()
+        if reason is not CloseReason.LEFT:
+            # After a gap the whole list: changes may have been payload to a connection that is gone.
+            self.needs_full_list = True
+            means = outcome(Role.LIST, reason)
+            self.log("list lost", f"{reason.value}: {means.value} {connection.error if connection else ''}")
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        self.needs_full_list = True  # versions there may differ
+        super().change_address(address)
--- a/knotwalk/net/http.py
+++ b/knotwalk/net/http.py
@@ -8,56 +8,56 @@
 
 import httptools
 
-from knotwalk.net.loop import TooLong, Unreadable
+from knotwalk.net.loop import MessageTooLongError, ProtocolError
 
 
-class Answers:
+class ResponseParser:
     """The machine of one connection: answers in the order in which they come.
 
     Events are ("status", code), ("piece", bytes) and ("end", whether the connection may be used again).
     """
 
-    def __init__(self, most: int):
-        self.most = most  # bytes of an answer, 0: as long as it likes
+    def __init__(self, max_body_bytes: int):
+        self.max_body_bytes = max_body_bytes  # bytes of an answer, 0: as long as it likes
         self.events: list[tuple] = []
-        self.size = 0
+        self.body_size = 0
         self.parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes | memoryview) -> list[tuple]:
         """What these bytes bring.
 
-        >>> Answers(99).feed(b"HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
+        >>> ResponseParser(99).feed(b"HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
         [('status', 200), ('piece', b'hi'), ('end', True)]
         """
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
-            if isinstance(fault.__context__, Unreadable):
+            if isinstance(fault.__context__, ProtocolError):
                 raise fault.__context__ from None
-            raise Unreadable(f"no HTTP answer: {fault}") from None
+            raise ProtocolError(f"no HTTP answer: {fault}") from None
         events, self.events = self.events, []
         return events
 
     # --- called by the parser ---
 
     def on_headers_complete(self) -> None:
-        self.size = 0
+        self.body_size = 0
         self.events.append(("status", self.parser.get_status_code()))
 
     def on_body(self, body: bytes) -> None:
-        self.size += len(body)
-        if self.most and self.size > self.most:
-            raise TooLong(f"an answer of over {self.most} bytes")
+        self.body_size += len(body)
+        if self.max_body_bytes and self.body_size > self.max_body_bytes:
+            raise MessageTooLongError(f"an answer of over {self.max_body_bytes} bytes")
         self.events.append(("piece", body))
 
     def on_message_complete(self) -> None:
         self.events.append(("end", self.parser.should_keep_alive()))
 
 
-def request(host: str, method: str, path: str, query: dict | None = None, body: bytes = b"") -> bytes:
+def build_request(host: str, method: str, path: str, query: dict | None = None, body: bytes = b"") -> bytes:
     """One request.
 
-    >>> request("h:1", "GET", "/v1/a", {"since": 4})
+    >>> build_request("h:1", "GET", "/v1/a", {"since": 4})
     b'GET /v1/a?since=4 HTTP/1.1\\r\\nHost: h:1\\r\\n\\r\\n'
     """
     target = path + ("?" + urlencode(query) if query else "")
--- a/knotwalk/net/log.py
+++ b/knotwalk/net/log.py
@@ -8,9 +8,9 @@
 import sys
 import time
 
-BURST = 5  # lines of one kind in a row: enough to see a pattern
-REFILL = 1.0  # seconds for one more: a fault that stays shows once a second, and no log fills a disk
-LONGEST = 2000  # bytes of a line: under the 4096 bytes that a pipe takes whole or not at all
+MAX_BURST = 5  # lines of one kind in a row: enough to see a pattern
+REFILL_INTERVAL_S = 1.0  # seconds for one more: a fault that stays shows once a second, and no log fills a disk
+MAX_LINE_BYTES = 2000  # bytes of a line: under the 4096 bytes that a pipe takes whole or not at all
 
 
 class Log:
@@ -23,23 +23,23 @@
     def __call__(self, kind: str, text: str = "") -> None:
         """Print "kind: text", unless too many of the kind came of late."""
         now = self.clock()
-        left = self.kinds.setdefault(kind, [BURST, now, 0])
-        left[0] = min(BURST, left[0] + (now - left[1]) / REFILL)
-        left[1] = now
-        if left[0] < 1 or not self.writable():
-            left[2] += 1
+        state = self.kinds.setdefault(kind, [MAX_BURST, now, 0])
+        state[0] = min(MAX_BURST, state[0] + (now - state[1]) / REFILL_INTERVAL_S)
+        state[1] = now
+        if state[0] < 1 or not self.is_writable():
+            state[2] += 1
             return
-        left[0] -= 1
-        held, left[2] = left[2], 0
-        more = f" ({held} more of this kind held back)" if held else ""
-        line = " ".join(f"{kind}: {text}".split())[:LONGEST]
-        line = line.encode("ascii", "backslashreplace")[:LONGEST].decode()
+        state[0] -= 1
+        suppressed, state[2] = state[2], 0
+        more = f" ({suppressed} more of this kind held back)" if suppressed else ""
+        line = " ".join(f"{kind}: {text}".split())[:MAX_LINE_BYTES]
+        line = line.encode("ascii", "backslashreplace")[:MAX_LINE_BYTES].decode()
         try:
             print(f"knotwalk {line}{more}", file=self.stream, flush=True)
         except (OSError, ValueError):
-            left[2] += 1
+            state[2] += 1
 
-    def writable(self) -> bool:
+    def is_writable(self) -> bool:
         """Whether a line goes out without waiting: a full pipe must not stop the loop."""
         try:
             poll = select.poll()
--- a/knotwalk/net/ring.py
+++ b/knotwalk/net/ring.py
@@ -3,68 +3,70 @@
 Owns the memory between a socket and a protocol machine, and its bound. It must never know what bytes mean.
 """
 
-FIRST = 1024  # bytes at the start: an ordinary call or an answer to a probe fits; it doubles at need
+INITIAL_BYTES = (
+    1024  # bytes position the start: an ordinary call or an answer to a probe fits; it doubles position need
+)
 
 
-class Ring:
-    """Bytes in order; grows by doubling up to `most`.
+class RingBuffer:
+    """Bytes in order; grows by doubling up to `max_bytes`.
 
-    >>> ring = Ring(8)
+    >>> ring = RingBuffer(8)
     >>> ring.put(b"abcdef")
     True
-    >>> ring.took(4); ring.put(b"ghijkl"), bytes(ring.data()), ring.put(b"m")
+    >>> ring.consume(4); ring.put(b"ghijkl"), bytes(ring.peek()), ring.put(b"m")
     (True, b'efgh', False)
     """
 
-    def __init__(self, most: int, first: int = FIRST):
-        self.most = most
-        self.buffer = bytearray(min(first, most))
+    def __init__(self, max_bytes: int, initial_bytes: int = INITIAL_BYTES):
+        self.max_bytes = max_bytes
+        self.buffer = bytearray(min(initial_bytes, max_bytes))
         self.start = self.size = 0
 
-    def data(self) -> memoryview:
+    def peek(self) -> memoryview:
         """The first bytes, as many as lie in one piece."""
         return memoryview(self.buffer)[self.start : min(self.start + self.size, len(self.buffer))]
 
-    def took(self, count: int) -> None:
+    def consume(self, count: int) -> None:
         """Drop the first bytes."""
         self.size -= count
         self.start = (self.start + count) % len(self.buffer) if self.size else 0
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Free space in one piece, empty if the ring is full."""
-        if self.size == len(self.buffer) < self.most:
+        if self.size == len(self.buffer) < self.max_bytes:
             self.grow(2 * self.size)
         end = (self.start + self.size) % len(self.buffer)
         if self.size == len(self.buffer):
             return memoryview(b"")
         return memoryview(self.buffer)[end : self.start if end < self.start else len(self.buffer)]
 
-    def wrote(self, count: int) -> None:
+    def commit(self, count: int) -> None:
         """So many bytes were put into room()."""
         self.size += count
 
     def put(self, data: bytes) -> bool:
         """Add all of it, or nothing if it does not fit."""
-        if self.size + len(data) > self.most:
+        if self.size + len(data) > self.max_bytes:
             return False
         if self.size + len(data) > len(self.buffer):
             self.grow(self.size + len(data))
-        at = 0
-        while at < len(data):
-            room = self.room()
-            count = min(len(room), len(data) - at)
-            room[:count] = data[at : at + count]
-            self.wrote(count)
-            at += count
+        position = 0
+        while position < len(data):
+            space = self.free_space()
+            count = min(len(space), len(data) - position)
+            space[:count] = data[position : position + count]
+            self.commit(count)
+            position += count
         return True
 
-    def grow(self, least: int) -> None:
+    def grow(self, min_size: int) -> None:
         length = len(self.buffer)
-        while length < least:
+        while length < min_size:
             length *= 2
-        held = bytes(self.data())
-        rest = self.size - len(held)
-        held += bytes(self.buffer[:rest])
-        self.buffer = bytearray(min(length, self.most))
-        self.buffer[: len(held)] = held
+        content = bytes(self.peek())
+        rest = self.size - len(content)
+        content += bytes(self.buffer[:rest])
+        self.buffer = bytearray(min(length, self.max_bytes))
+        self.buffer[: len(content)] = content
         self.start = 0
--- a/knotwalk/pubsub/client.py
+++ b/knotwalk/pubsub/client.py
@@ -6,8 +6,8 @@
 import ssl
 from collections.abc import Callable, Mapping, Sequence
 
-from knotwalk.net.close_reason import Ending
-from knotwalk.net.loop import Link, Loop, Timer, Unreadable
+from knotwalk.net.close_reason import CloseReason
+from knotwalk.net.loop import Connection, Loop, ProtocolError, Timer
 from knotwalk.pubsub import wire
 from knotwalk.pubsub.secure import Secure
 from knotwalk.pubsub.subscriber import Subscriber
@@ -33,7 +33,7 @@
         self.loop, self.addresses, self.subscriber = loop, list(addresses), subscriber
         self.changed, self.said, self.context, self.server_name = changed, said, context, server_name
         self.at = 0
-        self.link: Link | None = None
+        self.link: Connection | None = None
         self.lines = wire.Lines(wire.FROM_PUBLISHER)
         self.timer: Timer | None = None
         self.later = 0.0  # seconds that the publisher asked to wait
@@ -48,9 +48,9 @@
         if self.timer:
             self.timer.cancel()
         if self.link:
-            self.link.end(Ending.LEFT)
+            self.link.close(CloseReason.LEFT)
 
-    def opened(self, link: Link) -> None:
+    def connection_made(self, link: Connection) -> None:
         self.link, self.lines = link, wire.Lines(wire.FROM_PUBLISHER)
         self.said("connected", "%s:%d" % self.addresses[self.at])
         link.write(self.subscriber.hello())
@@ -59,13 +59,13 @@
     def stay_awake(self) -> None:
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.after(SILENT, self.silent)
+        self.timer = self.loop.call_later(SILENT, self.silent)
 
     def silent(self) -> None:
         if self.link:
-            self.link.end(Ending.SILENT)
+            self.link.close(CloseReason.SILENT)
 
-    def fed(self, link: Link, data: memoryview) -> None:
+    def data_received(self, link: Connection, data: memoryview) -> None:
         self.stay_awake()
         for told in self.lines.feed(data):
             if told["t"] == "later":
@@ -78,23 +78,23 @@
             try:
                 answers = self.subscriber.message(self.loop.now(), told)
             except ValueError as fault:
-                raise Unreadable(str(fault)) from None
+                raise ProtocolError(str(fault)) from None
             for answer in answers:
                 link.write(answer)
             if self.subscriber.applied > before:
                 self.changed(told)
-            if link.over:
+            if link.closed:
                 return
 
-    def ended(self, link: Link | None, ending: Ending) -> None:
+    def connection_lost(self, link: Connection | None, ending: CloseReason) -> None:
         self.link = None
         if self.timer:
             self.timer.cancel()
         if self.stopped:
             return
-        if ending is not Ending.LEFT:
-            self.said("lost", f"{ending.value} {link.fault if link else ''}")
+        if ending is not CloseReason.LEFT:
+            self.said("lost", f"{ending.value} {link.error if link else ''}")
         wait, self.later = max(self.subscriber.again(self.loop.now()), self.later), 0.0
         if len(self.addresses) > 1:
             self.at = (self.at + 1) % len(self.addresses)
-        self.timer = self.loop.after(wait, self.start)
+        self.timer = self.loop.call_later(wait, self.start)
--- a/knotwalk/pubsub/command.py
+++ b/knotwalk/pubsub/command.py
@@ -106,9 +106,9 @@
             done.append(1)
 
     client = Client(loop, addresses, held, changed, said, context, options["--server-name"])
-    loop.signals((signal.SIGINT, signal.SIGTERM), lambda _: done.append(0))
+    loop.add_signal_handlers((signal.SIGINT, signal.SIGTERM), lambda _: done.append(0))
     client.start()
     while not done:
-        loop.turn()
+        loop.run_once()
     client.stop()
     return done[0]
--- a/knotwalk/pubsub/front.py
+++ b/knotwalk/pubsub/front.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from knotwalk.net.close_reason import Ending
+from knotwalk.net.close_reason import CloseReason
 from knotwalk.net.log import Log
-from knotwalk.net.loop import Link, Loop, Timer
+from knotwalk.net.loop import Connection, Loop, Timer
 from knotwalk.pubsub import wire
 from knotwalk.pubsub.hub import Cursor, Hub, Later, Refused
 from knotwalk.pubsub.secure import Secure
@@ -101,21 +101,21 @@
         self.lines = wire.Lines(wire.FROM_CLIENT)
         self.cursor: Cursor | None = None
         self.secure: Secure | None = None
-        self.link: Link | None = None
+        self.link: Connection | None = None
         self.timer: Timer | None = None
 
-    def opened(self, link: Link) -> None:
+    def connection_made(self, link: Connection) -> None:
         self.link = link
         self.all.streams[self] = link
-        self.timer = self.all.loop.after(HELLO, self.silent)
+        self.timer = self.all.loop.call_later(HELLO, self.silent)
         if len(self.all.streams) > self.all.seats:
             self.all.crowd_out()
 
     def silent(self) -> None:
         if self.cursor is None and self.link is not None:
-            self.link.end(Ending.STRANGER)
+            self.link.close(CloseReason.STRANGER)
 
-    def fed(self, link: Link, data: memoryview) -> None:
+    def data_received(self, link: Connection, data: memoryview) -> None:
         for told in self.lines.feed(data):
             try:
                 if self.cursor is None:
@@ -136,11 +136,11 @@
                     raise Refused(f"no such message '{told['t'][:20]}'")
             except (Refused, ValueError) as fault:
                 self.refuse(link, "error", str(fault))
-            if link.over:
+            if link.closed:
                 return
         self.all.poke()
 
-    def hello(self, link: Link, told: dict) -> None:
+    def hello(self, link: Connection, told: dict) -> None:
         hello = wire.Hello(told)
         why = self.all.access.admits(hello, self.secure.names() if self.secure else None)
         if why:
@@ -153,20 +153,20 @@
         except Later as later:
             self.refuse(link, "later", str(later), after_ms=int(later.after * 1e3) + 1)
             return
-        cursor.writable = lambda: link.out.size < UNREAD
+        cursor.writable = lambda: link.write_buffer.size < UNREAD
         old = self.all.by_cursor.get(cursor.name)
         self.cursor = cursor
         self.all.by_cursor[cursor.name] = self
         if old is not None and old.link is not None:
             old.cursor = None  # its place is taken: it ends without a word to the module
-            old.link.end(Ending.CROWDED)
+            old.link.close(CloseReason.CROWDED)
         if self.timer:
             self.timer.cancel()
         link.write(wire.line("welcome", v=wire.VERSION, epoch=self.all.hub.table.epoch, born=self.all.born))
         if cursor.proxy is not None:
             self.all.joined(cursor.proxy)
 
-    def refuse(self, link: Link, kind: str, why: str, **members: object) -> None:
+    def refuse(self, link: Connection, kind: str, why: str, **members: object) -> None:
         """A last word, and the end."""
         self.all.log(
             f"subscriber {'put off' if kind == 'later' else 'refused'}",
@@ -175,15 +175,15 @@
         link.write(wire.line(kind, why=why, **members))
         self.finish(link)
 
-    def finish(self, link: Link) -> None:
-        if not link.over:
-            if link.out.size:
-                self.all.loop.after(ENDED, lambda: link.end(Ending.LEFT))
+    def finish(self, link: Connection) -> None:
+        if not link.closed:
+            if link.write_buffer.size:
+                self.all.loop.call_later(ENDED, lambda: link.close(CloseReason.LEFT))
                 self.lines = wire.Lines(0)  # whatever it says now ends it at once
             else:
-                link.end(Ending.LEFT)
+                link.close(CloseReason.LEFT)
 
-    def ended(self, link: Link | None, ending: Ending) -> None:
+    def connection_lost(self, link: Connection | None, ending: CloseReason) -> None:
         self.all.streams.pop(self, None)
         if self.timer:
             self.timer.cancel()
@@ -194,10 +194,10 @@
                 del self.all.by_cursor[cursor.name]
                 if cursor.proxy is not None:
                     self.all.gone(cursor.proxy)
-        if ending not in (Ending.CLOSED, Ending.LEFT, Ending.RESET):
+        if ending not in (CloseReason.CLOSED, CloseReason.LEFT, CloseReason.RESET):
             self.all.log(
                 "subscriber ended",
-                f"{cursor.name if cursor else 'a stranger'}: {ending.value} {link.fault if link else ''}",
+                f"{cursor.name if cursor else 'a stranger'}: {ending.value} {link.error if link else ''}",
             )
 
 
@@ -218,7 +218,7 @@
     ):
         self.loop, self.hub, self.access, self.tell, self.log = loop, hub, access, tell, log
         self.elsewhere, self.seats, self.born, self.stands = joined_elsewhere, seats, born, stands
-        self.streams: dict[Stream, Link] = {}  # the oldest first
+        self.streams: dict[Stream, Connection] = {}  # the oldest first
         self.by_cursor: dict[str, Stream] = {}
         self.timer: Timer | None = None
         self.due = float("inf")
@@ -236,7 +236,7 @@
     def crowd_out(self) -> None:
         """A stranger goes first; a subscriber only if there are none."""
         victim = next((s for s in self.streams if s.cursor is None), next(iter(self.streams)))
-        self.streams[victim].end(Ending.CROWDED)
+        self.streams[victim].close(CloseReason.CROWDED)
 
     def reload(self, access: Access) -> None:
         """Other keys and certificates from now on; streams that are up stay."""
@@ -248,7 +248,7 @@
         self.hub.table.epoch = os.urandom(8).hex()
         self.hub.key = os.urandom(32)
         for link in list(self.streams.values()):
-            link.end(Ending.LEFT)
+            link.close(CloseReason.LEFT)
 
     def joined(self, proxy: int) -> None:
         if not self.elsewhere(proxy):
@@ -273,7 +273,7 @@
         if self.timer:
             self.timer.cancel()
         self.due = at
-        self.timer = self.loop.at(at, self.turn)
+        self.timer = self.loop.call_at(at, self.turn)
 
     def turn(self) -> None:
         self.due, self.timer = float("inf"), None
--- a/knotwalk/pubsub/keep.py
+++ b/knotwalk/pubsub/keep.py
@@ -136,7 +136,7 @@
         except OSError as fault:
             ours.close()
             self.log("keeping stands still", str(fault.strerror))
-            self.loop.after(AGAIN, self.start)
+            self.loop.call_later(AGAIN, self.start)
             return
         finally:
             theirs.close()
@@ -144,7 +144,7 @@
         self.sock, self.busy, self.going = ours, False, b""
         self.loop.selector.register(ours, selectors.EVENT_READ, self)
 
-    def turn(self, events: int) -> None:
+    def handle_events(self, events: int) -> None:
         assert self.sock is not None
         if events & selectors.EVENT_WRITE:
             self.flush()
@@ -161,7 +161,7 @@
             self.sock.close()
             self.sock = None
             self.log("keeping stands still", "its process ended")
-            self.loop.after(AGAIN, self.start)
+            self.loop.call_later(AGAIN, self.start)
             return
         self.busy = False
         if data[-1:] == b"+":
@@ -173,7 +173,7 @@
         """Every EVERY: the table as it is, if it has changed."""
         if self.table.version != self.kept:
             self.offer()
-        self.loop.after(EVERY, self.due)
+        self.loop.call_later(EVERY, self.due)
 
     def watch(self, exhausted: Callable[[], None]) -> None:
         """After each round: reserve in time; where no disk did, versions may run out, and the epoch with them."""
--- a/knotwalk/pubsub/wire.py
+++ b/knotwalk/pubsub/wire.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from knotwalk.net.loop import TooLong, Unreadable
+from knotwalk.net.loop import MessageTooLongError, ProtocolError
 from knotwalk.pubsub.versions import Delta, Part
 
 VERSION = 1
@@ -36,16 +36,16 @@
             line = bytes(self.held[:end])
             del self.held[: end + 1]
             if len(line) > self.most:
-                raise TooLong(f"a line of {len(line)} bytes, {self.most} at most")
+                raise MessageTooLongError(f"a line of {len(line)} bytes, {self.most} at most")
             try:
                 told = json.loads(line)
             except (ValueError, RecursionError):
-                raise Unreadable(f"no JSON: {line[:60]!r}") from None
+                raise ProtocolError(f"no JSON: {line[:60]!r}") from None
             if not isinstance(told, dict) or not isinstance(told.get("t"), str):
-                raise Unreadable(f"no message: {line[:60]!r}")
+                raise ProtocolError(f"no message: {line[:60]!r}")
             yield told
         if len(self.held) > self.most:
-            raise TooLong(f"a line of over {self.most} bytes")
+            raise MessageTooLongError(f"a line of over {self.most} bytes")
 
 
 def line(kind: str, **members: object) -> bytes:
--- a/knotwalk/record/feed.py
+++ b/knotwalk/record/feed.py
@@ -64,7 +64,7 @@
         self.lose(why)
         if self.loop.now() > self.begun + STEADY:
             self.wait = AGAIN_FIRST
-        self.loop.after(self.wait, self.start)
+        self.loop.call_later(self.wait, self.start)
         self.wait = min(AGAIN_MOST, 2 * self.wait)
 
     def lose(self, why: str) -> None:
@@ -72,7 +72,7 @@
             self.told_lost = True
             self.log("recording stands still", why)
 
-    def turn(self, _events: int) -> None:
+    def handle_events(self, _events: int) -> None:
         """The writer has said something, or died."""
         assert self.sock is not None
         try:
@@ -108,7 +108,7 @@
         elif self.told_lost and self.sock:
             self.told_lost = False
             self.log("recording goes on", f"{self.recorder.lost_all} rounds lost so far")
-        self.loop.after(PACE, self.due)
+        self.loop.call_later(PACE, self.due)
 
     def flush(self) -> None:
         self.recorder.settle()
--- a/tests/standins/edges.py
+++ b/tests/standins/edges.py
@@ -66,8 +66,8 @@
     def turn(self, seconds=0.0):
         end = time.monotonic() + seconds
         while True:
-            self.loop.after(0.005, lambda: None)
-            self.loop.turn()
+            self.loop.call_later(0.005, lambda: None)
+            self.loop.run_once()
             if time.monotonic() >= end:
                 return
 
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -10,9 +10,9 @@
 
 import httptools
 
-from knotwalk.net.close_reason import Ending
-from knotwalk.net.loop import Loop, Timer, Unreadable
-from knotwalk.net.ring import Ring
+from knotwalk.net.close_reason import CloseReason
+from knotwalk.net.loop import Loop, ProtocolError, Timer
+from knotwalk.net.ring import RingBuffer
 
 
 class Clock:
@@ -24,13 +24,13 @@
     def now(self):
         return self.time
 
-    def at(self, when, call):
+    def call_at(self, when, call):
         timer = Timer(call)
         self.timers.append((when, timer))
         return timer
 
-    def after(self, seconds, call):
-        return self.at(self.time + seconds, call)
+    def call_later(self, seconds, call):
+        return self.call_at(self.time + seconds, call)
 
     def connect(self, address, peer, within):
         self.connects.append(peer)
@@ -39,8 +39,8 @@
         until = self.time + seconds
         while due := sorted(((when, k) for k, (when, timer) in enumerate(self.timers) if when <= until)):
             self.time, timer = max(self.time, due[0][0]), self.timers.pop(due[0][1])[1]
-            if timer.call:
-                timer.call()
+            if timer.callback:
+                timer.callback()
         self.time = until
 
 
@@ -48,25 +48,25 @@
     """A link without a socket: what is written and how it ended."""
 
     def __init__(self, peer, address=("127.0.0.1", 1)):
-        self.peer, self.written, self.over, self.out, self.fault = peer, b"", False, Ring(1 << 17), ""
+        self.peer, self.written, self.closed, self.write_buffer, self.error = peer, b"", False, RingBuffer(1 << 17), ""
         self.address = address
-        peer.opened(self)
+        peer.connection_made(self)
 
     def write(self, data):
         self.written += data
 
     def feed(self, data):
-        if self.over:
+        if self.closed:
             return
         try:
-            self.peer.fed(self, memoryview(data))
-        except Unreadable as fault:
-            self.end(fault.ending)
+            self.peer.data_received(self, memoryview(data))
+        except ProtocolError as fault:
+            self.close(fault.close_reason)
 
-    def end(self, ending):
-        if not self.over:
-            self.over = ending
-            self.peer.ended(self, ending)
+    def close(self, ending):
+        if not self.closed:
+            self.closed = ending
+            self.peer.connection_lost(self, ending)
 
 
 def answer(body, status="200 OK"):
@@ -120,8 +120,8 @@
         end = self.loop.now() + seconds
         while not (value := true()):
             assert self.loop.now() < end, "never came"
-            self.loop.after(0.02, lambda: None)
-            self.loop.turn()
+            self.loop.call_later(0.02, lambda: None)
+            self.loop.run_once()
         return value
 
     def tell(self, *objects):
@@ -191,11 +191,11 @@
         self.stand, self.body, self.path = stand, b"", ""
         self.parser = httptools.HttpRequestParser(self)
 
-    def opened(self, link):
+    def connection_made(self, link):
         self.link = link
         self.stand.links.append(link)
 
-    def fed(self, link, data):
+    def data_received(self, link, data):
         self.parser.feed_data(data)
 
     def on_url(self, url):
@@ -210,7 +210,7 @@
             full, version = "since" not in self.path, stand.version
             if not full and int(self.path.split("since=")[1].split("&")[0]) == version:
                 nothing = answer({"version": version, "full": False, "servers": []})
-                stand.loop.after(0.1, lambda: link.write(nothing))
+                stand.loop.call_later(0.1, lambda: link.write(nothing))
             else:
                 link.write(answer({"version": version, "full": full, "servers": stand.servers}))
         elif self.path == "/v1/stream":
@@ -226,14 +226,14 @@
             if fate:
                 link.write(answer({"accepted": len(orders)}))
             else:
-                link.end(Ending.LEFT)
+                link.close(CloseReason.LEFT)
 
     def sign(self):
-        if not self.link.over:
+        if not self.link.closed:
             self.link.write(lines(("", {}), head=False))
-            self.stand.loop.after(1.0, self.sign)
+            self.stand.loop.call_later(1.0, self.sign)
 
-    def ended(self, link, ending):
+    def connection_lost(self, link, ending):
         if link in self.stand.news:
             self.stand.news.remove(link)
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -2,31 +2,31 @@
 
 import io
 
-from knotwalk.net.close_reason import Ending, Outcome, Role, outcome
-from knotwalk.net.http import Answers
+from knotwalk.net.close_reason import CloseReason, Outcome, Role, outcome
+from knotwalk.net.http import ResponseParser
 from knotwalk.net.log import Log
-from knotwalk.net.loop import TooLong, Unreadable
-from knotwalk.net.resp import Resp, packed
-from knotwalk.net.ring import Ring
+from knotwalk.net.loop import MessageTooLongError, ProtocolError
+from knotwalk.net.resp import RespParser, encode_message
+from knotwalk.net.ring import RingBuffer
 from knotwalk.wire_values import MalformedError, flatten_settings, read_methods, read_settings
 
 
 def fault_of(machine, data):
     try:
         machine.feed(data)
-    except Unreadable as fault:
+    except ProtocolError as fault:
         return type(fault)
     return None
 
 
 def test_resp_at_every_split():
-    data = packed("agent", "zone", "") + packed("probe") + packed("hot", "slice", "ü" * 40)
+    data = encode_message("agent", "zone", "") + encode_message("probe") + encode_message("hot", "slice", "ü" * 40)
     whole = [["agent", "zone", ""], ["probe"], ["hot", "slice", "ü" * 40]]
     for at in range(len(data) + 1):
-        resp = Resp()
+        resp = RespParser()
         assert resp.feed(data[:at]) + resp.feed(data[at:]) == whole
-    resp = Resp()
-    assert [x for k in range(len(data)) for x in resp.feed(data[k : k + 1])] == whole and not resp.weight()
+    resp = RespParser()
+    assert [x for k in range(len(data)) for x in resp.feed(data[k : k + 1])] == whole and not resp.buffered_bytes()
 
 
 def test_resp_that_is_malformed_or_too_long():
@@ -40,11 +40,11 @@
         b"\r\n",
         b"*1\r\n$-1\r\n",
     ):
-        assert fault_of(Resp(), bad) is Unreadable, bad
+        assert fault_of(RespParser(), bad) is ProtocolError, bad
     two = b"*2\r\n$900000\r\n" + b"x" * 900000 + b"\r\n$900000\r\n"
     for bad in (b"*1\r\n$1048577\r\n", b"*9999\r\n", two):
-        assert fault_of(Resp(), bad) is TooLong, bad[:30]
-    assert len(Resp().feed(b"*1\r\n$1000000\r\n" + b"x" * 1000000 + b"\r\n")) == 1
+        assert fault_of(RespParser(), bad) is MessageTooLongError, bad[:30]
+    assert len(RespParser().feed(b"*1\r\n$1000000\r\n" + b"x" * 1000000 + b"\r\n")) == 1
 
 
 def test_http_answers_at_every_split():
@@ -54,7 +54,7 @@
         b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     )
     for at in range(len(data)):
-        answers = Answers(99)
+        answers = ResponseParser(99)
         events = answers.feed(data[:at]) + answers.feed(data[at:])
         assert [x for x in events if x[0] != "piece"] == [
             ("status", 200),
@@ -66,36 +66,38 @@
 
 
 def test_http_that_is_malformed_or_too_long():
-    assert fault_of(Answers(9), b"*1\r\n$5\r\nprobe\r\n") is Unreadable
-    assert fault_of(Answers(9), b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789") is TooLong
-    assert fault_of(Answers(0), b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789") is None
+    assert fault_of(ResponseParser(9), b"*1\r\n$5\r\nprobe\r\n") is ProtocolError
+    assert (
+        fault_of(ResponseParser(9), b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789") is MessageTooLongError
+    )
+    assert fault_of(ResponseParser(0), b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789") is None
 
 
 def test_a_ring_keeps_the_order_as_it_wraps_and_grows():
-    ring, sent, got = Ring(64, 8), bytes(range(200)), b""
+    ring, sent, got = RingBuffer(64, 8), bytes(range(200)), b""
     for at in range(0, 200, 5):
         assert ring.put(sent[at : at + 5])
-        take = len(ring.data()) - (at % 3)
-        got += bytes(ring.data()[: max(0, take)])
-        ring.took(max(0, take))
+        take = len(ring.peek()) - (at % 3)
+        got += bytes(ring.peek()[: max(0, take)])
+        ring.consume(max(0, take))
     while ring.size:
-        got += bytes(ring.data())
-        ring.took(len(ring.data()))
+        got += bytes(ring.peek())
+        ring.consume(len(ring.peek()))
     assert got == sent and len(ring.buffer) <= 64
 
 
 def test_a_full_ring_takes_nothing():
-    ring = Ring(8, 4)
-    assert ring.put(b"12345678") and not ring.put(b"9") and not len(ring.room())
+    ring = RingBuffer(8, 4)
+    assert ring.put(b"12345678") and not ring.put(b"9") and not len(ring.free_space())
 
 
 def test_every_ending_has_an_outcome_for_every_role():
-    for ending in Ending:
+    for ending in CloseReason:
         assert outcome(Role.CALL, ending, sent=False) is Outcome.UNDONE
         assert outcome(Role.NEWS, ending) is Outcome.STALE
         assert outcome(Role.LIST, ending) is Outcome.LIST_FAILED
         assert outcome(Role.CALLER, ending) is Outcome.NOTHING
-        never_up = ending in (Ending.REFUSED, Ending.UNREACHABLE, Ending.TIMED_OUT)
+        never_up = ending in (CloseReason.REFUSED, CloseReason.UNREACHABLE, CloseReason.TIMED_OUT)
         assert outcome(Role.CALL, ending, sent=True) is (Outcome.UNDONE if never_up else Outcome.UNSURE)
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,15 +5,15 @@
 
 from standins.platform import Clock, Wire, answer, lines
 
-from knotwalk.net.close_reason import Ending
-from knotwalk.net.collectors import Callers
-from knotwalk.net.discovery import Watch
-from knotwalk.net.relay import Calls, News
-from knotwalk.net.resp import packed
+from knotwalk.net.close_reason import CloseReason
+from knotwalk.net.collectors import CollectorServer
+from knotwalk.net.discovery import ListWatch
+from knotwalk.net.relay import OrderSender, RelayStream
+from knotwalk.net.resp import encode_message
 from knotwalk.wire_values import ReportBounds
 
 HOME = ("127.0.0.1", 1)
-HEARD = packed(
+HEARD = encode_message(
     "outcomes",
     "zone",
     "a",
@@ -30,10 +30,10 @@
     "load",
     "util:0.5,qps:7",
 )
-WANTED = packed("hot", "slice", "3", "class", "read", "tries", "9", "failed", "0", "span_ms", "2000.0")
+WANTED = encode_message("hot", "slice", "3", "class", "read", "tries", "9", "failed", "0", "span_ms", "2000.0")
 
 
-JOIN = packed("agent", "zone", "a")
+JOIN = encode_message("agent", "zone", "a")
 BOUNDS = ReportBounds(frozenset({"a"}), 9, 1000, 10)
 
 
@@ -55,20 +55,22 @@
 
 def callers(seats=9, room=10**6):
     told, clock = Told(), Clock()
-    all_ = Callers(clock, {"read": 0}, BOUNDS, {"s"}.__contains__, lambda: {"a"}, told.tell, told.note, seats, room)
-    all_.ready = True
-    return all_, clock, told
+    server = CollectorServer(
+        clock, {"read": 0}, BOUNDS, {"s"}.__contains__, lambda: {"a"}, told.tell, told.note, seats, room
+    )
+    server.ready = True
+    return server, clock, told
 
 
 def relay():
     told, clock = Told(), Clock()
-    news = News(clock, HOME, told.tell, told.note)
-    return Calls(clock, HOME, news, told.note), news, clock, told
+    news = RelayStream(clock, HOME, told.tell, told.note)
+    return OrderSender(clock, HOME, news, told.note), news, clock, told
 
 
 def watch():
     told, clock = Told(), Clock()
-    return Watch(clock, HOME, 4, [("s", "z", "ready", 1.0, 0.0)], told.tell, told.note), clock, told
+    return ListWatch(clock, HOME, 4, [("s", "z", "ready", 1.0, 0.0)], told.tell, told.note), clock, told
 
 
 def bodies(wire):
@@ -85,8 +87,8 @@
 
 def test_a_burst_of_reports_is_told_as_a_whole_however_it_is_cut():
     """Guards against a period judged several times over: the module lowers levels once a report."""
-    all_, clock, told = callers()
-    wire = Wire(all_.accept())
+    server, clock, told = callers()
+    wire = Wire(server.accept())
     wire.feed(JOIN)
     data = HEARD + 3 * WANTED
     for at in range(0, len(data), 50):
@@ -100,19 +102,19 @@
 
 
 def test_a_collector_that_fell_silent_in_a_message_does_not_hold_back_the_others():
-    all_, clock, told = callers()
-    silent = Wire(all_.accept())
+    server, clock, told = callers()
+    silent = Wire(server.accept())
     silent.feed(JOIN + HEARD[:40])
     clock.move(1)
-    other = Wire(all_.accept())
+    other = Wire(server.accept())
     other.feed(JOIN + WANTED)
     clock.move(0.03)
     assert told == [("wanted", 3, 0, 2.0, 9)]
 
 
 def test_a_burst_without_end_is_told_all_the_same():
-    all_, clock, told = callers()
-    wire = Wire(all_.accept())
+    server, clock, told = callers()
+    wire = Wire(server.accept())
     wire.feed(JOIN)
     for _ in range(30):
         wire.feed(WANTED)
@@ -121,15 +123,15 @@
 
 
 def test_a_probe_is_answered_once_we_can_serve():
-    all_, _, _ = callers()
-    all_.ready = False
-    early, late = Wire(all_.accept()), Wire(all_.accept())
-    early.feed(packed("probe"))
+    server, _, _ = callers()
+    server.ready = False
+    early, late = Wire(server.accept()), Wire(server.accept())
+    early.feed(encode_message("probe"))
     assert not early.written
-    all_.serve()
-    all_.serve()
-    late.feed(packed("probe") * 2)
-    assert early.written == packed("alive") and late.written == packed("alive") * 2
+    server.start_serving()
+    server.start_serving()
+    late.feed(encode_message("probe") * 2)
+    assert early.written == encode_message("alive") and late.written == encode_message("alive") * 2
 
 
 def spoilt(message, *names):
@@ -148,16 +150,16 @@
         (WANTED, ("slice", "class", "tries", "failed", "span_ms")),
     ):
         for bad in spoilt(message, *names):
-            all_, clock, told = callers()
-            wire = Wire(all_.accept())
-            wire.feed(JOIN + WANTED + packed(*bad) + WANTED)
+            server, clock, told = callers()
+            wire = Wire(server.accept())
+            wire.feed(JOIN + WANTED + encode_message(*bad) + WANTED)
             clock.move(1)
-            assert not wire.over and told == 2 * [("wanted", 3, 0, 2.0, 9)] and len(told.log) == 1, bad
+            assert not wire.closed and told == 2 * [("wanted", 3, 0, 2.0, 9)] and len(told.log) == 1, bad
     for bad in (
-        packed("what"),
-        packed("hot", "slice"),
-        packed("hot"),
-        packed("agent", "zone", "b"),
+        encode_message("what"),
+        encode_message("hot", "slice"),
+        encode_message("hot"),
+        encode_message("agent", "zone", "b"),
         HEARD.replace(b"$1\r\n9", b"$1\r\n0"),
         HEARD.replace(b"$1\r\n9", b"$3\r\n9.5"),
         HEARD.replace(b"util:0.5", b"util:4.0"),
@@ -166,17 +168,17 @@
         WANTED.replace(b"$1\r\n3", b"$1\r\n9"),
         WANTED.replace(b"tries\r\n$1\r\n9", b"tries\r\n$7\r\n1000000"),
     ):
-        all_, clock, told = callers()
-        wire = Wire(all_.accept())
+        server, clock, told = callers()
+        wire = Wire(server.accept())
         wire.feed(JOIN + bad + b"*0\r\n" + WANTED)
         clock.move(1)
-        assert not wire.over and told == [("wanted", 3, 0, 2.0, 9)] and len(told.log) == 1, bad
+        assert not wire.closed and told == [("wanted", 3, 0, 2.0, 9)] and len(told.log) == 1, bad
 
 
 def test_more_tries_at_a_slice_may_fail_than_were_begun():
     """Guards against demand unheard wherever RPCs take longer than a span."""
-    all_, clock, told = callers()
-    wire = Wire(all_.accept())
+    server, clock, told = callers()
+    wire = Wire(server.accept())
     wire.feed(JOIN + WANTED.replace(b"failed\r\n$1\r\n0", b"failed\r\n$2\r\n12"))
     clock.move(1)
     assert told == [("wanted", 3, 0, 2.0, 9)]
@@ -186,82 +188,90 @@
     for said in (
         WANTED,
         HEARD,
-        packed("hello", "proxy", "1", "zone", "a"),
-        packed("agent", "zone", "nowhere"),
-        packed("agent"),
-        packed("push"),
-        packed("demand", "proxy", "7", "tries", "5"),
+        encode_message("hello", "proxy", "1", "zone", "a"),
+        encode_message("agent", "zone", "nowhere"),
+        encode_message("agent"),
+        encode_message("push"),
+        encode_message("demand", "proxy", "7", "tries", "5"),
     ):
-        all_, clock, told = callers()
-        wire = Wire(all_.accept())
+        server, clock, told = callers()
+        wire = Wire(server.accept())
         wire.feed(said)
         clock.move(0.5)
-        assert wire.over is Ending.MALFORMED and not told and not all_.links, said
+        assert wire.closed is CloseReason.MALFORMED and not told and not server.connections, said
 
 
 def test_whoever_does_not_join_in_time_is_ended():
     """Guards against strangers that say nothing, drip bytes or ask once, and stay for good."""
-    all_, clock, _ = callers()
-    silent, asked, half, joined = (Wire(all_.accept()) for _ in range(4))
-    asked.feed(packed("probe"))
+    server, clock, _ = callers()
+    silent, asked, half, joined = (Wire(server.accept()) for _ in range(4))
+    asked.feed(encode_message("probe"))
     joined.feed(JOIN)
-    for byte in packed("agent", "zone", "a")[:15]:
+    for byte in encode_message("agent", "zone", "a")[:15]:
         half.feed(bytes([byte]))
         clock.move(0.1)
-    assert [x.over for x in (silent, asked, half, joined)] == 3 * [Ending.STRANGER] + [False]
-    assert asked.written == packed("alive") and len(all_.links) == 1 and not all_.held
+    assert [x.closed for x in (silent, asked, half, joined)] == 3 * [CloseReason.STRANGER] + [False]
+    assert asked.written == encode_message("alive") and len(server.connections) == 1 and not server.unfinished_bytes
 
 
 def test_one_that_waits_for_us_to_be_ready_is_not_ended():
-    all_, clock, _ = callers()
-    all_.ready = False
-    waits, silent = Wire(all_.accept()), Wire(all_.accept())
-    waits.feed(packed("probe"))
+    server, clock, _ = callers()
+    server.ready = False
+    waits, silent = Wire(server.accept()), Wire(server.accept())
+    waits.feed(encode_message("probe"))
     clock.move(5)
-    assert silent.over and not waits.over
-    all_.serve()
-    assert waits.written == packed("alive")
+    assert silent.closed and not waits.closed
+    server.start_serving()
+    assert waits.written == encode_message("alive")
     clock.move(2)
-    assert waits.over is Ending.STRANGER
+    assert waits.closed is CloseReason.STRANGER
 
 
 def test_a_zones_old_connections_that_fell_silent_are_let_go():
-    all_, clock, _ = callers()
-    old = Wire(all_.accept())
+    server, clock, _ = callers()
+    old = Wire(server.accept())
     old.feed(JOIN)
     clock.move(5)
-    second = Wire(all_.accept())
+    second = Wire(server.accept())
     second.feed(JOIN)
     clock.move(8)
     second.feed(WANTED)
-    third = Wire(all_.accept())
+    third = Wire(server.accept())
     third.feed(JOIN)
-    assert old.over is Ending.SILENT and not second.over and len(all_.links) == 2
+    assert old.closed is CloseReason.SILENT and not second.closed and len(server.connections) == 2
 
 
 def test_what_is_no_message_ends_the_connection():
-    for bytes_, ending in ((b"GET / HTTP/1.1\r\n\r\n", Ending.MALFORMED), (b"*1\r\n$2097152\r\n", Ending.TOO_LONG)):
+    for bytes_, ending in (
+        (b"GET / HTTP/1.1\r\n\r\n", CloseReason.MALFORMED),
+        (b"*1\r\n$2097152\r\n", CloseReason.TOO_LONG),
+    ):
         wire = Wire(callers()[0].accept())
         wire.feed(bytes_)
-        assert wire.over is ending
+        assert wire.closed is ending
 
 
 def test_strangers_that_say_nothing_make_room_for_collectors():
-    all_, _, _ = callers(seats=3)
-    collector = Wire(all_.accept())
+    server, _, _ = callers(seats=3)
+    collector = Wire(server.accept())
     collector.feed(JOIN)
-    strangers = [Wire(all_.accept()) for _ in range(8)]
-    assert not collector.over and len(all_.links) == 3
-    assert [x.over for x in strangers] == 6 * [Ending.CROWDED] + 2 * [False]
+    strangers = [Wire(server.accept()) for _ in range(8)]
+    assert not collector.closed and len(server.connections) == 3
+    assert [x.closed for x in strangers] == 6 * [CloseReason.CROWDED] + 2 * [False]
 
 
 def test_half_messages_do_not_fill_the_memory():
-    all_, _, _ = callers(room=10_000)
-    collector, small, large = (Wire(all_.accept()) for _ in range(3))
+    server, _, _ = callers(room=10_000)
+    collector, small, large = (Wire(server.accept()) for _ in range(3))
     collector.feed(JOIN + b"*2\r\n$3\r\nhot")
     small.feed(b"*1\r\n$9000\r\n" + 2000 * b"x")
     large.feed(b"*1\r\n$9000\r\n" + 8500 * b"x")
-    assert large.over is Ending.CROWDED and not small.over and not collector.over and all_.held < 3000
+    assert (
+        large.closed is CloseReason.CROWDED
+        and not small.closed
+        and not collector.closed
+        and server.unfinished_bytes < 3000
+    )
 
 
 # --- calls ---------------------------------------------------------------------------------------
@@ -269,10 +279,10 @@
 
 def test_orders_go_as_one_call_and_what_is_ordered_meanwhile_with_the_next():
     calls, _, _, _ = relay()
-    calls.order([line(1, "a"), {"do": "SYNC", "ticket": 1, "on": 0}])
+    calls.add_orders([line(1, "a"), {"do": "SYNC", "ticket": 1, "on": 0}])
     wire = Wire(calls)
-    calls.order([line(2, "a"), line(3, "b"), {"do": "SYNC", "ticket": 2, "on": 0}])
-    calls.order([line(2, "c"), line(2, "a", 0.0), {"do": "SYNC", "ticket": 3, "on": 0}])
+    calls.add_orders([line(2, "a"), line(3, "b"), {"do": "SYNC", "ticket": 2, "on": 0}])
+    calls.add_orders([line(2, "c"), line(2, "a", 0.0), {"do": "SYNC", "ticket": 3, "on": 0}])
     assert bodies(wire) == [[line(1, "a"), {"do": "SYNC", "ticket": 1, "on": 0}]]
     wire.feed(answer({"accepted": 2}))
     assert bodies(wire)[1] == [line(3, "b"), line(2, "c"), line(2, "a", 0.0), {"do": "SYNC", "ticket": 3, "on": 0}]
@@ -280,7 +290,7 @@
 
 def test_a_call_past_the_limit_is_split_and_its_receipt_comes_last():
     calls, _, _, _ = relay()
-    calls.order([line(k, "s" * 30) for k in range(1500)] + [{"do": "SYNC", "ticket": 1, "on": 0}])
+    calls.add_orders([line(k, "s" * 30) for k in range(1500)] + [{"do": "SYNC", "ticket": 1, "on": 0}])
     wire = Wire(calls)
     while (sent := bodies(wire)) and sent[-1][-1]["do"] != "SYNC":
         wire.feed(answer({"accepted": len(sent[-1])}))
@@ -290,7 +300,7 @@
 
 def test_a_refused_order_is_named_and_the_rest_goes_on():
     calls, _, _, told = relay()
-    calls.order([line(1, "a"), line(2, "q"), line(3, "a")])
+    calls.add_orders([line(1, "a"), line(2, "q"), line(3, "a")])
     wire = Wire(calls)
     wire.feed(answer({"accepted": 1}))
     assert bodies(wire)[1] == [line(3, "a")] and "order refused" in told.log[0] and "'q'" in told.log[0]
@@ -300,7 +310,7 @@
     """Guards against a slice left without a line, and a message for each line to a server not known there."""
     calls, news, _, told = relay()
     news.slices = {1: {"a": 1.0}, 2: {"a": 1.0}, 3: {"a": 1.0}}
-    calls.order([x for k, to in ((1, "q"), (2, "q"), (3, "b")) for x in (line(k, to), line(k, "a", 0.0))])
+    calls.add_orders([x for k, to in ((1, "q"), (2, "q"), (3, "b")) for x in (line(k, to), line(k, "a", 0.0))])
     wire = Wire(calls)
     wire.feed(answer({"accepted": 0}))
     assert bodies(wire)[1:] == [[line(3, "b"), line(3, "a", 0.0)]]
@@ -309,10 +319,10 @@
 
 def test_calls_turned_away_before_the_run_wait_and_newer_orders_win():
     calls, _, clock, _ = relay()
-    calls.order([line(1, "a"), line(2, "a")])
+    calls.add_orders([line(1, "a"), line(2, "a")])
     wire = Wire(calls)
     wire.feed(answer({"error": "throttled"}, "429 Too Many"))
-    calls.order([line(1, "b"), line(1, "a", 0.0)])
+    calls.add_orders([line(1, "b"), line(1, "a", 0.0)])
     assert len(bodies(wire)) == 1
     clock.move(0.2)
     assert bodies(wire)[1:] == [[line(2, "a"), line(1, "b"), line(1, "a", 0.0)]]
@@ -320,20 +330,20 @@
 
 def test_an_idle_connection_reset_before_anything_was_sent_costs_nothing():
     calls, _, clock, told = relay()
-    calls.order([line(1, "a")])
+    calls.add_orders([line(1, "a")])
     first = Wire(calls)
     first.feed(answer({"accepted": 1}))
-    first.end(Ending.RESET)
-    calls.order([line(2, "a")])
+    first.close(CloseReason.RESET)
+    calls.add_orders([line(2, "a")])
     assert len(clock.connects) == 2 and bodies(Wire(calls)) == [[line(2, "a")]] and not told.log
 
 
 def test_a_call_whose_last_byte_did_not_leave_goes_again():
     calls, _, clock, _ = relay()
-    calls.order([line(1, "a")])
+    calls.add_orders([line(1, "a")])
     wire = Wire(calls)
-    wire.out.put(b"rest")
-    wire.end(Ending.RESET)
+    wire.write_buffer.put(b"rest")
+    wire.close(CloseReason.RESET)
     clock.move(0.1)
     assert bodies(Wire(calls)) == [[line(1, "a")]]
 
@@ -343,18 +353,18 @@
     calls, news, clock, told = relay()
     news.slices = {1: {"a": 1.0}, 2: {}}
     orders = list(orders) or [line(1, "b"), line(1, "a", 0.0), {"do": "SYNC", "ticket": 7, "on": 0}]
-    calls.order(orders)
+    calls.add_orders(orders)
     wire = Wire(calls)
-    wire.feed(feed) if feed else wire.end(ending) if ending else clock.move(0.2)
-    assert wire.over and calls.doubtful == orders
-    calls.order([line(2, "c")])
+    wire.feed(feed) if feed else wire.close(ending) if ending else clock.move(0.2)
+    assert wire.closed and calls.unconfirmed == orders
+    calls.add_orders([line(2, "c")])
     clock.move(0.1)  # a call may be carried out until then
     return calls, news, clock, orders, Wire(clock.connects[-1]) if len(clock.connects) > 1 else None
 
 
 def test_a_doubtful_call_that_stands_is_not_given_again():
     for how in (
-        {"ending": Ending.RESET},
+        {"ending": CloseReason.RESET},
         {},
         {"feed": answer("{}")},
         {"feed": answer("junk")},
@@ -365,12 +375,12 @@
     ):
         calls, news, _, _, look = doubt(**how)
         look.feed(lines(("lease", {"slice": 1, "on": True}), ("line", {"slice": 1, "server": "b", "weight": 1.0})))
-        assert news.slices[1] == {"b": 1.0} and look.over
+        assert news.slices[1] == {"b": 1.0} and look.closed
         assert bodies(Wire(calls)) == [[line(2, "c")]], how
 
 
 def test_a_doubtful_call_that_does_not_stand_is_given_again_first():
-    calls, news, _, orders, look = doubt(Ending.CLOSED)
+    calls, news, _, orders, look = doubt(CloseReason.CLOSED)
     look.feed(
         lines(
             ("lease", {"slice": 1, "on": True}),
@@ -395,7 +405,7 @@
     for orders in ((), [level]):
         calls, _, clock, orders, look = doubt(orders=orders)
         if look:
-            look.end(Ending.RESET)
+            look.close(CloseReason.RESET)
         clock.move(2)
         assert bodies(Wire(calls)) == [[*orders, line(2, "c")]]
 
@@ -435,7 +445,7 @@
     calls, news, clock, told = relay()
     wire = Wire(news)
     wire.feed(lines(*STANDS, ("", {})))
-    wire.end(Ending.RESET)
+    wire.close(CloseReason.RESET)
     clock.move(0.1)
     assert news in clock.connects
     told.clear()
@@ -468,7 +478,7 @@
 def test_lines_that_we_ordered_are_ours():
     calls, news, _, told = relay()
     Wire(news).feed(lines(*STANDS, ("", {})))
-    calls.order([line(3, "b"), line(3, "a", 0.0)])
+    calls.add_orders([line(3, "b"), line(3, "a", 0.0)])
     Wire(calls).feed(answer({"accepted": 2}))
     told.clear()
     Wire(news).feed(lines(*STANDS[:2], ("line", {"slice": 3, "server": "b", "weight": 1.0}), ("", {})))
@@ -482,7 +492,7 @@
     told.clear()
     wire = Wire(news)
     wire.feed(lines(*STANDS))
-    calls.order([line(3, "b")])
+    calls.add_orders([line(3, "b")])
     Wire(calls).feed(answer({"accepted": 1}))
     wire.feed(lines(("", {}), head=False))
     assert told == [] and news.slices == {3: {"a": 1.0, "b": 1.0}}
@@ -492,7 +502,7 @@
     calls, news, _, _ = relay()
     wire = Wire(news)
     wire.feed(lines(*STANDS, ("", {})))
-    calls.order([line(3, "b")])
+    calls.add_orders([line(3, "b")])
     wire.feed(lines(("lease", {"slice": 3, "on": False}), head=False))
     assert not calls.queue
 
@@ -501,23 +511,23 @@
     _, news, clock, _ = relay()
     wire = Wire(news)
     for _ in range(500):
-        wire.feed(lines(("", {}), head=not wire.peer.signs))
+        wire.feed(lines(("", {}), head=not wire.peer.signs_of_life))
         clock.move(0.01)
-    assert not wire.over and sum(1 for _, timer in clock.timers if timer.call) == 1
+    assert not wire.closed and sum(1 for _, timer in clock.timers if timer.callback) == 1
     clock.move(2)
-    assert wire.over is Ending.SILENT
+    assert wire.closed is CloseReason.SILENT
 
 
 def test_news_that_fall_silent_are_left_and_opened_again_without_hammering():
     _, news, clock, told = relay()
     wire = Wire(news)
     clock.move(2.5)
-    assert wire.over is Ending.SILENT
+    assert wire.closed is CloseReason.SILENT
     tries = 0
     for _ in range(100):
         while clock.connects:
             clock.connects.pop()
-            news.ended(None, Ending.REFUSED)
+            news.connection_lost(None, CloseReason.REFUSED)
             tries += 1
         clock.move(0.1)
     assert 20 < tries < 30
@@ -528,11 +538,11 @@
     calls, news, clock, _ = relay()
     wire = Wire(news)
     wire.feed(lines(*STANDS, ("", {})))
-    calls.order([line(3, "b"), line(4, "b")])
+    calls.add_orders([line(3, "b"), line(4, "b")])
     call = Wire(calls)
     wire.feed(lines(("lease", {"slice": 3, "on": False}), ("lease", {"slice": 3, "on": True}), head=False))
-    call.out.put(b"rest")
-    call.end(Ending.RESET)
+    call.write_buffer.put(b"rest")
+    call.close(CloseReason.RESET)
     clock.move(0.1)
     assert bodies(Wire(calls)) == [[line(4, "b")]]
 
@@ -541,7 +551,7 @@
     _, news, _, told = relay()
     wire = Wire(news)
     wire.feed(lines(*STANDS, ("", {})) + b"5\r\njunk\n\r\n")
-    assert wire.over is Ending.MALFORMED and told == GIVEN
+    assert wire.closed is CloseReason.MALFORMED and told == GIVEN
 
 
 def test_receipts_lost_with_the_news_are_told_as_such():
@@ -550,7 +560,7 @@
     Wire(news).feed(lines(*STANDS, ("", {})))
     assert told.lost == 0
     clock.move(2)
-    assert told.lost == 1 and news.link is None
+    assert told.lost == 1 and news.connection is None
     Wire(news)
     assert told.lost == 2
 
@@ -560,7 +570,7 @@
     Wire(news).feed(lines(*STANDS, ("", {})))
     told.clear()
     clock.time += 60
-    news.ended(None, Ending.TIMED_OUT)
+    news.connection_lost(None, CloseReason.TIMED_OUT)
     Wire(news).feed(lines(*STANDS, ("", {})))
     assert told == []
 
@@ -578,7 +588,7 @@
         _, news, _, told = relay()
         wire = Wire(news)
         wire.feed(lines(*STANDS, ("", {}), ("ack", bad), ("ack", {"proxy": 1, "mark": 9})))
-        assert told == [*GIVEN, ("applied", 1, 9)] and not wire.over, bad
+        assert told == [*GIVEN, ("applied", 1, 9)] and not wire.closed, bad
 
 
 def test_news_that_cannot_be_read_end_the_connection():
@@ -594,7 +604,7 @@
     ):
         wire = Wire(relay()[1])
         wire.feed(bad)
-        assert wire.over is Ending.MALFORMED, bad
+        assert wire.closed is CloseReason.MALFORMED, bad
 
 
 AWAY = ("127.0.0.2", 2)
@@ -604,11 +614,11 @@
     _, news, clock, told = relay()
     old = Wire(news)
     old.feed(lines(*STANDS, ("", {})))
-    news.move(AWAY)
-    assert not old.over and clock.connects == [news]
+    news.change_address(AWAY)
+    assert not old.closed and clock.connects == [news]
     old.feed(lines(("bye", {"proxy": 1}), head=False))
     new = Wire(news, AWAY)
-    assert old.over is Ending.LEFT and told == [*GIVEN, ("left", 1)]
+    assert old.closed is CloseReason.LEFT and told == [*GIVEN, ("left", 1)]
     new.feed(lines(*STANDS, ("", {})))
     assert told[4:] == [("joined", 1)] and len(clock.connects) == 1
 
@@ -616,23 +626,23 @@
 def test_a_try_at_the_old_address_goes_on_at_the_new_one():
     _, news, clock, _ = relay()
     news.start()
-    news.move(AWAY)
+    news.change_address(AWAY)
     stale = Wire(clock.connects.pop())
-    assert stale.over is Ending.LEFT and not stale.written and clock.connects == [news]
-    news.ended(None, Ending.REFUSED)
-    news.move(HOME)  # while it waits: at once, not when the wait is over
+    assert stale.closed is CloseReason.LEFT and not stale.written and clock.connects == [news]
+    news.connection_lost(None, CloseReason.REFUSED)
+    news.change_address(HOME)  # while it waits: at once, not when the wait is over
     assert len(clock.connects) == 2
 
 
 def test_calls_go_to_the_new_address_and_one_under_way_is_settled_where_it_went():
     calls, _, clock, _ = relay()
-    calls.order([line(1, "a")])
+    calls.add_orders([line(1, "a")])
     old = Wire(calls)
-    calls.move(AWAY)
-    calls.order([line(2, "a")])
-    assert not old.over
+    calls.change_address(AWAY)
+    calls.add_orders([line(2, "a")])
+    assert not old.closed
     old.feed(answer({"accepted": 1}))
-    assert old.over is Ending.LEFT and bodies(Wire(calls, AWAY)) == [[line(2, "a")]]
+    assert old.closed is CloseReason.LEFT and bodies(Wire(calls, AWAY)) == [[line(2, "a")]]
 
 
 # --- discovery -----------------------------------------------------------------------------------
@@ -676,7 +686,7 @@
                 b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"
             )
         )
-        assert wire.over is Ending.LEFT
+        assert wire.closed is CloseReason.LEFT
     assert b"since=41" in wire.written and not told.log and len(clock.connects) == 1
 
 
@@ -710,7 +720,7 @@
         peer, clock, told = watch()
         wire = Wire(peer)
         wire.feed(bad) if bad else clock.move(3)
-        assert wire.over is (Ending.MALFORMED if bad else Ending.SILENT) and not told
+        assert wire.closed is (CloseReason.MALFORMED if bad else CloseReason.SILENT) and not told
         clock.move(1)
         assert clock.connects == [peer]
 
@@ -731,16 +741,18 @@
             if self.well or self.chance.random() < 0.7:
                 self.wires[Wire(peer)] = 0
             else:
-                peer.ended(None, self.chance.choice([Ending.REFUSED, Ending.TIMED_OUT, Ending.UNREACHABLE]))
+                peer.connection_lost(
+                    None, self.chance.choice([CloseReason.REFUSED, CloseReason.TIMED_OUT, CloseReason.UNREACHABLE])
+                )
         for wire in list(self.wires):
-            while not wire.over and len(wire.written) > self.wires[wire]:
+            while not wire.closed and len(wire.written) > self.wires[wire]:
                 asked = wire.written[self.wires[wire] :]
                 self.wires[wire] = len(wire.written)
                 self.stream(wire) if asked.startswith(b"GET") else self.take(wire, asked)
-            if wire.over or not self.well and self.chance.random() < 0.02:
-                wire.end(Ending.RESET)
+            if wire.closed or not self.well and self.chance.random() < 0.02:
+                wire.close(CloseReason.RESET)
                 del self.wires[wire]
-            elif isinstance(wire.peer, News):
+            elif isinstance(wire.peer, RelayStream):
                 wire.feed(lines(("", {}), head=False))
 
     def stream(self, wire):
@@ -759,7 +771,7 @@
             wire.feed(lines(("", {}), head=False))
         else:  # part of it, and then nothing more, or nonsense
             wire.feed(data[: self.chance.randrange(len(data))])
-            wire.feed(b"\0junk") if self.chance.random() < 0.5 else wire.end(Ending.CLOSED)
+            wire.feed(b"\0junk") if self.chance.random() < 0.5 else wire.close(CloseReason.CLOSED)
 
     def take(self, wire, asked):
         fate = 0 if self.well else self.chance.choice([0, 0, 0, 1, 2, 3, 4, 5])
@@ -771,7 +783,7 @@
                     if f["weight"]:
                         self.store[f["group"]][f["server"]] = f["weight"]
         if fate in (1, 4):
-            wire.end(Ending.RESET)
+            wire.close(CloseReason.RESET)
         elif fate == 0:
             wire.feed(answer({"accepted": len(given)}))
         elif fate == 2:
@@ -791,9 +803,9 @@
                 k, server = chance.randrange(4), chance.choice("abc")
                 orders = [line(k, x, 0.0) for x in believed[k] if x != server] + [line(k, server)]
                 believed[k] = {server: 1.0}
-                calls.order([*orders, {"do": "SYNC", "ticket": step, "on": 0}])
+                calls.add_orders([*orders, {"do": "SYNC", "ticket": step, "on": 0}])
             rough.step()
             clock.move(0.05)
         assert rough.store == believed == news.slices, seed
-        assert not (calls.queue or calls.under_way or calls.doubtful)
+        assert not (calls.queue or calls.in_flight or calls.unconfirmed)
         assert [x for x in told if x[0] == "taken"] == [], seed
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -55,7 +55,7 @@
     for e in edges[5:]:
         if e.link:
             site.loop.selector.unregister(e.link.sock)
-            e.link.over, e.old = True, e.link.sock
+            e.link.closed, e.old = True, e.link.sock
             e.link = None
             e.start()
     site.order(("line", (9, "y", 1.0)))
@@ -189,8 +189,8 @@
                 keeper.process.kill()
             end = time.monotonic() + chance.uniform(0, 0.02)
             while time.monotonic() < end:
-                loop.after(0.002, lambda: None)
-                loop.turn()
+                loop.call_later(0.002, lambda: None)
+                loop.run_once()
         keeper.close()
         loop.timers.clear()
         os.close(keep.locked(path))  # its process has ended
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -234,11 +234,11 @@
 
     def turn(self, seconds):
         end = time.monotonic() + seconds
-        self.loop.after(0.005, lambda: None)
-        self.loop.turn()
+        self.loop.call_later(0.005, lambda: None)
+        self.loop.run_once()
         while time.monotonic() < end:
-            self.loop.after(0.005, lambda: None)
-            self.loop.turn()
+            self.loop.call_later(0.005, lambda: None)
+            self.loop.run_once()
 
     def until(self, true, seconds=90.0):
         end = time.monotonic() + seconds
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -11,18 +11,18 @@
 from standins.platform import PATIENCE, SETTINGS, StandIn, call, run
 from standins.tapes import replayed
 
-from knotwalk.net.close_reason import Ending
-from knotwalk.net.conductor import Config, Host, Misfit
+from knotwalk.net.close_reason import CloseReason
+from knotwalk.net.conductor import Config, ConfigError, Host
 from knotwalk.net.log import Log
-from knotwalk.net.resp import packed
+from knotwalk.net.resp import encode_message
 from knotwalk.settings.operator import OperatorSettings, RecordSettings
 
-ALIVE = packed("alive")
+ALIVE = encode_message("alive")
 
 
 def alive(stand, address):
     """Whether a probe is answered, with the stand-ins going on meanwhile."""
-    sock, _ = call(address, packed("probe"))
+    sock, _ = call(address, encode_message("probe"))
     sock.setblocking(False)
 
     def got():
@@ -95,7 +95,7 @@
     address = stand.start()
     assert alive(stand, address)
     for link in list(stand.links):
-        link.end(Ending.LEFT)
+        link.close(CloseReason.LEFT)
     stand.until(lambda: stand.news)
     drain(stand)
     stand.until(lambda: orders(stand) == OFF_A)
@@ -125,7 +125,7 @@
     stand.until(lambda: other.news and not stand.news)
     drain(other)
     stand.until(lambda: orders(other))
-    assert orders(other) == OFF_A and not orders(stand) and all(link.over for link in stand.links)
+    assert orders(other) == OFF_A and not orders(stand) and all(link.closed for link in stand.links)
     assert stand.stop() == 0
 
 
@@ -177,17 +177,17 @@
     address = stand.start()
     assert alive(stand, address)
     stand.fate = lambda given: chance.choice([True, None, False])
-    collector, _ = call(address, packed("agent", "zone", "z"))
-    report = packed("hot", "slice", "0", "class", "read", "tries", "40", "failed", "0", "span_ms", "2000")
+    collector, _ = call(address, encode_message("agent", "zone", "z"))
+    report = encode_message("hot", "slice", "0", "class", "read", "tries", "40", "failed", "0", "span_ms", "2000")
     for step in range(100):
         if step == 30:
             drain(stand)
         collector.sendall(report)
-        open_links = [link for link in stand.links if not link.over]
+        open_links = [link for link in stand.links if not link.closed]
         if open_links and chance.random() < 0.3:
-            chance.choice(open_links).end(Ending.LEFT)
-        stand.loop.after(0.02, lambda: None)
-        stand.loop.turn()
+            chance.choice(open_links).close(CloseReason.LEFT)
+        stand.loop.call_later(0.02, lambda: None)
+        stand.loop.run_once()
     stand.fate = lambda given: True
     stand.until(lambda: stand.slices == {0: {"b": 1.0}, 1: {"b": 1.0}})
     assert alive(stand, address) and stand.stop() == 0
@@ -292,57 +292,59 @@
 def test_decisions_that_fail_start_again_from_what_stands(tmp_path):
     """Guards against a fault in the module that would end every conductor at the same message."""
     h = host(tmp_path)
-    h.news.proxies, h.news.slices = {4}, {0: {"a": 1.0}}
-    failed = h.module
+    h.relay_stream.proxies, h.relay_stream.slices = {4}, {0: {"a": 1.0}}
+    failed = h.conductor
     failed.decide = lambda *_: 1 / 0
     failed.sent_times.append(7.0)
     failed.receipt_mark = 40
-    h.round()
-    assert h.module is not failed and list(h.module.sent_times) == [7.0] and h.module.receipt_mark == 40
+    h.run_round()
+    assert h.conductor is not failed and list(h.conductor.sent_times) == [7.0] and h.conductor.receipt_mark == 40
     assert h.inbox == [
         ("joined", (4,)),
         ("given", (0,)),
         ("held", (0, "a", 1.0)),
         ("listed", (True, False, [("a", "", "ready", 1.0, 0.0)])),
     ]
-    h.last = 0.0
-    h.round()
-    assert h.module.slices[0].sent_lines == {h.module.servers["a"]: 1.0} and h.inbox == []
+    h.last_round_at = 0.0
+    h.run_round()
+    assert h.conductor.slices[0].sent_lines == {h.conductor.servers["a"]: 1.0} and h.inbox == []
 
 
 def test_new_settings_make_a_new_module_that_starts_from_what_stands(tmp_path):
     h = host(tmp_path)
-    h.news.slices, old = {0: {"a": 1.0}}, h.module
+    h.relay_stream.slices, old = {0: {"a": 1.0}}, h.conductor
     old.in_flight.append((7, 30, {1}))
     told = json.loads((tmp_path / "config.json").read_text())
     told["settings"]["classes"].append({"name": "write", "slo_us": 1, "worth": 9})
     told["limits"] = {"sockets": 100}
     (tmp_path / "config.json").write_text(json.dumps(told))
     h.reload({"EDGE_CONFIG": str(tmp_path / "config.json")})
-    assert h.module is not old and len(h.module.rpc_costs) == 2 and h.module.in_flight == old.in_flight
-    assert h.names == {0: "read", 1: "write"} and h.callers.seats == 80 and ("given", (0,)) in h.inbox
+    assert h.conductor is not old and len(h.conductor.rpc_costs) == 2 and h.conductor.in_flight == old.in_flight
+    assert (
+        h.method_names == {0: "read", 1: "write"} and h.collectors.max_connections == 80 and ("given", (0,)) in h.inbox
+    )
 
 
 def test_rounds_keep_the_tick(tmp_path):
     h = host(tmp_path)
     rounds = []
-    h.module.decide = lambda now, inbox, out: rounds.append(now)
-    h.round()
-    h.round()
-    h.round()
-    assert len(rounds) == 1 and h.timer is not None
-    h.loop.turn()
-    assert len(rounds) == 2 and rounds[1] >= rounds[0] + h.config.tick and h.timer is None
+    h.conductor.decide = lambda now, inbox, out: rounds.append(now)
+    h.run_round()
+    h.run_round()
+    h.run_round()
+    assert len(rounds) == 1 and h.round_timer is not None
+    h.loop.run_once()
+    assert len(rounds) == 2 and rounds[1] >= rounds[0] + h.config.tick_s and h.round_timer is None
 
 
 def test_timers_for_one_time_are_one_round(tmp_path):
     h = host(tmp_path)
     rounds = []
-    h.module.decide = lambda now, inbox, out: rounds.append(now)
+    h.conductor.decide = lambda now, inbox, out: rounds.append(now)
     for _ in range(3):
-        h.wake(h.loop.now() + 0.005)
+        h.schedule_round(h.loop.now() + 0.005)
     while len(rounds) < 1 or h.loop.timers:
-        h.loop.turn()
+        h.loop.run_once()
     assert len(rounds) <= 2
 
 
@@ -357,7 +359,7 @@
     ):
         try:
             host(tmp_path, **changes)
-        except Misfit as fault:
+        except ConfigError as fault:
             assert len(str(fault).splitlines()) == 1
         else:
             assert False, changes
@@ -372,10 +374,10 @@
 
 def reports(address):
     """A collector's word on both servers, a period's worth."""
-    sock, _ = call(address, packed("agent", "zone", "z"))
+    sock, _ = call(address, encode_message("agent", "zone", "z"))
     for server in "ab":
         sock.sendall(
-            packed(
+            encode_message(
                 "outcomes",
                 "zone",
                 "z",
@@ -395,7 +397,7 @@
         )
     for slice_id in "01":
         sock.sendall(
-            packed("hot", "slice", slice_id, "class", "read", "tries", "40", "failed", "0", "span_ms", "2000.0")
+            encode_message("hot", "slice", slice_id, "class", "read", "tries", "40", "failed", "0", "span_ms", "2000.0")
         )
     return sock
 
@@ -438,13 +440,13 @@
     host = Host(
         config, Log(open(os.devnull, "w")), OperatorSettings(RecordSettings(True, str(tmp_path / "r"), checkpoint=1.0))
     )
-    host.lives("start")
+    host.begin_incarnation("start")
     assert host.recorder.life_told["why"] == "start"
-    host.tell("given", 0)
-    host.tell("held", 0, "a", "heavy")
-    host.round()
-    host.last = float("-inf")
-    host.round()
+    host.enqueue("given", 0)
+    host.enqueue("held", 0, "a", "heavy")
+    host.run_round()
+    host.last_round_at = float("-inf")
+    host.run_round()
     writer = host.feed.process
     host.feed.close()
     assert writer.wait(PATIENCE) == 0
@@ -480,7 +482,7 @@
 
     def fate(given):
         for mark in [f["ticket"] for f in given if f["do"] == "SYNC"]:
-            stand.loop.after(
+            stand.loop.call_later(
                 0.1, lambda: stand.tell(*(("ack", {"proxy": p, "mark": mark, "took_ms": 100.0}) for p in stand.proxies))
             )
         return True
@@ -516,13 +518,13 @@
     stand.sockets = 96
     address = stand.start()
     assert alive(stand, address)
-    collector, _ = call(address, packed("agent", "zone", "z"))
+    collector, _ = call(address, encode_message("agent", "zone", "z"))
     other = StandIn(stand.loop)
     other.slices, other.proxies, other.servers, other.fate = stand.slices, stand.proxies, stand.servers, stand.fate
     spoilt = [
-        packed("outcomes", "zone", "z"),
-        packed("hot", "slice", "x", "tries", "-1"),
-        packed("agent", "zone"),
+        encode_message("outcomes", "zone", "z"),
+        encode_message("hot", "slice", "x", "tries", "-1"),
+        encode_message("agent", "zone"),
         b"*2\r\n$5\r\nagent\r\n$9",
         b"POST / HTTP/1.1\r\n\r\n",
         b"",
@@ -535,14 +537,16 @@
             sock.connect_ex(address)
             crowd.append(sock)
             if k % 10 == 0:
-                stand.loop.after(0.005, lambda: None)
-                stand.loop.turn()
+                stand.loop.call_later(0.005, lambda: None)
+                stand.loop.run_once()
             if data := spoilt[k % len(spoilt)]:
                 try:
                     sock.send(data)
                 except OSError:
                     pass
-        collector.sendall(packed("hot", "slice", "0", "class", "read", "tries", "4", "failed", "0", "span_ms", "2000"))
+        collector.sendall(
+            encode_message("hot", "slice", "0", "class", "read", "tries", "4", "failed", "0", "span_ms", "2000")
+        )
         if wave == 1:
             stand.reload(discovery=other.address, hub={"address": other.address})
     stand.until(lambda: other.news and not stand.news)
