--- a/knotwalk/net/__init__.py
+++ b/knotwalk/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real conductor on sockets: one loop, protocol machines fed bytes, and the hosting of the module."""
+"""The conductor on sockets: one event loop, sans-I/O protocol parsers, and the host of the decisions."""
--- a/knotwalk/net/close_reason.py
+++ b/knotwalk/net/close_reason.py
@@ -1,6 +1,6 @@
-"""How connections end, and what that means.
+"""Why connections close, and what that means for what they carried.
 
-Owns the one type of all endings and the one table that turns an ending into an outcome. It must never touch a
+Owns the one enumeration of all close reasons and the one table that maps a reason to its outcome. It must never touch a
 socket, keep state or judge a peer: it only names what happened.
 """
 
@@ -8,53 +8,53 @@
 
 
 class CloseReason(Enum):
-    """Every way in which a connection can end."""
+    """Every way in which a connection can close."""
 
     CLOSED = "closed by the peer"
     RESET = "reset by the peer"
-    REFUSED = "refused"
-    UNREACHABLE = "unreachable"
-    TIMED_OUT = "never came up"
-    SILENT = "silent for longer than its rhythm allows"
-    MALFORMED = "malformed"
-    TOO_LONG = "too long"
-    UNREAD = "left unread what it was sent"
-    CROWDED = "left to make room"
-    STRANGER = "did not join in time"
-    LEFT = "left by us"
+    REFUSED = "connection refused"
+    UNREACHABLE = "peer unreachable"
+    CONNECT_TIMEOUT = "connect timed out"
+    SILENT = "peer silent for too long"
+    MALFORMED = "malformed data"
+    TOO_LONG = "message too long"
+    SEND_BUFFER_FULL = "peer does not read: send buffer full"
+    EVICTED = "evicted to make room"
+    JOIN_TIMEOUT = "did not join in time"
+    CLOSED_BY_US = "closed by us"
 
 
 class Role(Enum):
     """What a connection was for."""
 
     CALL = "call"
-    NEWS = "news"
+    STREAM = "stream"
     LIST = "list"
-    CALLER = "caller"
+    COLLECTOR = "collector"
 
 
 class Outcome(Enum):
-    """What the end of a connection means to the module."""
+    """What the close of a connection means to the conductor."""
 
-    NOTHING = "nothing"
-    UNDONE = "the orders were not carried out"
-    UNSURE = "the orders were carried out, or not at all"
-    STALE = "news may be missing until what stands is read again"
-    LIST_FAILED = "the list may be old"
+    NOTHING = "no effect"
+    NOT_APPLIED = "the orders were not carried out"
+    UNKNOWN = "the orders were carried out, or not at all"
+    STALE = "events may be missing until the current state is read again"
+    LIST_FAILED = "the server list may be out of date"
 
 
-# A connection that never came up has carried nothing.
-_NEVER_UP = {CloseReason.REFUSED, CloseReason.UNREACHABLE, CloseReason.TIMED_OUT}
+# A connection that was never established has carried nothing.
+_NEVER_ESTABLISHED = {CloseReason.REFUSED, CloseReason.UNREACHABLE, CloseReason.CONNECT_TIMEOUT}
 
 
 def outcome(role: Role, reason: CloseReason, sent: bool = False) -> Outcome:
-    """What an ending means; `sent` says whether the last byte of a call had gone out.
+    """What a close reason means; `sent` is whether the last byte of a call had been handed to the kernel.
 
     >>> outcome(Role.CALL, CloseReason.RESET, sent=True)
-    <Outcome.UNSURE: 'the orders were carried out, or not at all'>
+    <Outcome.UNKNOWN: 'the orders were carried out, or not at all'>
     >>> outcome(Role.CALL, CloseReason.RESET, sent=False)
-    <Outcome.UNDONE: 'the orders were not carried out'>
+    <Outcome.NOT_APPLIED: 'the orders were not carried out'>
     """
     if role is Role.CALL:
-        return Outcome.UNSURE if sent and reason not in _NEVER_UP else Outcome.UNDONE
-    return {Role.NEWS: Outcome.STALE, Role.LIST: Outcome.LIST_FAILED, Role.CALLER: Outcome.NOTHING}[role]
+        return Outcome.UNKNOWN if sent and reason not in _NEVER_ESTABLISHED else Outcome.NOT_APPLIED
+    return {Role.STREAM: Outcome.STALE, Role.LIST: Outcome.LIST_FAILED, Role.COLLECTOR: Outcome.NOTHING}[role]
--- a/knotwalk/net/collectors.py
+++ b/knotwalk/net/collectors.py
@@ -1,7 +1,7 @@
-"""Who connects to us: collectors with their reports, whoever asks whether we live, and strangers.
+"""The listening side: collectors with their reports, health probes, and unknown clients.
 
-Owns the bounds on all of them. It must never write to a collector more than the answer to a probe, or let one
-connection cost the others theirs.
+Owns the limits on all of them. It must never write anything to a collector but the answer to a probe, nor let one
+connection's faults affect the others.
 """
 
 from collections.abc import Callable, Mapping, Set
@@ -13,17 +13,17 @@
 from knotwalk.wire_values import LOAD_COLUMNS, ReportBounds, error_text, parse_amount, parse_count
 
 ALIVE = encode_message("alive")
-# Collectors send the sums of a period as a burst of messages, which the module is to see as a whole: it
-# judges servers by the period. A burst is over after the first, seconds of quiet (ten times what its pieces
-# lie apart on a busy core) with no message half there, and handed on after the second at the latest (a
-# quarter of a period of 1 s).
+# Collectors send the sums of a period as a burst of messages, which the decisions need to see together, since they
+# judge servers by the period. A burst ends after QUIET_PERIOD_S without a report (ten times the interval between its
+# messages on a busy core) and with no incomplete message, and after MAX_BURST_S (a quarter of a period of 1 s) at the
+# latest.
 QUIET_PERIOD_S, MAX_BURST_S = 0.02, 0.25
-JOIN_TIMEOUT_S = 1.0  # seconds to join: the protocol lets a connection be closed after that
-SILENT_AFTER_S = 10.0  # seconds of silence after which a zone's collector is let go, if another has joined for it
+JOIN_TIMEOUT_S = 1.0  # the protocol lets a connection be closed after that
+SILENT_AFTER_S = 10.0  # a zone's collector that is silent for longer is closed when another joins for the zone
 
 
 def parse_fields(items: list[str]) -> dict[str, str]:
-    """Names and values that alternate.
+    """Parse the alternating names and values that follow the message type.
 
     >>> parse_fields(["hot", "slice", "88"])
     {'slice': '88'}
@@ -34,7 +34,7 @@
 
 
 def parse_load(text: str, bounds: ReportBounds) -> dict[str, float]:
-    """A load report.
+    """Parse a load report, and check it against the bounds.
 
     >>> parse_load("inflight:7,util:0.61", ReportBounds(frozenset(), 1, 100, 5))
     {'inflight': 7.0, 'utilization': 0.61}
@@ -47,7 +47,7 @@
 
 
 class CollectorServer:
-    """All that have connected, within so many seats and so many bytes of unfinished messages."""
+    """All inbound connections, within limits on their count and on the bytes of their incomplete messages."""
 
     def __init__(
         self,
@@ -64,14 +64,14 @@
         self.loop, self.methods, self.bounds, self.enqueue, self.log = loop, methods, bounds, enqueue, log
         self.is_known_server, self.known_zones = is_known_server, known_zones
         self.max_connections, self.max_unfinished_bytes = max_connections, max_unfinished_bytes
-        self.ready = False
-        self.connections: dict["CollectorSession", Connection] = {}  # the one not heard of for longest first
-        self.unfinished_bytes = 0  # bytes of unfinished messages
-        self.burst: list[tuple] = []  # reports of a burst that is not over yet
-        self.burst_started_at = self.last_report_at = 0.0  # when its first and its last came
+        self.ready = False  # whether probes are answered and reports handed on
+        self.connections: dict["CollectorSession", Connection] = {}  # least recently active first
+        self.unfinished_bytes = 0  # of all connections together
+        self.burst: list[tuple] = []  # the reports of the current burst
+        self.burst_started_at = self.last_report_at = 0.0  # times of the burst's first and last report
 
     def set_limits(self, max_connections: int, max_unfinished_bytes: int) -> None:
-        """Other bounds from now on; what is past them ends."""
+        """Change the limits; connections in excess are evicted."""
         self.max_connections, self.max_unfinished_bytes = max_connections, max_unfinished_bytes
         while len(self.connections) > max_connections:
             self.evict_one(list(self.connections))
@@ -80,7 +80,7 @@
         return CollectorSession(self)
 
     def start_serving(self) -> None:
-        """From now on probes are answered, and those that wait are at once."""
+        """Answer probes from now on, those that are waiting at once."""
         if not self.ready:
             self.ready = True
             for session, connection in list(self.connections.items()):
@@ -88,7 +88,7 @@
                     connection.write(ALIVE)
 
     def add_report(self, handler: str, *arguments: object) -> None:
-        """A report, which goes on with the others of its burst."""
+        """Add a report to the current burst."""
         self.last_report_at = self.loop.now()
         if not self.burst:
             self.burst_started_at = self.last_report_at
@@ -97,30 +97,32 @@
 
     def end_burst(self) -> None:
         now, end = self.loop.now(), self.burst_started_at + MAX_BURST_S
-        # Half a message that was left there long ago is a silent connection's: nothing more is to come.
-        half = any(x.has_joined and x.unfinished_bytes and x.last_data_at > now - MAX_BURST_S for x in self.connections)
-        due = min(now + QUIET_PERIOD_S if half else self.last_report_at + QUIET_PERIOD_S, end)
+        # An incomplete message older than MAX_BURST_S is of a connection that fell silent: do not wait for its rest.
+        incomplete = any(
+            x.has_joined and x.unfinished_bytes and x.last_data_at > now - MAX_BURST_S for x in self.connections
+        )
+        due = min(now + QUIET_PERIOD_S if incomplete else self.last_report_at + QUIET_PERIOD_S, end)
         if now < due:
             self.loop.call_at(due, self.end_burst)
             return
         burst, self.burst = self.burst, []
-        for report in burst if self.ready else ():  # before that nothing that it could be on is in our charge
+        for report in burst if self.ready else ():  # before, we hold no slice that a report could be about
             self.enqueue(*report)
 
-    def evict_one(self, among: list["CollectorSession"]) -> None:
-        """End the one that is least of a loss: a silent stranger must not cost a collector its seat."""
-        if among:
-            self.connections[min(among, key=lambda x: (x.has_joined, x.has_sent))].close(CloseReason.CROWDED)
+    def evict_one(self, candidates: list["CollectorSession"]) -> None:
+        """Evict the least valuable connection: one that has not joined before a collector, and silent ones first."""
+        if candidates:
+            self.connections[min(candidates, key=lambda x: (x.has_joined, x.has_sent))].close(CloseReason.EVICTED)
 
 
 class CollectorSession:
-    """One that has connected."""
+    """The protocol state of one inbound connection."""
 
     def __init__(self, server: CollectorServer):
         self.server, self.parser = server, RespParser()
         self.has_sent = self.has_joined = self.has_probed = False
         self.zone, self.unfinished_bytes = "", 0
-        self.last_data_at = 0.0  # when bytes last came
+        self.last_data_at = 0.0  # when bytes last arrived
 
     def connection_made(self, connection: Connection) -> None:
         self.server.connections[self] = connection
@@ -129,11 +131,11 @@
             self.server.evict_one([x for x in self.server.connections if x is not self])
 
     def on_join_timeout(self, connection: Connection) -> None:
-        """It has had its time to join. Guards against strangers that keep their connections for good."""
-        if self.has_probed and not self.server.ready:  # it waits for us, not we for it
+        """Close a connection that has not joined. Guards against unknown clients that stay connected for good."""
+        if self.has_probed and not self.server.ready:  # it waits for our answer to its probe
             connection.timer = self.server.loop.call_later(JOIN_TIMEOUT_S, lambda: self.on_join_timeout(connection))
         else:
-            connection.close(CloseReason.STRANGER)
+            connection.close(CloseReason.JOIN_TIMEOUT)
 
     def join(self, connection: Connection, zone: str) -> None:
         if zone not in self.server.known_zones():
@@ -141,7 +143,7 @@
         self.has_joined, self.zone = True, zone
         if connection.timer:
             connection.timer.cancel()
-        # A machine that was cut off leaves its old connections open and silent: they would pile up.
+        # A machine that was cut off leaves its old connections open and silent, and they would pile up.
         for other, old in list(self.server.connections.items()):
             if other.has_joined and other.zone == zone and other.last_data_at < self.last_data_at - SILENT_AFTER_S:
                 old.close(CloseReason.SILENT)
@@ -155,20 +157,21 @@
                 try:
                     self.handle_message(connection, items)
                 except (ValueError, KeyError) as fault:
-                    if not self.has_joined:  # spoilt reports come from collectors alone: it is a stranger
-                        raise ProtocolError(f"unjoined, {items[0][:40]}: {error_text(fault)}") from None
+                    if not self.has_joined:  # only joined collectors may send an occasional bad report
+                        raise ProtocolError(f"not joined, {items[0][:40]}: {error_text(fault)}") from None
                     self.server.log("message dropped", f"{' '.join(items)[:120]}: {error_text(fault)}")
             if connection.closed:
                 return
         self.set_unfinished_bytes(self.parser.buffered_bytes())
 
     def set_unfinished_bytes(self, size: int) -> None:
-        """Half messages must not fill the memory: past the room, the ones that hold most are ended."""
+        """Account for this connection's incomplete message. Beyond the limit the connections with the largest ones are
+        evicted, so that incomplete messages cannot fill the memory."""
         self.server.unfinished_bytes += size - self.unfinished_bytes
         self.unfinished_bytes = size
         while self.server.unfinished_bytes > self.server.max_unfinished_bytes:
-            most = max(x.unfinished_bytes for x in self.server.connections)
-            self.server.evict_one([x for x in self.server.connections if x.unfinished_bytes == most])
+            largest = max(x.unfinished_bytes for x in self.server.connections)
+            self.server.evict_one([x for x in self.server.connections if x.unfinished_bytes == largest])
 
     def handle_message(self, connection: Connection, items: list[str]) -> None:
         kind = items[0]
@@ -181,7 +184,7 @@
         if kind == "agent":
             self.join(connection, fields["zone"])
         elif not self.has_joined:
-            raise ValueError("it has not joined")
+            raise ValueError("the connection has not joined")
         elif kind == "outcomes":
             if not self.server.is_known_server(fields["server"]):
                 raise ValueError(f"no such server '{fields['server']}'")
@@ -212,20 +215,20 @@
                 tries,
             )
         else:
-            raise ValueError("no such message")
+            raise ValueError("no such message type")
 
     def parse_attempts(self, fields: Mapping[str, str]) -> tuple[float, int, int]:
-        """Seconds, tries in them, and those that were aborted."""
+        """Return the span in seconds, the tries in it, and how many of them failed."""
         span = parse_amount(fields["span_ms"], 1e3 * self.server.bounds.span) / 1e3
         if not span:
-            raise ValueError("a span of nothing")
-        most = self.server.bounds.rate * span
-        # Of a slice more may have failed than were begun (seen): tries end in a later span than they begin.
-        return span, parse_count(fields["tries"], most), parse_count(fields["failed"], most)
+            raise ValueError("span_ms is zero")
+        max_tries = self.server.bounds.rate * span
+        # More tries at a slice may fail in a span than begin in it (observed): a try can end in a later span.
+        return span, parse_count(fields["tries"], max_tries), parse_count(fields["failed"], max_tries)
 
     def connection_lost(self, connection: Connection | None, reason: CloseReason) -> None:
         self.server.connections.pop(self, None)
         self.server.unfinished_bytes -= self.unfinished_bytes
         self.unfinished_bytes = 0
-        if reason not in (CloseReason.CLOSED, CloseReason.LEFT):
-            self.server.log("caller ended", f"{reason.value} {connection.error if connection else ''}")
+        if reason not in (CloseReason.CLOSED, CloseReason.CLOSED_BY_US):
+            self.server.log("connection closed", f"{reason.value} {connection.error if connection else ''}")
--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -1,7 +1,7 @@
-"""The conductor: hosts the module between its peers on sockets.
+"""The conductor process: hosts the decisions between their peers on sockets.
 
-Owns the inbox, the rounds and the writer of orders. It must never decide anything, keep a tuned value, or
-call the module other than once a round with all that came in.
+Owns the inbox, the rounds and the writing of orders. It must never decide anything, hold a tuned value, or call the
+decisions other than once a round, with everything that has arrived.
 """
 
 import hashlib
@@ -43,31 +43,32 @@
     from knotwalk.record.recorder import Recorder
     from knotwalk.settings.operator import OperatorSettings, PubsubSettings, RecordSettings
 
-CONNECTIONS_FRACTION = 0.8  # of the sockets allowed, for those that connect to us: our own peers take a dozen
-UNFINISHED_FRACTION = 0.25  # of the memory allowed, for their unfinished messages: the program itself takes under 40 MB
+CONNECTIONS_FRACTION = 0.8  # of the sockets allowed, for inbound connections; our own take about a dozen
+UNFINISHED_FRACTION = 0.25  # of the memory allowed, for their incomplete messages; the process takes less than 40 MB
 
 
 class ConfigError(Exception):
-    """The environment or the configuration cannot be used; the text says what is wrong."""
+    """The environment or the configuration is unusable; the text says why."""
 
 
-def parse_address(text: str, what: str) -> tuple[str, int]:
-    """
+def parse_address(text: str, source: str) -> tuple[str, int]:
+    """Parse an IPv4 address with a port.
+
     >>> parse_address("10.0.0.4:3000", "EDGE_LISTEN")
     ('10.0.0.4', 3000)
     """
     host, _, port = str(text).rpartition(":")
     try:
-        IPv4Address(host)  # no name: the platform has no DNS, and asking it would block the loop
+        IPv4Address(host)  # names are not accepted: the platform has no DNS, and a lookup would block the event loop
         if not 0 <= int(port) < 65536:
             raise ValueError
     except ValueError:
-        raise ConfigError(f"{what} is no address with a port: '{text}'") from None
+        raise ConfigError(f"{source} is not an IPv4 address with a port: '{text}'") from None
     return host, int(port)
 
 
 class Config:
-    """What the platform tells at the start."""
+    """The configuration from the environment and the platform's file."""
 
     def __init__(self, environ: Mapping[str, str]):
         path = environ.get("EDGE_CONFIG")
@@ -79,17 +80,17 @@
         except (OSError, ValueError) as fault:
             raise ConfigError(f"EDGE_CONFIG: {path} cannot be read: {fault}") from None
         if not isinstance(payload, dict):
-            raise ConfigError(f"EDGE_CONFIG: {path} holds no object")
+            raise ConfigError(f"EDGE_CONFIG: {path} does not hold a JSON object")
         try:
             self.name = str(environ.get("EDGE_NAME") or payload["name"])
             self.listen = parse_address(environ.get("EDGE_LISTEN") or payload["listen"], "EDGE_LISTEN")
-            self.configured_discovery = payload.get("discovery")  # as the file has it
+            self.configured_discovery = payload.get("discovery")  # as in the file
             self.discovery = parse_address(environ.get("EDGE_DISCOVERY") or payload["discovery"], "EDGE_DISCOVERY")
             self.relay = parse_address(payload["hub"]["address"], "hub.address")
             self.seed = int(str(payload["seed"]), 16)
             known = payload.get("known") or {"version": 0, "servers": []}
             self.known_version = int(known["version"])
-            self.known = [parse_entry(f) for f in known["servers"]]
+            self.known = [parse_entry(fields) for fields in known["servers"]]
             pairs = flatten_settings(payload["settings"])
             self.settings, self.methods = read_settings(pairs), read_methods(pairs)
             self.bounds, self.rules = read_bounds(pairs), read_limits(pairs)
@@ -103,10 +104,11 @@
             raise ConfigError(f"EDGE_CONFIG: {path}: {error_text(fault)}") from None
 
     def inherit_addresses(self, old: "Config") -> None:
-        """Take another's place in a running conductor, or raise what stands against it."""
+        """Check that this can replace the old configuration of a running conductor, and take over its discovery address
+        unless the file has changed it. Raises ConfigError."""
         if (self.name, self.listen) != (old.name, old.listen):
             raise ConfigError("name and listen cannot change in a running conductor")
-        # The environment is that of the start: it must not hide an address that the file has changed since.
+        # The environment dates from the start of the process and must not hide an address that the file changed since.
         self.discovery = (
             old.discovery
             if self.configured_discovery == old.configured_discovery
@@ -115,7 +117,7 @@
 
 
 class OrderWriter:
-    """Orders of one round, in the relay's words."""
+    """Collects the orders of one round in the relay's format."""
 
     def __init__(self, host: "Host"):
         self.host = host
@@ -137,7 +139,7 @@
         self.orders.append({"do": "SYNC", "ticket": mark, "on": 0})
 
     def watch(self) -> None:
-        """The list is always watched."""
+        """Do nothing: the server list is always watched."""
 
     def wake(self, at: float) -> None:
         self.host.schedule_round(at)
@@ -147,7 +149,7 @@
 
 
 def policy_digest() -> str:
-    """What tells one text of the policy from another."""
+    """Return a digest of the policy's source text, which a recording names."""
     digest, folder = hashlib.sha256(), os.path.dirname(str(decide.__file__))
     paths = [os.path.join(folder, name) for name in sorted(os.listdir(folder)) if name.endswith(".py")]
     for path in [*paths, str(passes.__file__), str(interface.__file__)]:
@@ -157,16 +159,16 @@
 
 
 class Host:
-    """One conductor: its module, its peers, its rounds, and what else the operator wants at the same seam."""
+    """One conductor: its decisions, peers and rounds, and the recorder and publisher that the operator enables."""
 
     def __init__(self, config: Config, log: Log, operator: "OperatorSettings | None" = None):
         self.config, self.log, self.loop = config, log, Loop()
         self.stopped = False
         self.method_names = {k: name for name, k in config.methods.items()}
         self.conductor = Conductor(config.settings, config.seed)
-        self.start_count = 1
+        self.start_count = 1  # conductors started in this process
         self.inbox: list[tuple[str, tuple]] = []
-        self.last_round_at = float("-inf")  # when the last round was
+        self.last_round_at = float("-inf")
         self.round_timer: Timer | None = None
         self.relay_stream = RelayStream(self.loop, config.relay, self.enqueue, log)
         self.order_sender = OrderSender(self.loop, config.relay, self.relay_stream, log)
@@ -191,52 +193,52 @@
         if operator and operator.pubsub.enabled:
             self.start_publishing(operator.pubsub)
 
-    def start_recording(self, wanted: "RecordSettings") -> None:
-        """Record from the start on; what that takes is loaded only here."""
+    def start_recording(self, settings: "RecordSettings") -> None:
+        """Record from the start on. The recorder's modules are imported only if it is enabled."""
         from knotwalk.record.feed import Feed
         from knotwalk.record.recorder import Recorder
 
-        # Names this life of the process for good: the clock may be set back, and a process number comes again.
+        # Unique for each run of the process: the clock may be set back, and process ids are reused.
         incarnation = f"{int(self.loop.now() * 1e3):x}-{os.urandom(4).hex()}"
-        self.recorder = Recorder(self.config.name, incarnation, policy_digest(), wanted.checkpoint)
+        self.recorder = Recorder(self.config.name, incarnation, policy_digest(), settings.checkpoint)
         self.feed = Feed(
             self.loop,
             self.recorder,
             [
-                wanted.path,
+                settings.path,
                 self.config.name,
                 incarnation,
-                str(int(wanted.segment)),
-                str(wanted.segment_age),
-                str(int(wanted.budget)),
+                str(int(settings.segment)),
+                str(settings.segment_age),
+                str(int(settings.budget)),
             ],
             self.log,
         )
 
-    def start_publishing(self, wanted: "PubsubSettings") -> None:
-        """Open the publisher's port; what that takes is loaded only here. Raises ConfigError."""
+    def start_publishing(self, settings: "PubsubSettings") -> None:
+        """Open the publisher's port. Its modules are imported only if it is enabled. Raises ConfigError."""
         from pathlib import Path
 
         from knotwalk.pubsub import front, keep, wire
         from knotwalk.pubsub.hub import Hub
         from knotwalk.pubsub.versions import Table
 
-        self.access_files = wanted.secrets, wanted.certificate, wanted.private_key, wanted.client_ca
+        self.access_files = settings.secrets, settings.certificate, settings.private_key, settings.client_ca
         table, key = Table(os.urandom(8).hex()), os.urandom(32)
         try:
             access = front.Access(*self.access_files)
-            if wanted.keep:
-                path = Path(wanted.keep) / f"{self.config.name}.kwt"
+            if settings.keep:
+                path = Path(settings.keep) / f"{self.config.name}.kwt"
                 path.parent.mkdir(parents=True, exist_ok=True)
                 try:
                     lock = keep.locked(path)
                     try:
                         table, key = keep.load(path) or (table, key)
-                    except keep.Unkept as fault:  # it is only of use: a new epoch does without
-                        self.log("kept table not used", f"{path}: {fault}; a new epoch begins")
+                    except keep.Unkept as fault:  # the saved table is an optimization: a new epoch works without it
+                        self.log("saved table not used", f"{path}: {fault}; starting a new epoch")
                     self.keeper = keep.Keeper(self.loop, path, lock, table, key, self.log)
                 except keep.Unkept as fault:
-                    self.log("table not kept", f"{path}: {fault}; a new epoch begins, and ends with this process")
+                    self.log("table not saved", f"{path}: {fault}; starting a new epoch that ends with this process")
         except front.Misfit as fault:
             raise ConfigError(f"pubsub: {fault}") from None
         except OSError as fault:
@@ -249,18 +251,18 @@
             self.enqueue,
             lambda proxy: proxy in self.relay_stream.proxies,
             self.log,
-            min(int(wanted.subscribers), self.config.max_connections),
+            min(int(settings.subscribers), self.config.max_connections),
             self.loop.now(),
             lambda: self.relay_stream.has_connected and not self.relay_stream.reading_state,
         )
         try:
-            address = self.publisher.listen(parse_address(wanted.listen, "pubsub.listen"))
+            address = self.publisher.listen(parse_address(settings.listen, "pubsub.listen"))
         except OSError as fault:
-            raise ConfigError(f"pubsub.listen: {wanted.listen}: {fault.strerror}") from None
+            raise ConfigError(f"pubsub.listen: {settings.listen}: {fault.strerror}") from None
         self.log("publishing", "at %s:%d, epoch %s from version %d" % (*address, table.epoch, table.version))
 
-    def begin_incarnation(self, why: str) -> None:
-        """A new life of the module begins."""
+    def begin_incarnation(self, reason: str) -> None:
+        """Record the start of a new conductor, if recording."""
         if self.recorder:
             self.recorder.life(
                 self.loop.now(),
@@ -268,27 +270,27 @@
                 self.config.settings,
                 self.config.rules,
                 self.config.seed + self.start_count - 1,
-                why,
+                reason,
             )
 
     def enqueue(self, handler: str, *arguments: object) -> None:
-        """Something for the next round."""
+        """Add an event to the inbox of the next round."""
         self.inbox.append((handler, arguments))
 
     def is_known_server(self, server: str) -> bool:
-        """Whether a server is listed or still known to the module: another name is a spoilt one."""
+        """Whether a server is listed or still known to the decisions; any other name in a report is an error."""
         return server in self.list_watch.entries or server in self.conductor.servers
 
     def known_zones(self) -> Set[str]:
-        """The zones that exist: as the settings have them, else those of servers and joined proxies."""
+        """The zones of the settings, if they name any, else those of the servers and the joined proxies."""
         return self.config.bounds.zones or self.relay_stream.zones | {x[1] for x in self.list_watch.entries.values()}
 
     def schedule_round(self, at: float) -> None:
-        """A round at that time, unless one comes between it and the timer."""
+        """Run a round at that time, unless one has run at or after it by then."""
         self.loop.call_at(at, lambda: self.last_round_at >= at or self.run_round())
 
     def run_round(self) -> None:
-        """Hand all that came in to the module, not sooner after the last round than the platform's tick."""
+        """Pass the inbox to the decisions, at the earliest one platform tick after the last round."""
         now = self.loop.now()
         if now < self.last_round_at + self.config.tick_s:
             if self.round_timer is None:
@@ -300,7 +302,7 @@
         order_log = OrderTee(out) if self.recorder or self.publisher else None
         try:
             self.conductor.decide(now, inbox, order_log or out)
-        except Exception:  # whatever it is: see restart
+        except Exception:  # any failure: see restart_after_failure
             if order_log and self.recorder:
                 self.recorder.failed(now, inbox, order_log.orders, traceback.format_exc(limit=-3))
             self.restart_after_failure(inbox)
@@ -309,7 +311,7 @@
             if order_log and self.recorder:
                 self.recorder.round(now, inbox, order_log.orders, self.conductor)
             if order_log and self.publisher:
-                if out.orders:  # one account a proxy over all fronts
+                if out.orders:  # relay and publisher share one message budget for each proxy
                     self.publisher.hub.charge(now, self.relay_stream.proxies)
                 self.publisher.round(now, inbox, order_log.orders)
                 if self.keeper:
@@ -320,20 +322,20 @@
         self.run_round()
 
     def restart_after_failure(self, inbox: list) -> None:
-        """The decisions failed. A module that was left halfway may hold anything, so a new one starts from
-        what stands, as after a crash, but without the seconds that one takes; what came in is dropped."""
+        """Handle an exception in the decisions. Their state may be inconsistent, so a new conductor starts from the
+        current state, as after a crash but without the seconds that one takes; the inbox is dropped."""
         self.log("decisions failed", f"{traceback.format_exc(limit=-3)} on {inbox}")
         self.replace_conductor("failed")
 
-    def replace_conductor(self, why: str) -> None:
-        """A new module, that starts from what stands; what came in for the old one is void."""
+    def replace_conductor(self, reason: str) -> None:
+        """Start a new conductor from the current state; the old one's inbox is dropped."""
         old, self.conductor = self.conductor, Conductor(self.config.settings, self.config.seed + self.start_count)
         carry_over(old, self.conductor)
         self.start_count += 1
-        self.begin_incarnation(why)
+        self.begin_incarnation(reason)
         self.inbox, self.collectors.burst = [], []
         self.relay_stream.replay_state()
-        # After the lines, which may be on servers that have gone: those are not in the list, and so known.
+        # After the lines, which may name servers that are gone: these are recognized by their absence from the list.
         self.enqueue("listed", True, False, list(self.list_watch.entries.values()))
         self.loop.call_later(self.config.tick_s, self.run_round)
 
@@ -341,16 +343,16 @@
         if number == signal.SIGHUP:
             self.reload(environ)
         else:
-            self.stopped = True  # nothing is owed to anybody: the store holds the tables
+            self.stopped = True  # nothing to flush: the relay's store holds the tables
 
     def reload(self, environ: Mapping[str, str]) -> None:
-        """Put the configuration as it is now in place of the one in use, whole or not at all."""
+        """Replace the configuration by the file's current one, entirely or not at all."""
         old = self.config
         try:
             config = Config(environ)
             config.inherit_addresses(old)
         except ConfigError as fault:
-            self.log("reload refused", f"{fault}; the old configuration stays")
+            self.log("reload refused", f"{fault}; the old configuration stays in use")
             return
         self.config = config
         self.log("reloaded", "discovery is at %s:%d, the relay at %s:%d" % (*config.discovery, *config.relay))
@@ -370,14 +372,14 @@
             self.replace_conductor("reload")
 
     def reload_keys(self) -> None:
-        """Read the publisher's keys and certificates anew, whole or not at all; streams that are up stay."""
+        """Reload the publisher's keys and certificates, entirely or not at all; established streams continue."""
         from knotwalk.pubsub import front
 
         assert self.publisher is not None
         try:
             self.publisher.reload(front.Access(*self.access_files))
         except front.Misfit as fault:
-            self.log("reload refused", f"pubsub: {fault}; the old keys stay")
+            self.log("reload refused", f"pubsub: {fault}; the old keys stay in use")
 
     def run(self) -> None:
         self.begin_incarnation("start")
@@ -389,49 +391,49 @@
         while not self.stopped:
             try:
                 self.loop.run_once()
-                # The module's life begins, and its first waits run, when there is somebody to order.
+                # The first round, from which the decisions' waits count, needs a relay that takes orders.
                 if self.inbox and self.relay_stream.has_connected:
                     self.collectors.start_serving()
                     self.run_round()
-            except Exception:  # a fault of ours in one turn is no reason to leave the proxies alone
-                self.log("fault", traceback.format_exc(limit=-3))
+            except Exception:  # a fault of ours in one iteration must not leave the proxies without a conductor
+                self.log("internal error", traceback.format_exc(limit=-3))
         if self.feed:
             self.feed.close()
         if self.keeper:
             self.keeper.close()
 
 
-def load_operator_settings(operator: str | None) -> "OperatorSettings | None":
-    """What the operator's file asks for; raises ConfigError."""
-    if not operator:
+def load_operator_settings(path: str | None) -> "OperatorSettings | None":
+    """Load the operator's file, if one is given; raises ConfigError."""
+    if not path:
         return None
     from knotwalk.settings.operator import SettingsError, load_in_subprocess
 
     try:
-        return load_in_subprocess(operator)
+        return load_in_subprocess(path)
     except SettingsError as fault:
         raise ConfigError(str(fault)) from None
 
 
 def check(environ: Mapping[str, str], operator: str | None = None) -> int:
-    """Read the configuration and say what it holds; the exit code."""
+    """Read the configuration and print a summary; returns the exit code."""
     try:
-        config, wanted = Config(environ), load_operator_settings(operator)
+        config, operator_settings = Config(environ), load_operator_settings(operator)
     except ConfigError as fault:
         print(f"knotwalk: {fault}", file=sys.stderr)
         return 2
-    s = config.settings
+    settings = config.settings
     print(
         "%s listens on %s:%d, discovery is at %s:%d, the relay at %s:%d"
         % (config.name, *config.listen, *config.discovery, *config.relay)
     )
     methods = ", ".join(config.methods) or "none"
-    print(f"{s.slices} slices, {len(config.known)} servers known, methods: {methods}")
+    print(f"{settings.slices} slices, {len(config.known)} servers known, methods: {methods}")
     print(
         f"a round every {config.tick_s * 1e3:g} ms at most, {config.max_connections} connections at most, "
-        f"{s.messages_most or 'any number of'} messages to a proxy in {s.messages_span:g} s"
+        f"{settings.messages_most or 'any number of'} messages to a proxy in {settings.messages_span:g} s"
     )
-    record, pubsub = (wanted.record, wanted.pubsub) if wanted else (None, None)
+    record, pubsub = (operator_settings.record, operator_settings.pubsub) if operator_settings else (None, None)
     if pubsub and pubsub.enabled:
         print(f"publishes at {pubsub.listen}")
     if record and record.enabled:
@@ -443,15 +445,18 @@
 
 
 def serve(environ: Mapping[str, str], operator: str | None = None, hangups: Sequence[int] = ()) -> int:
-    """Serve until SIGTERM, with what the operator's file asks for if one is named; the exit code.
+    """Serve until SIGTERM, with the operator's settings if a file is given; returns the exit code.
 
-    `hangups`: SIGHUPs as they come before this has a loop; any of them is a reload once it serves."""
+    `hangups` holds the SIGHUPs received before the event loop handles signals; if there are any, the configuration is
+    reloaded once the conductor serves."""
     try:
         host = Host(Config(environ), Log(), load_operator_settings(operator))
     except ConfigError as fault:
         print(f"knotwalk: {fault}", file=sys.stderr)
         return 2
-    host.loop.add_signal_handlers((signal.SIGHUP, signal.SIGTERM, signal.SIGINT), lambda n: host.on_signal(n, environ))
+    host.loop.add_signal_handlers(
+        (signal.SIGHUP, signal.SIGTERM, signal.SIGINT), lambda number: host.on_signal(number, environ)
+    )
     if hangups:
         host.loop.call_later(0.0, lambda: host.on_signal(signal.SIGHUP, environ))
     try:
--- a/knotwalk/net/discovery.py
+++ b/knotwalk/net/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery: the watch on the list of servers.
+"""Discovery: a long-polling watch on the list of servers.
 
-Owns the list's version and the rhythm of the watch. It must never change an entry beyond its words and units,
-and never decide what a missing answer means for a server.
+Owns the list's version and the pace of the watch. It must never change an entry beyond its names and units, and never
+decide what a missing answer means for a server.
 """
 
 import json
@@ -13,30 +13,30 @@
 from knotwalk.net.loop import MIN_RECONNECT_DELAY_S, Connection, Loop, PersistentConnection, ProtocolError, Timer
 from knotwalk.wire_values import SERVER_STATES, error_text, parse_amount
 
-WATCH_WAIT_S = 1.0  # seconds that a watch may wait: a change counts as payload 2 s after, whether it came or not
-ANSWER_MARGIN_S = 0.5  # seconds past its wait after which a call is silent; the whole list has none
-MAX_LIST_BYTES = 1 << 22  # bytes of an answer: some ten thousand servers
+WATCH_WAIT_S = 1.0  # of a long poll: the platform takes a change as delivered after 2 s, whether it arrived or not
+ANSWER_MARGIN_S = 0.5  # beyond the long poll's wait, which a request for the full list does not have
+MAX_LIST_BYTES = 1 << 22  # of a response: about ten thousand servers
 
 
-def parse_entry(f: Mapping) -> tuple:
-    """One list entry as the module has it.
+def parse_entry(fields: Mapping) -> tuple:
+    """Convert one list entry to the form that the decisions take.
 
     >>> parse_entry({"id": "s", "zone": "cork", "state": "leaving", "weight": 1.5, "started_ms": 2500})
     ('s', 'cork', 'draining', 1.5, 2.5)
     """
-    if f["state"] not in SERVER_STATES:
-        raise ValueError(f"no such state '{f['state']}'")
+    if fields["state"] not in SERVER_STATES:
+        raise ValueError(f"no such state '{fields['state']}'")
     return (
-        str(f["id"]),
-        str(f.get("zone", "")),
-        SERVER_STATES[f["state"]],
-        parse_amount(f.get("weight", 1)),
-        parse_amount(f.get("started_ms") or 0) / 1e3,
+        str(fields["id"]),
+        str(fields.get("zone", "")),
+        SERVER_STATES[fields["state"]],
+        parse_amount(fields.get("weight", 1)),
+        parse_amount(fields.get("started_ms") or 0) / 1e3,
     )
 
 
 class ListWatch(PersistentConnection):
-    """The watch: one call after the other on one connection."""
+    """Watches the list with one request after the other on one connection."""
 
     def __init__(
         self, loop: Loop, address: tuple[str, int], version: int, known: list[tuple], enqueue: Callable, log: Log
@@ -44,9 +44,9 @@
         super().__init__(loop, address)
         self.enqueue, self.log = enqueue, log
         self.version = version
-        self.entries = {x[0]: x for x in known if x[2] != "gone"}  # the list as now held
+        self.entries = {x[0]: x for x in known if x[2] != "gone"}  # the current list, by server
         self.parser, self.status, self.body = http.ResponseParser(MAX_LIST_BYTES), 0, b""
-        self.needs_full_list = True  # the next call asks for the whole list
+        self.needs_full_list = True  # whether the next request asks for the full list
         self.answer_timer: Timer | None = None
 
     def send_request(self, connection: Connection) -> None:
@@ -74,30 +74,30 @@
                 self.on_answer()
                 if value:
                     self.send_request(connection)
-                else:  # an agent that closes after each answer: the watch goes on over the next one
-                    connection.close(CloseReason.LEFT)
+                else:  # the agent closes after each response: the watch goes on over a new connection
+                    connection.close(CloseReason.CLOSED_BY_US)
                     return
 
     def on_answer(self) -> None:
         if self.status != 200:
-            raise ProtocolError(f"answer {self.status}: {self.body[:100]!r}")
+            raise ProtocolError(f"response with status {self.status}: {self.body[:100]!r}")
         try:
             payload = json.loads(self.body)
             version, full, servers = int(payload["version"]), bool(payload["full"]), payload["servers"]
-            entries = [parse_entry(f) for f in servers]
+            entries = [parse_entry(fields) for fields in servers]
         except (ValueError, TypeError, AttributeError, KeyError) as fault:
-            raise ProtocolError(f"no list: {error_text(fault)}") from None
+            raise ProtocolError(f"invalid server list: {error_text(fault)}") from None
         if not self.needs_full_list:
             self.reconnect_delay = MIN_RECONNECT_DELAY_S
         if not full and version < self.version:
-            self.needs_full_list = True  # restarted with an older list: changes to that are none to ours
+            self.needs_full_list = True  # the agent restarted with an older list; its changes do not apply to ours
             return
         if full:
             self.needs_full_list, self.entries = False, {}
-        for x in entries:  # what has gone is let go: a list that is renewed all day would fill the memory
-            self.entries.pop(x[0], None)
-            if x[2] != "gone":
-                self.entries[x[0]] = x
+        for item in entries:  # servers that are gone are removed: under constant renewal they would fill the memory
+            self.entries.pop(item[0], None)
+            if item[2] != "gone":
+                self.entries[item[0]] = item
         if full or entries:
             self.enqueue("listed", full, False, entries)
         self.version = version
@@ -105,12 +105,12 @@
     def connection_failed(self, connection: Connection | None, reason: CloseReason) -> None:
         if self.answer_timer:
             self.answer_timer.cancel()
-        if reason is not CloseReason.LEFT:
-            # After a gap the whole list: changes may have been payload to a connection that is gone.
+        if reason is not CloseReason.CLOSED_BY_US:
+            # Changes may have been sent to the lost connection, so the full list is needed.
             self.needs_full_list = True
-            means = outcome(Role.LIST, reason)
-            self.log("list lost", f"{reason.value}: {means.value} {connection.error if connection else ''}")
+            effect = outcome(Role.LIST, reason)
+            self.log("server list lost", f"{reason.value}: {effect.value} {connection.error if connection else ''}")
 
     def change_address(self, address: tuple[str, int]) -> None:
-        self.needs_full_list = True  # versions there may differ
+        self.needs_full_list = True  # versions at the new address may differ
         super().change_address(address)
--- a/knotwalk/net/http.py
+++ b/knotwalk/net/http.py
@@ -1,7 +1,6 @@
-"""HTTP/1.1 as a client speaks it: requests into bytes, answers out of bytes in any pieces.
+"""The client side of HTTP/1.1: encodes requests and parses responses incrementally.
 
-Owns framing alone, with httptools for the parsing. It must never know a socket, or what an address or a body
-means.
+Owns framing alone; httptools does the parsing. It must never know a socket, or what an address or a body means.
 """
 
 from urllib.parse import urlencode
@@ -12,19 +11,19 @@
 
 
 class ResponseParser:
-    """The machine of one connection: answers in the order in which they come.
+    """An incremental parser of the responses of one connection, in the order in which they arrive.
 
-    Events are ("status", code), ("piece", bytes) and ("end", whether the connection may be used again).
+    Its events are ("status", code), ("piece", bytes of the body) and ("end", whether the connection may be reused).
     """
 
     def __init__(self, max_body_bytes: int):
-        self.max_body_bytes = max_body_bytes  # bytes of an answer, 0: as long as it likes
+        self.max_body_bytes = max_body_bytes  # 0: no limit
         self.events: list[tuple] = []
         self.body_size = 0
         self.parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes | memoryview) -> list[tuple]:
-        """What these bytes bring.
+        """Parse these bytes and return the events that they complete.
 
         >>> ResponseParser(99).feed(b"HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
         [('status', 200), ('piece', b'hi'), ('end', True)]
@@ -34,11 +33,11 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
             if isinstance(fault.__context__, ProtocolError):
                 raise fault.__context__ from None
-            raise ProtocolError(f"no HTTP answer: {fault}") from None
+            raise ProtocolError(f"invalid HTTP response: {fault}") from None
         events, self.events = self.events, []
         return events
 
-    # --- called by the parser ---
+    # --- callbacks of httptools ---
 
     def on_headers_complete(self) -> None:
         self.body_size = 0
@@ -47,7 +46,7 @@
     def on_body(self, body: bytes) -> None:
         self.body_size += len(body)
         if self.max_body_bytes and self.body_size > self.max_body_bytes:
-            raise MessageTooLongError(f"an answer of over {self.max_body_bytes} bytes")
+            raise MessageTooLongError(f"response body exceeds {self.max_body_bytes} bytes")
         self.events.append(("piece", body))
 
     def on_message_complete(self) -> None:
@@ -55,7 +54,7 @@
 
 
 def build_request(host: str, method: str, path: str, query: dict | None = None, body: bytes = b"") -> bytes:
-    """One request.
+    """Encode one request; a body is JSON.
 
     >>> build_request("h:1", "GET", "/v1/a", {"since": 4})
     b'GET /v1/a?since=4 HTTP/1.1\\r\\nHost: h:1\\r\\n\\r\\n'
--- a/knotwalk/net/loop.py
+++ b/knotwalk/net/loop.py
@@ -1,7 +1,7 @@
-"""The loop: selectors, timers, sockets and the clock. The one driver of all that reads or writes.
+"""The event loop: selectors, timers, sockets and the clock. All reading and writing of the process runs on it.
 
-Owns every socket, moves bytes between sockets and rings, and tells each connection's peer object of its bytes
-and of its one close reason. It must never read meaning into bytes, decide anything, or wait in any call but select.
+Owns every socket, moves bytes between sockets and buffers, and calls each connection's handler with its bytes and with
+its one close reason. It must never interpret bytes, decide anything, or block in any call but select.
 """
 
 import errno
@@ -16,42 +16,45 @@
 from knotwalk.net.close_reason import CloseReason
 from knotwalk.net.ring import RingBuffer
 
-READ_BUFFER_BYTES = 1 << 14  # bytes read at once: machines take all they are fed, so the ring never holds more
-MAX_READS_PER_TURN = 4  # reads of one connection a turn: a burst in one turn, and no peer starves the others
-MAX_UNSENT_BYTES = 1 << 17  # bytes a peer may leave unread: what the platform's own side allows
-ACCEPT_PAUSE_S = 0.1  # seconds without new connections once no descriptor is to be had: others end by then
-MAX_ACCEPTS_PER_TURN = 64  # new connections a turn: a flood must not starve those that are there
-CONNECT_TIMEOUT_S = 0.25  # seconds for a connection on the same network to come up: the way and one lost packet
-MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.02, 0.5  # seconds before the next connection; doubles: no hammering
+READ_BUFFER_BYTES = 1 << 14  # read at once: handlers take all they are given, so the buffer never holds more
+MAX_READS_PER_TURN = 4  # of one connection: enough for a burst, and no peer starves the others
+MAX_UNSENT_BYTES = 1 << 17  # unsent bytes of a connection: the platform's own side allows as many
+ACCEPT_PAUSE_S = 0.1  # without accepting once the descriptors have run out: others close meanwhile
+MAX_ACCEPTS_PER_TURN = 64  # a flood of new connections must not starve the established ones
+CONNECT_TIMEOUT_S = 0.25  # on the same network: the round trip and one lost packet
+MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = (
+    0.02,
+    0.5,
+)  # doubles in between, so as not to flood the peer with attempts
 
 
 class ProtocolError(Exception):
-    """A peer's bytes make no sense; the text says why."""
+    """A peer sent bytes that violate its protocol; the text says how."""
 
     close_reason = CloseReason.MALFORMED
 
 
 class MessageTooLongError(ProtocolError):
-    """A peer's message passes its limit."""
+    """A peer's message exceeds its size limit."""
 
     close_reason = CloseReason.TOO_LONG
 
 
 class ConnectionHandler(Protocol):
-    """The meaning of one connection."""
+    """Interprets the bytes of one connection."""
 
     def connection_made(self, connection: "Connection") -> None:
-        """It has come up."""
+        """The connection is established."""
 
     def data_received(self, connection: "Connection", data: memoryview) -> None:
-        """Bytes came; all are to be size. Raises ProtocolError."""
+        """Bytes arrived; the handler must take all of them. Raises ProtocolError."""
 
     def connection_lost(self, connection: "Connection | None", reason: CloseReason) -> None:
-        """It is over, or there never was one; told once."""
+        """The connection closed or was never established (None: no socket was to be had); called once."""
 
 
 class Timer:
-    """A call due at a time."""
+    """A callback that is due at a time."""
 
     __slots__ = ("callback",)
 
@@ -63,7 +66,7 @@
 
 
 class Connection:
-    """One connection: a socket, a ring a direction, and the peer that gives it meaning."""
+    """One connection: a socket, a ring buffer for each direction, and the handler of its bytes."""
 
     def __init__(
         self, loop: "Loop", sock: socket.socket, handler: ConnectionHandler, connected: bool, address: tuple[str, int]
@@ -75,16 +78,16 @@
         )
         self.closed = False
         self.timer: Timer | None = None
-        self.error = ""  # what was wrong with its bytes, for the log
+        self.error = ""  # what was wrong with the received bytes, for the log
         self.events = selectors.EVENT_READ if connected else selectors.EVENT_WRITE
         loop.selector.register(sock, self.events, self)
 
     def write(self, data: bytes) -> None:
-        """Send now what goes, the rest as the peer reads."""
+        """Send what the socket takes now, and the rest as the peer reads."""
         if self.closed:
             return
         if not self.write_buffer.put(data):
-            self.close(CloseReason.UNREAD)
+            self.close(CloseReason.SEND_BUFFER_FULL)
         elif self.connected:
             self.flush()
 
@@ -116,7 +119,7 @@
             self.close(
                 CloseReason.REFUSED
                 if code == errno.ECONNREFUSED
-                else CloseReason.TIMED_OUT
+                else CloseReason.CONNECT_TIMEOUT
                 if code == errno.ETIMEDOUT
                 else CloseReason.RESET
                 if code == errno.ECONNRESET
@@ -131,7 +134,7 @@
             self.flush()
 
     def read(self) -> bool:
-        """Read once; whether there may be more."""
+        """Read once; return whether more may be available."""
         with self.read_buffer.free_space() as space:
             requested = len(space)
             try:
@@ -152,7 +155,7 @@
                 except ProtocolError as fault:
                     self.error = str(fault)
                     self.close(fault.close_reason)
-                except Exception as fault:  # bytes that nobody thought of end a connection, not the loop
+                except Exception as fault:  # unforeseen bytes close this connection and leave the loop running
                     self.error = f"{type(fault).__name__}: {fault}"
                     self.close(CloseReason.MALFORMED)
             self.read_buffer.consume(size)
@@ -176,7 +179,7 @@
 
 
 class Listener:
-    """The address where others connect."""
+    """A listening socket."""
 
     def __init__(self, loop: "Loop", sock: socket.socket, accept: Callable[[], ConnectionHandler]):
         self.loop, self.sock, self.accept = loop, sock, accept
@@ -186,7 +189,7 @@
             try:
                 sock, address = self.sock.accept()
             except OSError as fault:
-                if fault.errno in (errno.EMFILE, errno.ENFILE):  # it stays readable: no spinning on it
+                if fault.errno in (errno.EMFILE, errno.ENFILE):  # the socket stays readable, so polling on would spin
                     self.pause()
                 return
             sock.setblocking(False)
@@ -200,21 +203,21 @@
 
 
 class PersistentConnection:
-    """A connection that is kept up by its peer: opened anew whenever it ends, after waits that double, and
-    moved to another address by way of a new connection that is up before the old one goes."""
+    """The handler of a connection that is re-established whenever it closes, after delays that double. A change of
+    address first establishes the new connection and then closes the old one."""
 
     def __init__(self, loop: "Loop", address: tuple[str, int]):
         self.loop, self.address = loop, address
-        self.connection: Connection | None = None  # the one that is up
-        self.connecting = False  # whether another is on its way or waits for its turn
+        self.connection: Connection | None = None  # the established one
+        self.connecting = False  # whether an attempt is in progress or scheduled
         self.reconnect_timer: Timer | None = None
         self.reconnect_delay = MIN_RECONNECT_DELAY_S
 
     def connection_ready(self, connection: Connection) -> None:
-        """It has come up."""
+        """The connection is established and is the current one."""
 
     def connection_failed(self, connection: Connection | None, reason: CloseReason) -> None:
-        """The one that was up has ended, or a new one did not come up."""
+        """The current connection closed, or an attempt at a new one failed."""
 
     def start(self) -> None:
         if not self.connecting:
@@ -227,19 +230,19 @@
 
     def change_address(self, address: tuple[str, int]) -> None:
         self.address, self.reconnect_delay = address, MIN_RECONNECT_DELAY_S
-        if self.reconnect_timer:  # waiting to try the old address once more
+        if self.reconnect_timer:  # an attempt at the old address is scheduled
             self.reconnect_timer.cancel()
             self.connect()
         self.start()
 
     def connection_made(self, connection: Connection) -> None:
         if connection.address != self.address:
-            connection.close(CloseReason.LEFT)  # moved meanwhile: on to the new address
+            connection.close(CloseReason.CLOSED_BY_US)  # the address changed meanwhile
             return
         self.connecting = False
         old, self.connection = self.connection, connection
         if old:
-            old.close(CloseReason.LEFT)
+            old.close(CloseReason.CLOSED_BY_US)
         self.connection_ready(connection)
 
     def connection_lost(self, connection: Connection | None, reason: CloseReason) -> None:
@@ -248,24 +251,25 @@
         elif self.connecting:
             self.connecting = False
         else:
-            return  # the old one, left for a new one
+            return  # the old connection, replaced by a new one
         self.connection_failed(connection, reason)
         if self.connecting or self.connection and self.connection.address == self.address:
             return
-        if reason is CloseReason.LEFT:
+        if reason is CloseReason.CLOSED_BY_US:
             self.start()
             return
-        # Out of reach, the time it took not to come up is wait enough: a cut that ends is to be seen at once.
+        # After a connect timeout there is no further backoff: the timeout was wait enough, and the end of a network cut
+        # is to be noticed at once.
         self.connecting = True
         self.reconnect_timer = self.loop.call_later(
-            MIN_RECONNECT_DELAY_S if reason is CloseReason.TIMED_OUT else self.reconnect_delay, self.connect
+            MIN_RECONNECT_DELAY_S if reason is CloseReason.CONNECT_TIMEOUT else self.reconnect_delay, self.connect
         )
-        if reason is not CloseReason.TIMED_OUT:
+        if reason is not CloseReason.CONNECT_TIMEOUT:
             self.reconnect_delay = min(MAX_RECONNECT_DELAY_S, 2 * self.reconnect_delay)
 
 
 class SignalReader:
-    """Signals as one more descriptor to read: they are told between rounds, never in the midst of one."""
+    """Turns signals into a readable descriptor, so that they are handled between rounds and never within one."""
 
     def __init__(self, numbers: Iterable[int], on_signal: Callable[[int], None]):
         self.sock, self.write_sock = socket.socketpair()
@@ -277,19 +281,19 @@
             signal.signal(number, lambda *_: None)
 
     def handle_events(self, _events: int) -> None:
-        """Each that came, once: several of a kind in a row ask for the same."""
+        """Handle each pending signal once: several of a kind ask for the same."""
         for number in dict.fromkeys(self.sock.recv(4096)):
             self.on_signal(number)
 
 
 class Loop:
-    """All connections and timers of the program."""
+    """All connections and timers of the process."""
 
     def __init__(self):
         self.selector = selectors.DefaultSelector()
         self.timers: list[tuple[float, int, Timer]] = []
         self.timer_count = 0
-        # Unix time at the start, carried on by the clock that never steps back.
+        # Unix time at the start; the monotonic clock carries it on, so that now() never steps back.
         self.epoch = time.time() - time.monotonic()
 
     def now(self) -> float:
@@ -305,16 +309,16 @@
         return self.call_at(self.now() + seconds, callback)
 
     def connect(self, address: tuple[str, int], handler: ConnectionHandler, timeout_s: float) -> None:
-        """Open a connection; the peer hears of it, or of its end if it is not up within that time."""
+        """Open a connection; it closes with CONNECT_TIMEOUT unless it is established within `timeout_s`."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError:  # no descriptor is to be had: as if nobody answered
+        except OSError:  # out of descriptors: the same as an unreachable peer
             handler.connection_lost(None, CloseReason.UNREACHABLE)
             return
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = Connection(self, sock, handler, False, address)
-        connection.timer = self.call_later(timeout_s, lambda: connection.close(CloseReason.TIMED_OUT))
+        connection.timer = self.call_later(timeout_s, lambda: connection.close(CloseReason.CONNECT_TIMEOUT))
         try:
             code = sock.connect_ex(address)
         except OSError as fault:
@@ -337,17 +341,17 @@
         return listener
 
     def add_signal_handlers(self, numbers: Iterable[int], on_signal: Callable[[int], None]) -> None:
-        """Hear these signals from now on."""
+        """Call `on_signal` with each of these signals from now on."""
         signals = SignalReader(numbers, on_signal)
         self.selector.register(signals.sock, selectors.EVENT_READ, signals)
 
     def run_once(self) -> None:
-        """One turn: whatever can be read or written, then the timers that are due."""
+        """One iteration: handle the sockets that are ready, then call the timers that are due."""
         while self.timers and self.timers[0][2].callback is None:
             heapq.heappop(self.timers)
         wait = max(0.0, self.timers[0][0] - self.now()) if self.timers else None
         for key, events in self.selector.select(wait):
-            if key.fileobj.fileno() >= 0:  # not ended earlier in this turn
+            if key.fileobj.fileno() >= 0:  # not closed earlier in this iteration
                 key.data.handle_events(events)
         now = self.now()
         while self.timers and self.timers[0][0] <= now:
--- a/knotwalk/net/resp.py
+++ b/knotwalk/net/resp.py
@@ -1,29 +1,29 @@
-"""RESP2: arrays of bulk strings parts of bytes, in any pieces.
+"""RESP2 framing: messages are arrays of bulk strings, parsed incrementally.
 
-Owns framing alone: it is fed bytes and hands parts whole messages. It must never know a socket or a message's
-meaning, and never hold more than one unfinished message.
+Owns framing alone: it is fed bytes and returns complete messages. It must never know a socket or what a message means,
+and never hold more than one incomplete message.
 """
 
 from knotwalk.net.loop import MessageTooLongError, ProtocolError
 
-MAX_MESSAGE_BYTES = 1 << 20  # bytes of a message, as the protocol has it
-MAX_HEADER_BYTES = 24  # bytes of a count or a length: no legal one is longer
-MAX_ITEMS = 1 << 12  # a message has some twenty items; every one costs memory beside its bytes
-ITEM_OVERHEAD_BYTES = 64  # bytes of that
+MAX_MESSAGE_BYTES = 1 << 20  # the protocol's limit
+MAX_HEADER_BYTES = 24  # of a count or a length: no valid one is longer
+MAX_ITEMS = 1 << 12  # a message has about twenty; each costs memory beyond its bytes
+ITEM_OVERHEAD_BYTES = 64  # memory of an item beyond its bytes
 
 
 class RespParser:
-    """The machine of one connection."""
+    """An incremental parser of the messages of one connection."""
 
     def __init__(self):
-        self.buffer = bytearray()  # what is not yet a whole count, length or string
+        self.buffer = bytearray()  # the bytes of an incomplete count, length or string
         self.items: list[str] = []
-        self.item_count: int | None = None  # items of the message under way
-        self.string_length: int | None = None  # bytes of the string under way
-        self.size = 0  # bytes of the message so far
+        self.item_count: int | None = None  # of the incomplete message, once its count is known
+        self.string_length: int | None = None  # of the string being read, once its length is known
+        self.size = 0  # bytes of the incomplete message parsed so far
 
     def feed(self, data: bytes | memoryview) -> list[list[str]]:
-        """The messages that these bytes finish.
+        """Parse these bytes and return the messages that they complete.
 
         >>> resp = RespParser()
         >>> resp.feed(b"*1\\r\\n$5\\r\\npro"), resp.feed(b"be\\r\\n")
@@ -40,7 +40,9 @@
                         b"*",
                         b"$",
                     ):
-                        raise ProtocolError(f"no RESP array: {bytes(buffer[position : position + MAX_HEADER_BYTES])!r}")
+                        raise ProtocolError(
+                            f"invalid RESP array: {bytes(buffer[position : position + MAX_HEADER_BYTES])!r}"
+                        )
                     break
                 self.parse_header(bytes(buffer[position:end]))
                 self.size += end + 2 - position
@@ -50,7 +52,7 @@
             else:
                 end = position + self.string_length
                 if buffer[end : end + 2] != b"\r\n":
-                    raise ProtocolError("a bulk string does not end where it says")
+                    raise ProtocolError("bulk string is not terminated at its declared length")
                 self.items.append(buffer[position:end].decode("utf-8", "replace"))
                 self.size += self.string_length + 2
                 position, self.string_length = end + 2, None
@@ -61,25 +63,25 @@
         return messages
 
     def buffered_bytes(self) -> int:
-        """Bytes of memory that the unfinished message takes, about."""
+        """Approximate memory in bytes that the incomplete message takes."""
         return len(self.buffer) + self.size + ITEM_OVERHEAD_BYTES * len(self.items)
 
     def parse_header(self, line: bytes) -> None:
         prefix, number = line[:1], line[1:]
         if prefix != (b"*" if self.item_count is None else b"$") or not number.isdigit():
-            raise ProtocolError(f"no RESP array: {line!r}")
+            raise ProtocolError(f"invalid RESP array: {line!r}")
         if self.item_count is None:
             self.item_count = int(number)
             if self.item_count > MAX_ITEMS:
-                raise MessageTooLongError(f"a message of {self.item_count} items")
+                raise MessageTooLongError(f"message has {self.item_count} items, at most {MAX_ITEMS} are allowed")
         else:
             self.string_length = int(number)
             if self.size + self.string_length > MAX_MESSAGE_BYTES:
-                raise MessageTooLongError(f"a message of over {MAX_MESSAGE_BYTES} bytes")
+                raise MessageTooLongError(f"message exceeds {MAX_MESSAGE_BYTES} bytes")
 
 
 def encode_message(*items: str) -> bytes:
-    """One message.
+    """Encode one message.
 
     >>> encode_message("alive")
     b'*1\\r\\n$5\\r\\nalive\\r\\n'
--- a/knotwalk/net/ring.py
+++ b/knotwalk/net/ring.py
@@ -1,15 +1,13 @@
 """A ring buffer: the bytes of one direction of one connection.
 
-Owns the memory between a socket and a protocol machine, and its bound. It must never know what bytes mean.
+Owns the memory between a socket and a parser, and its limit. It must never know what the bytes mean.
 """
 
-INITIAL_BYTES = (
-    1024  # bytes position the start: an ordinary call or an answer to a probe fits; it doubles position need
-)
+INITIAL_BYTES = 1024  # an ordinary call or the answer to a probe fits; the buffer doubles as needed
 
 
 class RingBuffer:
-    """Bytes in order; grows by doubling up to `max_bytes`.
+    """A first-in, first-out byte buffer that grows by doubling up to `max_bytes`.
 
     >>> ring = RingBuffer(8)
     >>> ring.put(b"abcdef")
@@ -24,16 +22,16 @@
         self.start = self.size = 0
 
     def peek(self) -> memoryview:
-        """The first bytes, as many as lie in one piece."""
+        """The first bytes, as many as are contiguous."""
         return memoryview(self.buffer)[self.start : min(self.start + self.size, len(self.buffer))]
 
     def consume(self, count: int) -> None:
-        """Drop the first bytes."""
+        """Drop the first `count` bytes."""
         self.size -= count
         self.start = (self.start + count) % len(self.buffer) if self.size else 0
 
     def free_space(self) -> memoryview:
-        """Free space in one piece, empty if the ring is full."""
+        """Contiguous free space, empty if the buffer is full at its limit."""
         if self.size == len(self.buffer) < self.max_bytes:
             self.grow(2 * self.size)
         end = (self.start + self.size) % len(self.buffer)
@@ -42,11 +40,11 @@
         return memoryview(self.buffer)[end : self.start if end < self.start else len(self.buffer)]
 
     def commit(self, count: int) -> None:
-        """So many bytes were put into room()."""
+        """Add `count` bytes that were written into free_space()."""
         self.size += count
 
     def put(self, data: bytes) -> bool:
-        """Add all of it, or nothing if it does not fit."""
+        """Append all of the data, or none of it if it does not fit; whether it did."""
         if self.size + len(data) > self.max_bytes:
             return False
         if self.size + len(data) > len(self.buffer):
--- a/knotwalk/plugin/__init__.py
+++ b/knotwalk/plugin/__init__.py
@@ -1,5 +1,5 @@
-"""The tables' judgement inside a client's process: picks, tries, the last table.
+"""Client-side load balancing: server selection from the tables, inside a client's process.
 
-Begun: picks alone, and nothing uses them yet. It must never move a slice, try again on its own account what must not
-run twice, or pick a server that the table withdraws.
+Selection alone is implemented so far, and nothing uses it yet. It must never move a slice, retry by itself what must
+not run twice, or pick a server that the table withdraws.
 """
--- a/knotwalk/pubsub/client.py
+++ b/knotwalk/pubsub/client.py
@@ -48,7 +48,7 @@
         if self.timer:
             self.timer.cancel()
         if self.link:
-            self.link.close(CloseReason.LEFT)
+            self.link.close(CloseReason.CLOSED_BY_US)
 
     def connection_made(self, link: Connection) -> None:
         self.link, self.lines = link, wire.Lines(wire.FROM_PUBLISHER)
@@ -92,7 +92,7 @@
             self.timer.cancel()
         if self.stopped:
             return
-        if ending is not CloseReason.LEFT:
+        if ending is not CloseReason.CLOSED_BY_US:
             self.said("lost", f"{ending.value} {link.error if link else ''}")
         wait, self.later = max(self.subscriber.again(self.loop.now()), self.later), 0.0
         if len(self.addresses) > 1:
--- a/knotwalk/pubsub/front.py
+++ b/knotwalk/pubsub/front.py
@@ -113,7 +113,7 @@
 
     def silent(self) -> None:
         if self.cursor is None and self.link is not None:
-            self.link.close(CloseReason.STRANGER)
+            self.link.close(CloseReason.JOIN_TIMEOUT)
 
     def data_received(self, link: Connection, data: memoryview) -> None:
         for told in self.lines.feed(data):
@@ -159,7 +159,7 @@
         self.all.by_cursor[cursor.name] = self
         if old is not None and old.link is not None:
             old.cursor = None  # its place is taken: it ends without a word to the module
-            old.link.close(CloseReason.CROWDED)
+            old.link.close(CloseReason.EVICTED)
         if self.timer:
             self.timer.cancel()
         link.write(wire.line("welcome", v=wire.VERSION, epoch=self.all.hub.table.epoch, born=self.all.born))
@@ -178,10 +178,10 @@
     def finish(self, link: Connection) -> None:
         if not link.closed:
             if link.write_buffer.size:
-                self.all.loop.call_later(ENDED, lambda: link.close(CloseReason.LEFT))
+                self.all.loop.call_later(ENDED, lambda: link.close(CloseReason.CLOSED_BY_US))
                 self.lines = wire.Lines(0)  # whatever it says now ends it at once
             else:
-                link.close(CloseReason.LEFT)
+                link.close(CloseReason.CLOSED_BY_US)
 
     def connection_lost(self, link: Connection | None, ending: CloseReason) -> None:
         self.all.streams.pop(self, None)
@@ -194,7 +194,7 @@
                 del self.all.by_cursor[cursor.name]
                 if cursor.proxy is not None:
                     self.all.gone(cursor.proxy)
-        if ending not in (CloseReason.CLOSED, CloseReason.LEFT, CloseReason.RESET):
+        if ending not in (CloseReason.CLOSED, CloseReason.CLOSED_BY_US, CloseReason.RESET):
             self.all.log(
                 "subscriber ended",
                 f"{cursor.name if cursor else 'a stranger'}: {ending.value} {link.error if link else ''}",
@@ -236,7 +236,7 @@
     def crowd_out(self) -> None:
         """A stranger goes first; a subscriber only if there are none."""
         victim = next((s for s in self.streams if s.cursor is None), next(iter(self.streams)))
-        self.streams[victim].close(CloseReason.CROWDED)
+        self.streams[victim].close(CloseReason.EVICTED)
 
     def reload(self, access: Access) -> None:
         """Other keys and certificates from now on; streams that are up stay."""
@@ -248,7 +248,7 @@
         self.hub.table.epoch = os.urandom(8).hex()
         self.hub.key = os.urandom(32)
         for link in list(self.streams.values()):
-            link.close(CloseReason.LEFT)
+            link.close(CloseReason.CLOSED_BY_US)
 
     def joined(self, proxy: int) -> None:
         if not self.elsewhere(proxy):
--- a/knotwalk/wirehost/__init__.py
+++ b/knotwalk/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: hosts Conductors behind the simulator's wire on standard input and output."""
+"""The simulator adapter: hosts conductors behind the simulator's wire protocol on standard input and output."""
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -226,7 +226,7 @@
             if fate:
                 link.write(answer({"accepted": len(orders)}))
             else:
-                link.close(CloseReason.LEFT)
+                link.close(CloseReason.CLOSED_BY_US)
 
     def sign(self):
         if not self.link.closed:
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -93,12 +93,12 @@
 
 def test_every_ending_has_an_outcome_for_every_role():
     for ending in CloseReason:
-        assert outcome(Role.CALL, ending, sent=False) is Outcome.UNDONE
-        assert outcome(Role.NEWS, ending) is Outcome.STALE
+        assert outcome(Role.CALL, ending, sent=False) is Outcome.NOT_APPLIED
+        assert outcome(Role.STREAM, ending) is Outcome.STALE
         assert outcome(Role.LIST, ending) is Outcome.LIST_FAILED
-        assert outcome(Role.CALLER, ending) is Outcome.NOTHING
-        never_up = ending in (CloseReason.REFUSED, CloseReason.UNREACHABLE, CloseReason.TIMED_OUT)
-        assert outcome(Role.CALL, ending, sent=True) is (Outcome.UNDONE if never_up else Outcome.UNSURE)
+        assert outcome(Role.COLLECTOR, ending) is Outcome.NOTHING
+        never_up = ending in (CloseReason.REFUSED, CloseReason.UNREACHABLE, CloseReason.CONNECT_TIMEOUT)
+        assert outcome(Role.CALL, ending, sent=True) is (Outcome.NOT_APPLIED if never_up else Outcome.UNKNOWN)
 
 
 def test_the_log_holds_back_what_comes_too_often_and_says_so():
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -210,7 +210,7 @@
     for byte in encode_message("agent", "zone", "a")[:15]:
         half.feed(bytes([byte]))
         clock.move(0.1)
-    assert [x.closed for x in (silent, asked, half, joined)] == 3 * [CloseReason.STRANGER] + [False]
+    assert [x.closed for x in (silent, asked, half, joined)] == 3 * [CloseReason.JOIN_TIMEOUT] + [False]
     assert asked.written == encode_message("alive") and len(server.connections) == 1 and not server.unfinished_bytes
 
 
@@ -224,7 +224,7 @@
     server.start_serving()
     assert waits.written == encode_message("alive")
     clock.move(2)
-    assert waits.closed is CloseReason.STRANGER
+    assert waits.closed is CloseReason.JOIN_TIMEOUT
 
 
 def test_a_zones_old_connections_that_fell_silent_are_let_go():
@@ -257,7 +257,7 @@
     collector.feed(JOIN)
     strangers = [Wire(server.accept()) for _ in range(8)]
     assert not collector.closed and len(server.connections) == 3
-    assert [x.closed for x in strangers] == 6 * [CloseReason.CROWDED] + 2 * [False]
+    assert [x.closed for x in strangers] == 6 * [CloseReason.EVICTED] + 2 * [False]
 
 
 def test_half_messages_do_not_fill_the_memory():
@@ -267,7 +267,7 @@
     small.feed(b"*1\r\n$9000\r\n" + 2000 * b"x")
     large.feed(b"*1\r\n$9000\r\n" + 8500 * b"x")
     assert (
-        large.closed is CloseReason.CROWDED
+        large.closed is CloseReason.EVICTED
         and not small.closed
         and not collector.closed
         and server.unfinished_bytes < 3000
@@ -570,7 +570,7 @@
     Wire(news).feed(lines(*STANDS, ("", {})))
     told.clear()
     clock.time += 60
-    news.connection_lost(None, CloseReason.TIMED_OUT)
+    news.connection_lost(None, CloseReason.CONNECT_TIMEOUT)
     Wire(news).feed(lines(*STANDS, ("", {})))
     assert told == []
 
@@ -618,7 +618,7 @@
     assert not old.closed and clock.connects == [news]
     old.feed(lines(("bye", {"proxy": 1}), head=False))
     new = Wire(news, AWAY)
-    assert old.closed is CloseReason.LEFT and told == [*GIVEN, ("left", 1)]
+    assert old.closed is CloseReason.CLOSED_BY_US and told == [*GIVEN, ("left", 1)]
     new.feed(lines(*STANDS, ("", {})))
     assert told[4:] == [("joined", 1)] and len(clock.connects) == 1
 
@@ -628,7 +628,7 @@
     news.start()
     news.change_address(AWAY)
     stale = Wire(clock.connects.pop())
-    assert stale.closed is CloseReason.LEFT and not stale.written and clock.connects == [news]
+    assert stale.closed is CloseReason.CLOSED_BY_US and not stale.written and clock.connects == [news]
     news.connection_lost(None, CloseReason.REFUSED)
     news.change_address(HOME)  # while it waits: at once, not when the wait is over
     assert len(clock.connects) == 2
@@ -642,7 +642,7 @@
     calls.add_orders([line(2, "a")])
     assert not old.closed
     old.feed(answer({"accepted": 1}))
-    assert old.closed is CloseReason.LEFT and bodies(Wire(calls, AWAY)) == [[line(2, "a")]]
+    assert old.closed is CloseReason.CLOSED_BY_US and bodies(Wire(calls, AWAY)) == [[line(2, "a")]]
 
 
 # --- discovery -----------------------------------------------------------------------------------
@@ -686,7 +686,7 @@
                 b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"
             )
         )
-        assert wire.closed is CloseReason.LEFT
+        assert wire.closed is CloseReason.CLOSED_BY_US
     assert b"since=41" in wire.written and not told.log and len(clock.connects) == 1
 
 
@@ -742,7 +742,8 @@
                 self.wires[Wire(peer)] = 0
             else:
                 peer.connection_lost(
-                    None, self.chance.choice([CloseReason.REFUSED, CloseReason.TIMED_OUT, CloseReason.UNREACHABLE])
+                    None,
+                    self.chance.choice([CloseReason.REFUSED, CloseReason.CONNECT_TIMEOUT, CloseReason.UNREACHABLE]),
                 )
         for wire in list(self.wires):
             while not wire.closed and len(wire.written) > self.wires[wire]:
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -95,7 +95,7 @@
     address = stand.start()
     assert alive(stand, address)
     for link in list(stand.links):
-        link.close(CloseReason.LEFT)
+        link.close(CloseReason.CLOSED_BY_US)
     stand.until(lambda: stand.news)
     drain(stand)
     stand.until(lambda: orders(stand) == OFF_A)
@@ -185,7 +185,7 @@
         collector.sendall(report)
         open_links = [link for link in stand.links if not link.closed]
         if open_links and chance.random() < 0.3:
-            chance.choice(open_links).close(CloseReason.LEFT)
+            chance.choice(open_links).close(CloseReason.CLOSED_BY_US)
         stand.loop.call_later(0.02, lambda: None)
         stand.loop.run_once()
     stand.fate = lambda given: True
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -66,7 +66,7 @@
 def test_lists_are_resolved_in_the_order_of_events():
     host = Host(print)
     lines = iter(["CONTEXT who=c", BORN, *LIST, "PAGE bank=0 members_list=0", "COMMIT"])
-    host.batch("SYNC clock_us=0 frame=1", lambda: next(lines))
+    host.handle_batch("SYNC clock_us=0 frame=1", lambda: next(lines))
     assert host.instances["c"].conductor.servers["10.0.0.1:80"].state == "ready" and host.banks[0] == []
 
 
@@ -95,8 +95,8 @@
 def test_an_exception_in_the_decisions_becomes_fatal():
     host = Host(print)
     lines = iter(["CONTEXT who=c", BORN, "COMMIT"])
-    host.batch("SYNC clock_us=0 frame=1", lambda: next(lines))
+    host.handle_batch("SYNC clock_us=0 frame=1", lambda: next(lines))
     host.instances["c"].conductor.decide = lambda *_: 1 / 0
     lines = iter(["CONTEXT who=c", "REMINDER cookie=0", "COMMIT"])
-    reply = host.batch("SYNC clock_us=0 frame=2", lambda: next(lines))
+    reply = host.handle_batch("SYNC clock_us=0 frame=2", lambda: next(lines))
     assert "FATAL msg=ZeroDivisionError: division by zero" in reply
