--- a/benchmarks/pubsub.py
+++ b/benchmarks/pubsub.py
@@ -24,7 +24,7 @@
 from docopt import docopt
 from standins.day import Day, Size, settings_of, storm
 from standins.edges import Site, most_within
-from standins.hubs import SMALL, World, alike, filled, proxies
+from standins.hubs import SMALL, HubHarness, alike, filled, proxies
 from standins.platform import StandIn
 
 from knotwalk.net.resp import encode_message
@@ -68,7 +68,7 @@
 
 def late(count: int, slices: int, seconds: float = 0.2) -> dict:
     """The pure parts on a clock of their own, every answer so late: the time to the last over the caps' bound."""
-    world = World(SMALL._replace(messages_most=60), filled(slices))
+    world = HubHarness(SMALL._replace(messages_most=60), filled(slices))
     subscribers = proxies(count)
     for s in subscribers:
         world.join(s)
@@ -100,24 +100,24 @@
         "bound": round(least, 2),
         "over_bound": round(took / least, 3),
         "converged": alike(world, subscribers),
-        "cap_breaks": int(not world.caps_kept()),
+        "cap_breaks": int(not world.are_limits_kept()),
     }
 
 
 def bytes_ratio() -> float:
     """Forty that flap while forty slices of 4,000 change: bytes sent over a snapshot each."""
-    world = World(SMALL._replace(messages_most=1000), filled(4000))
+    world = HubHarness(SMALL._replace(messages_most=1000), filled(4000))
     subscribers = proxies(40)
     for s in subscribers:
         world.join(s)
-    world.quiet()
+    world.run_until_idle()
     whole, world.bytes = world.bytes, 0
     for k in range(40):
         world.order(("line", (k * 97, "x", 1.0)))
     for s in subscribers:
-        world.cut(s.name)
+        world.disconnect(s.name)
         world.join(s)
-    world.quiet()
+    world.run_until_idle()
     assert alike(world, subscribers)
     return round(world.bytes / whole, 4)
 
@@ -131,7 +131,7 @@
         encoded[0] += 1
         return wire.encoded(delta)
 
-    world = World(SMALL._replace(messages_most=10**6, lines_waiting_most=10.0**9), table)
+    world = HubHarness(SMALL._replace(messages_most=10**6, lines_waiting_most=10.0**9), table)
     world.hub.encode = encode
     sent = []
 
@@ -143,7 +143,7 @@
 
     for s in proxies(count):
         world.join(s)
-    world.quiet()
+    world.run_until_idle()
     times = []
     for k in range(12):
         encoded[0] = 0
@@ -153,9 +153,9 @@
         times.append(time.perf_counter() - begun)
         once = encoded[0]
         for cursor, message in sent:
-            world.pipes[cursor.name].down.append(message)
+            world.streams[cursor.name].to_subscriber.append(message)
         sent.clear()
-        world.quiet()
+        world.run_until_idle()
     delta = table.since(table.version - 20)
     begun = time.perf_counter()
     for _ in range(200):
@@ -216,7 +216,7 @@
 
 def memory(count: int) -> dict:
     """KB a subscriber: its cursor, and in the program with its stream."""
-    world = World(SMALL, filled(400))
+    world = HubHarness(SMALL, filled(400))
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for k in range(count):
@@ -301,7 +301,7 @@
     times: dict[bool, list[float]] = {True: [], False: []}
     turns: list[float] = []
     settings = settings_of(size)
-    world = World(settings, Table("e"))
+    world = HubHarness(settings, Table("e"))
     empty = Hub(Table("e"), settings, b"k", wire.encoded, 1)
     for s in proxies(count):
         world.join(s)
@@ -318,7 +318,7 @@
         begun = clock()
         world.turn()
         turns.append(clock() - begun)
-        for name in list(world.pipes):
+        for name in list(world.streams):
             world.deliver(name)
 
     class Timed(Day):
@@ -370,12 +370,12 @@
 
 def waits() -> dict:
     """A storm of 400 with drains and observers among it, answers at once: who waited for how long (simulated)."""
-    world = World(SMALL._replace(lines_waiting_most=4000.0), filled(300))
+    world = HubHarness(SMALL._replace(lines_waiting_most=4000.0), filled(300))
     held, fresh = proxies(40), [Subscriber(f"f{k}", k, proxy=100 + k) for k in range(360)]
     watchers = [Subscriber(f"w{k}", k) for k in range(4)]
     for s in (*held, *watchers):
         world.join(s)
-    world.quiet()
+    world.run_until_idle()
     for s in fresh:
         world.join(s)
     begun = world.now
@@ -387,11 +387,11 @@
     )
     target = world.table.version
     done: dict[str, float] = {}
-    while len(done) < len(world.pipes) and world.now < begun + 120:
+    while len(done) < len(world.streams) and world.now < begun + 120:
         world.turn()
-        for name in list(world.pipes):
+        for name in list(world.streams):
             world.deliver(name, 1)  # one message a tick of 50 ms: a way of that length
-            if world.pipes[name].subscriber.version >= target and world.pipes[name].subscriber.place is None:
+            if world.streams[name].subscriber.version >= target and world.streams[name].subscriber.place is None:
                 done.setdefault(name, world.now - begun)
         world.now += 0.05
     by = {kind: max((t for n, t in done.items() if n[0] == kind), default=None) for kind in "pfw"}
@@ -399,7 +399,7 @@
         "drains": round(by["p"], 2),
         "fresh": round(by["f"], 2),
         "observers": round(by["w"], 2),
-        "cap_breaks": int(not world.caps_kept()),
+        "cap_breaks": int(not world.are_limits_kept()),
     }
 
 
--- a/knotwalk/__main__.py
+++ b/knotwalk/__main__.py
@@ -70,7 +70,9 @@
         from knotwalk.pubsub.command import subscribe
 
         return subscribe(arguments)
-    hangups: list[int] = []  # those that come before the loop hears them: left alone, they would end the program
+    hangups: list[
+        int
+    ] = []  # SIGHUPs received before the event loop handles them; by default they would end the process
     if arguments["serve"]:
         signal.signal(signal.SIGHUP, lambda number, _: hangups.append(number))
     from knotwalk.net import conductor
--- a/tests/standins/hubs.py
+++ b/tests/standins/hubs.py
@@ -1,4 +1,4 @@
-"""A hub and subscribers without sockets: messages as bytes, in pipes that may lose, hold back or break."""
+"""A hub and its subscribers without sockets: messages as bytes, on simulated streams that may delay, lose or break."""
 
 import json
 from random import Random
@@ -14,44 +14,46 @@
 SMALL = settings_of(Size())
 
 
-class Pipe:
-    """One stream: what is on its way to the subscriber and back."""
+class SimulatedStream:
+    """One stream: the messages in transit to the subscriber and to the hub."""
 
     def __init__(self, cursor, subscriber):
         self.cursor, self.subscriber = cursor, subscriber
-        self.down, self.up = [], []
+        self.to_subscriber, self.to_hub = [], []
 
 
-class World:
-    """A publisher and its subscribers on a clock that the test moves."""
+class HubHarness:
+    """A publisher's hub and its subscribers on a clock that the test advances."""
 
     def __init__(self, settings=SMALL, table=None, seed=1, born=1.0):
         self.now, self.settings, self.random = 1000.0, settings, Random(seed)
         self.table = table or Table("e1")
         self.hub = Hub(self.table, settings, KEY, wire.encoded, seed)
         self.born = born
-        self.pipes = {}  # by the subscriber's name
+        self.streams = {}  # by subscriber name
         self.inbox, self.notes, self.ended = [], [], []
-        self.sent = {}  # by proxy: times
-        self.rules = RuleChecker(settings, Limits(unserved_most=0.8), broadcast=False)  # judges each message sent
-        self.flight = {}  # by stream and number: what the rules call it
+        self.sent = {}  # by proxy: times of the messages sent
+        self.rules = RuleChecker(settings, Limits(unserved_most=0.8), broadcast=False)  # checks each message sent
+        self.in_flight = {}  # by cursor and message number: the rule checker's number
         self.bytes = 0
 
-    # --- as the hub's sender ---
+    # --- the hub's sender interface ---
 
     def send(self, cursor, message):
-        pipe = self.pipes.get(cursor.name)
-        assert pipe is not None and pipe.cursor is cursor
-        pipe.down.append(message)
+        stream = self.streams.get(cursor.name)
+        assert stream is not None and stream.cursor is cursor
+        stream.to_subscriber.append(message)
         self.bytes += len(message)
         if cursor.proxy is not None:
             self.sent.setdefault(cursor.proxy, []).append(self.now)
-            told = json.loads(message)
-            self.flight[cursor, told["n"]] = self.rules.record_message(self.now, {cursor.proxy}, lines_of(told))
+            payload = json.loads(message)
+            self.in_flight[cursor, payload["n"]] = self.rules.record_message(
+                self.now, {cursor.proxy}, lines_of(payload)
+            )
 
     def end(self, cursor, why):
         self.ended.append((cursor.name, why))
-        self.cut(cursor.name)
+        self.disconnect(cursor.name)
 
     def told(self, handler, *arguments):
         self.inbox.append((handler, arguments))
@@ -62,7 +64,7 @@
     # --- streams ---
 
     def join(self, subscriber):
-        """A new stream; what the publisher says to its hello."""
+        """Open a stream; return the hub's cursor, or the exception with which it refuses the hello."""
         hello = wire.Hello(json.loads(subscriber.hello()))
         try:
             cursor = self.hub.hello(
@@ -71,40 +73,40 @@
         except (Later, Refused) as fault:
             subscriber.refused(str(fault)) if isinstance(fault, Refused) else None
             return fault
-        self.pipes[subscriber.name] = Pipe(cursor, subscriber)
+        self.streams[subscriber.name] = SimulatedStream(cursor, subscriber)
         if cursor.proxy is not None:
             self.rules.feed(self.now, [("joined", (cursor.proxy,))], [])
         subscriber.message(self.now, {"t": "welcome", "epoch": self.table.epoch, "born": self.born})
         return cursor
 
-    def cut(self, name):
-        """A stream ends; what was on its way is lost."""
-        pipe = self.pipes.pop(name, None)
-        if pipe is not None:
-            self.hub.left(pipe.cursor)
-            if pipe.cursor.proxy is not None:
-                # Its account goes on over streams: the rules' proxy stays, only what was on its way is void.
+    def disconnect(self, name):
+        """Close a stream; messages in transit are lost."""
+        stream = self.streams.pop(name, None)
+        if stream is not None:
+            self.hub.left(stream.cursor)
+            if stream.cursor.proxy is not None:
+                # A proxy's budget spans its streams: it stays known to the rules; only messages in transit are void.
                 for _, _, _, to_come in self.rules.in_flight:
-                    to_come.discard(pipe.cursor.proxy)
+                    to_come.discard(stream.cursor.proxy)
 
     def deliver(self, name, count=1 << 30):
-        """Messages reach a subscriber, and its answers the hub."""
-        pipe = self.pipes.get(name)
-        while pipe is not None and pipe.down and count:
+        """Deliver up to `count` messages to a subscriber, and its answers to the hub."""
+        stream = self.streams.get(name)
+        while stream is not None and stream.to_subscriber and count:
             count -= 1
-            pipe.up += pipe.subscriber.message(self.now, json.loads(pipe.down.pop(0)))
-        while pipe is not None and pipe.up:
-            self.answer(pipe, json.loads(pipe.up.pop(0)))
-
-    def answer(self, pipe, told):
-        if told["t"] == "ack":
-            self.hub.ack(self.now, pipe.cursor, told["n"], wire.need_of(told), self)
-            if (number := self.flight.pop((pipe.cursor, told["n"]), None)) is not None:
-                self.rules.record_applied(pipe.cursor.proxy, number)
+            stream.to_hub += stream.subscriber.message(self.now, json.loads(stream.to_subscriber.pop(0)))
+        while stream is not None and stream.to_hub:
+            self.answer(stream, json.loads(stream.to_hub.pop(0)))
+
+    def answer(self, stream, payload):
+        if payload["t"] == "ack":
+            self.hub.ack(self.now, stream.cursor, payload["n"], wire.need_of(payload), self)
+            if (number := self.in_flight.pop((stream.cursor, payload["n"]), None)) is not None:
+                self.rules.record_applied(stream.cursor.proxy, number)
         else:
-            self.hub.nack(self.now, pipe.cursor, told["n"], told["why"], self)
+            self.hub.nack(self.now, stream.cursor, payload["n"], payload["why"], self)
             for _, _, _, to_come in self.rules.in_flight:
-                to_come.discard(pipe.cursor.proxy)
+                to_come.discard(stream.cursor.proxy)
 
     # --- time ---
 
@@ -115,43 +117,43 @@
     def turn(self):
         return self.hub.turn(self.now, self)
 
-    def quiet(self, seconds=120.0, step=0.05):
-        """Go on until nothing is under way; the seconds that it took."""
-        begun = self.now
-        while self.now < begun + seconds:
+    def run_until_idle(self, seconds=120.0, step=0.05):
+        """Run until nothing is in transit or due; return the seconds that it took."""
+        started_at = self.now
+        while self.now < started_at + seconds:
             due = self.turn()
             moved = False
-            for name in list(self.pipes):
-                moved = moved or bool(self.pipes[name].down)
+            for name in list(self.streams):
+                moved = moved or bool(self.streams[name].to_subscriber)
                 self.deliver(name)
             if not moved and due > self.now:
                 if due == float("inf"):
-                    return self.now - begun
+                    return self.now - started_at
                 self.now = min(max(due, self.now + 0.001), self.now + 1.0)
-        raise AssertionError("never quiet")
+        raise AssertionError("not idle in time")
 
     def run(self, seconds, step=0.05):
         end = self.now + seconds
         while self.now < end:
             self.turn()
-            for name in list(self.pipes):
+            for name in list(self.streams):
                 self.deliver(name)
             self.now += step
 
-    def caps_kept(self):
-        """The rules by their own checker, from what was sent and not by the hub's account."""
+    def are_limits_kept(self):
+        """Whether the rule checker, which sees the messages sent and not the hub's own budget, found no violation."""
         return not self.rules.violations
 
 
-def lines_of(told):
-    """Lines of a message, as a checker counts them: what it sets, and the names of servers in use."""
-    d = told["d"]
+def lines_of(payload):
+    """The lines of a message as the rule checker counts them: what it sets, and the names of servers in use."""
+    d = payload["d"]
     parts = sum(max(1, len(p[2]) + len(p[3])) for p in d["s"])
-    return parts + len(d["shut"]) + len(d["levels"]) + len(told.get("live", ()))
+    return parts + len(d["shut"]) + len(d["levels"]) + len(payload.get("live", ()))
 
 
 def filled(slices=60, servers=10, epoch="e1"):
-    """A table."""
+    """A table with one line for each slice."""
     table = Table(epoch)
     for k in range(slices):
         table.line(k, f"s{k % servers}", 1.0)
@@ -163,6 +165,6 @@
 
 
 def alike(world, subscribers):
-    """Whether all hold the publisher's table."""
-    want = sorted(world.table.rows())
-    return all(s.place is None and sorted(s.rows()) == want for s in subscribers)
+    """Whether all subscribers hold the publisher's table."""
+    expected = sorted(world.table.rows())
+    return all(s.place is None and sorted(s.rows()) == expected for s in subscribers)
--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -12,7 +12,7 @@
 
 import aiohttp
 from standins import faulty_peer
-from standins.faulty_peer import HEAD_READ, MISHAPS, POINTS, POISED, READ, Peer
+from standins.faulty_peer import CONNECTED, FAULTS, HEAD_READ, POINTS, READ, FaultyPeer
 from standins.nodes import RawClient, front, routes, view
 
 from knotwalk.admission import outcome
@@ -162,7 +162,7 @@
 
     @contextlib.asynccontextmanager
     async def against(self, path, **fields):
-        peer, one = await Peer(**fields).start(), path()
+        peer, one = await FaultyPeer(**fields).start(), path()
         await one.open(peer)
         try:
             yield peer, one
@@ -182,15 +182,15 @@
 
     async def met(self, path, mishap, point, at):
         """Calls 0 to 3; the mishap in call `at`. What is wrong."""
-        async with self.against(path, point=point, mishap=mishap, at=at) as (peer, one):
+        async with self.against(path, point=point, fault=mishap, call_index=at) as (peer, one):
             results = []
             for number in range(4):
-                mute = mishap in (faulty_peer.silence, faulty_peer.extra, faulty_peer.half) or point == POISED
+                mute = mishap in (faulty_peer.silence, faulty_peer.extra, faulty_peer.half) or point == CONNECTED
                 results.append(await one.call(number, SHORT if mute and number <= at + 1 else LONG))
             found = self.judged(path, peer, results)
             if results[-1] != 3:
                 found.append(f"the path has not come back: {results}")
-            if peer.used_on() and (mishap, point) not in HARMLESS and point != POISED:
+            if peer.used_on() and (mishap, point) not in HARMLESS and point != CONNECTED:
                 found.append(f"the connection was used on by calls {peer.used_on()}")
             return [f"{path.__name__}, {mishap.__name__} at {point} of call {at}: {text}" for text in found]
 
@@ -211,13 +211,13 @@
                 found.append("the connection was used on")
             return found
 
-    async def table(self, paths=PATHS, chosen=MISHAPS, points=POINTS):
+    async def table(self, paths=PATHS, chosen=FAULTS, points=POINTS):
         """All cases of the table; what is wrong, and how many there were."""
         found, count = [], 0
         for path in paths:
             for mishap in chosen:
                 for point in points:
-                    if path in UNNAMED and mishap is faulty_peer.stray and point in (POISED, HEAD_READ, READ):
+                    if path in UNNAMED and mishap is faulty_peer.stray and point in (CONNECTED, HEAD_READ, READ):
                         continue
                     for at in (0, 1):
                         found += await self.met(path, mishap, point, at)
@@ -258,7 +258,7 @@
 
     async def test_table(self):
         for path in PATHS:
-            for mishap in set(MISHAPS) - {faulty_peer.silence}:
+            for mishap in set(FAULTS) - {faulty_peer.silence}:
                 for count in (0, 50):
                     with self.subTest(f"{path.__name__}, {mishap.__name__}, {count}"):
                         self.assertEqual(await self.idle(path, mishap, count), [])
@@ -269,7 +269,7 @@
 
     async def late(self, path, cancelled):
         """Call 1 is given up on a connection that has been used; its answer comes; call 2 gets its own."""
-        async with self.against(path, point=READ, mishap=faulty_peer.silence, at=1) as (peer, one):
+        async with self.against(path, point=READ, fault=faulty_peer.silence, call_index=1) as (peer, one):
             self.assertEqual(await one.call(0), 0)
             task = asyncio.ensure_future(one.call(1, LONG if cancelled else SHORT))
             while len(peer.calls) < 2:
--- a/tests/test_pubsub.py
+++ b/tests/test_pubsub.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import HealthCheck, settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from standins.hubs import KEY, SMALL, World, alike, filled, proxies
+from standins.hubs import KEY, SMALL, HubHarness, alike, filled, proxies
 
 from knotwalk.pubsub import token, wire
 from knotwalk.pubsub.hub import Later, Refused
@@ -87,7 +87,7 @@
 
 
 def joined(count=3, slices=60, seed=0, **changes):
-    world = World(SMALL._replace(**changes), filled(slices))
+    world = HubHarness(SMALL._replace(**changes), filled(slices))
     subscribers = proxies(count, seed)
     for s in subscribers:
         world.join(s)
@@ -96,7 +96,7 @@
 
 def test_snapshot_then_changes_reach_all_alike():
     world, subscribers = joined()
-    world.quiet()
+    world.run_until_idle()
     world.order(
         ("line", (3, "s9", 2.0)),
         ("admit", (3, 1, 0.5, 1)),
@@ -104,8 +104,8 @@
         ("withdraw", ("s4", True)),
         ("receipt", (77,)),
     )
-    world.quiet()
-    assert alike(world, subscribers) and world.caps_kept() and world.hub.waiting == {True: 0, False: 0}
+    world.run_until_idle()
+    assert alike(world, subscribers) and world.are_limits_kept() and world.hub.waiting == {True: 0, False: 0}
     s = subscribers[0]
     assert s.lines(3) == {"s3": 1.0, "s9": 2.0} and s.lines(4) == {} and s.slice_levels[3] == {1: (0.5, 1)}
     assert sorted(x for x in world.inbox if x[0] == "applied") == [("applied", (k, 77)) for k in range(3)]
@@ -127,30 +127,30 @@
         assert all(lines for lines in s.tables.values())
         world.now += 0.1
     assert len(s.shut) == 1 and s.applied > 8
-    world.quiet()
-    assert alike(world, [s]) and world.caps_kept()
+    world.run_until_idle()
+    assert alike(world, [s]) and world.are_limits_kept()
 
 
 @pytest.mark.parametrize("pieces", range(1, 8))
 def test_a_subscriber_that_reconnects_in_the_midst_goes_on_where_it_was(pieces):
     world, (s,) = joined(1, slices=700, lines_waiting_most=120.0)
     for _ in range(pieces):
-        while not world.pipes["p0"].down:
+        while not world.streams["p0"].to_subscriber:
             world.now += 0.1
             world.turn()
         world.deliver("p0")
     place, held = s.place, len(s.tables)
     assert 0 < place < 700 and held == place
-    world.cut("p0")
+    world.disconnect("p0")
     world.order(("line", (0, "later", 1.0)), ("line", (699, "later", 1.0)))
     world.join(s)
     before = world.bytes
-    world.quiet()
-    assert alike(world, [s]) and world.caps_kept()
-    other = World(SMALL, world.table)
+    world.run_until_idle()
+    assert alike(world, [s]) and world.are_limits_kept()
+    other = HubHarness(SMALL, world.table)
     fresh = proxies(1)
     other.join(fresh[0])
-    other.quiet()
+    other.run_until_idle()
     assert world.bytes - before < other.bytes * (700 - place) / 700 * 1.3 + 2000
 
 
@@ -160,27 +160,27 @@
     while s.applied < pieces:
         world.run(0.1)
     assert s.place is not None
-    world.cut("p0")
-    other = World(world.settings, filled(650, servers=7, epoch="e2"))
+    world.disconnect("p0")
+    other = HubHarness(world.settings, filled(650, servers=7, epoch="e2"))
     other.join(s)
-    other.quiet()
-    assert alike(other, [s]) and other.caps_kept()
+    other.run_until_idle()
+    assert alike(other, [s]) and other.are_limits_kept()
 
 
 def test_a_stale_token_another_conductors_or_one_of_the_future_is_answered_as_it_should():
     world, (s,) = joined(1)
-    world.quiet()
+    world.run_until_idle()
     old = s.token
-    world.cut("p0")
+    world.disconnect("p0")
     world.table.floor = world.table.version + 1  # everything that it has is too old by now
     world.order(("line", (1, "b", 1.0)))
     assert world.join(s).first
-    world.quiet()
+    world.run_until_idle()
     assert alike(world, [s])
-    elsewhere = World(SMALL, filled(60, epoch="e2"), seed=5)
-    world.cut("p0")
+    elsewhere = HubHarness(SMALL, filled(60, epoch="e2"), seed=5)
+    world.disconnect("p0")
     assert elsewhere.join(s).first
-    elsewhere.quiet()
+    elsewhere.run_until_idle()
     assert alike(elsewhere, [s])
     s.token = token.written(KEY, "p0\0\0", "e2", 10**6, None)
     assert isinstance(elsewhere.join(s), Refused) and s.token is None
@@ -190,9 +190,9 @@
 
 def test_an_old_table_loses_lines_to_servers_out_of_use_at_once_but_never_a_slices_last():
     world, (s,) = joined(1, slices=300, lines_waiting_most=120.0)
-    world.quiet()
-    world.cut("p0")
-    later = World(world.settings, Table("e2"))
+    world.run_until_idle()
+    world.disconnect("p0")
+    later = HubHarness(world.settings, Table("e2"))
     for k in range(300):
         later.table.line(k, f"t{k % 10}" if k % 3 == 0 else f"s{k % 10}", 1.0)
     s.tables[1]["gone"] = 1.0
@@ -204,7 +204,7 @@
     later.turn()
     later.deliver("p0")
     assert s.tables[299] == {"s9": 1.0}  # asked for out of turn
-    later.quiet()
+    later.run_until_idle()
     assert alike(later, [s])
 
 
@@ -212,7 +212,7 @@
     world, (a, b) = joined(2, slices=100)
     watcher = Subscriber("w", 9)
     world.join(watcher)
-    world.quiet()
+    world.run_until_idle()
     world.order(
         ("line", (1, "s1", 0.0)),
         ("line", (1, "s2", 1.0)),
@@ -220,32 +220,34 @@
     )
     fresh = Subscriber("p9", 3, proxy=9)
     world.join(fresh)
-    ranks = {name: world.hub.rank(world.now, pipe.cursor) for name, pipe in world.pipes.items()}
+    ranks = {name: world.hub.rank(world.now, pipe.cursor) for name, pipe in world.streams.items()}
     assert ranks == {"p0": 1, "p1": 1, "w": 4, "p9": 0}
-    world.quiet()
+    world.run_until_idle()
     world.order(("line", (2, "s7", 1.0)))
-    assert world.hub.rank(world.now, world.pipes["p0"].cursor) == 2
+    assert world.hub.rank(world.now, world.streams["p0"].cursor) == 2
     full = world.settings.lines_waiting_most
     world.hub.waiting[False] = full  # observers that answer nothing
     world.turn()
-    assert world.pipes["p0"].down and world.pipes["p1"].down and not world.pipes["w"].down
+    assert (
+        world.streams["p0"].to_subscriber and world.streams["p1"].to_subscriber and not world.streams["w"].to_subscriber
+    )
 
 
 def test_changes_too_many_for_a_message_go_in_pieces_and_a_message_that_never_fits_ends_the_stream():
     """Guards against a subscriber that waits for ever for a message larger than the channel."""
     world, (s,) = joined(1, slices=300, lines_waiting_most=120.0)
-    world.quiet()
+    world.run_until_idle()
     world.order(*(("line", (k, "x", 1.0)) for k in range(300)))
-    world.quiet()
-    assert alike(world, [s]) and world.caps_kept()
+    world.run_until_idle()
+    assert alike(world, [s]) and world.are_limits_kept()
     world.order(*(("line", (7, f"y{k}", 1.0)) for k in range(200)))
     world.run(30.0)
-    assert any("more than the channel may hold" in why for _, why in world.ended) and world.caps_kept()
+    assert any("more than the channel may hold" in why for _, why in world.ended) and world.are_limits_kept()
 
 
 def test_the_last_message_of_a_span_is_kept_for_what_cannot_wait():
     world, (s,) = joined(1, messages_most=4)
-    world.quiet()
+    world.run_until_idle()
     for k in range(9):
         world.order(("line", (k, "x", 1.0)))
         world.run(0.1)
@@ -254,8 +256,8 @@
     world.run(0.1)
     assert len(world.sent[0]) == 4 and alike(world, [s])
     world.order(("line", (5, "y", 1.0)))
-    world.quiet()
-    assert alike(world, [s]) and world.caps_kept()
+    world.run_until_idle()
+    assert alike(world, [s]) and world.are_limits_kept()
 
 
 def test_what_another_front_sent_counts():
@@ -268,27 +270,27 @@
 
 def test_one_that_does_not_answer_gets_no_more_and_is_let_go():
     world, (a, b) = joined(2)
-    world.quiet()
+    world.run_until_idle()
     for k in range(50):
         world.order(("line", (k, "x", 1.0)))
         world.turn()
         world.deliver("p0")
         world.now += 0.5
-    assert len(world.pipes.get("p1").down if "p1" in world.pipes else []) <= 3
-    world.quiet()
+    assert len(world.streams.get("p1").to_subscriber if "p1" in world.streams else []) <= 3
+    world.run_until_idle()
     assert [n for n, why in world.ended if "no answer" in why] == ["p1"] and alike(world, [a])
 
 
 def test_a_refused_change_leaves_the_table_and_comes_again_whole():
     world, (a, b) = joined(2)
-    world.quiet()
+    world.run_until_idle()
     world.order(("line", (1, "x", 1.0)))
     world.turn()
     held = b.rows()
     b.version -= 1  # it has lost count
     world.deliver("p1")
     assert b.rows() == held and world.notes[0][0] == "table refused"
-    world.quiet()
+    world.run_until_idle()
     assert alike(world, [a, b])
 
 
@@ -305,15 +307,15 @@
 )
 def test_an_answer_to_what_was_never_sent_is_refused(told):
     world, _ = joined(1)
-    world.quiet()
+    world.run_until_idle()
     with pytest.raises((Refused, ValueError)):
         n = wire.whole_number(told.get("n"))
         wire.need_of(told)
-        world.answer(world.pipes["p0"], {"why": "", **told, "n": n})
+        world.answer(world.streams["p0"], {"why": "", **told, "n": n})
 
 
 def test_a_storm_of_stale_subscribers_is_told_when_to_return_and_all_come_back():
-    world = World(SMALL._replace(lines_rate=2000.0), filled(400))
+    world = HubHarness(SMALL._replace(lines_rate=2000.0), filled(400))
     subscribers = proxies(40)
     for s in subscribers:
         s.whole, s.tables = True, {1: {"s1": 1.0}}
@@ -330,8 +332,8 @@
             later.append((world.now - 1000.0 + answer.after, s))
         if at:  # the first come all at once
             world.run(0.05)
-    world.quiet()
-    assert told > 10 and alike(world, subscribers) and world.caps_kept() and world.now < 1120
+    world.run_until_idle()
+    assert told > 10 and alike(world, subscribers) and world.are_limits_kept() and world.now < 1120
 
 
 def test_the_newest_publisher_is_followed_while_it_is_heard_of():
@@ -344,14 +346,14 @@
 
 
 def test_only_some_slices_or_a_zone_may_be_wanted_but_not_by_a_proxy():
-    world = World(SMALL, filled(20))
+    world = HubHarness(SMALL, filled(20))
     world.hub.listed([(f"s{k}", "east" if k % 2 else "west", "ready", 1, 0) for k in range(10)])
     some, east = Subscriber("a", 1, wanted=[3, 4]), Subscriber("b", 1, of_zone="east")
     for s in (some, east):
         world.join(s)
-    world.quiet()
+    world.run_until_idle()
     world.order(("line", (4, "s1", 1.0)), ("line", (5, "s2", 1.0)))
-    world.quiet()
+    world.run_until_idle()
     assert some.tables == {3: {"s3": 1.0}, 4: {"s4": 1.0, "s1": 1.0}}
     assert east.tables[4] == {"s1": 1.0} and east.tables[5] == {"s5": 1.0}
     assert isinstance(world.join(Subscriber("c", 1, proxy=1, wanted=[3])), Refused)
@@ -379,7 +381,7 @@
     @initialize(kept=st.booleans(), tight=st.booleans())
     def begin(self, kept, tight):
         s = SMALL._replace(lines_waiting_most=150.0, messages_most=5) if tight else SMALL
-        self.world, self.kept, self.epochs = World(s, filled(30)), kept, 1
+        self.world, self.kept, self.epochs = HubHarness(s, filled(30)), kept, 1
         self.subscribers = proxies(4)
         self.saved = self.world.table.snapshot()
         for x in self.subscribers:
@@ -401,17 +403,17 @@
         self.world.deliver(f"p{k}", count)
 
     @rule(k=st.integers(0, 3), hears=st.integers(0, 2))
-    def cut(self, k, hears):
+    def disconnect(self, k, hears):
         """A stream ends: some of what was on its way arrives, its answers do not."""
-        pipe = self.world.pipes.get(f"p{k}")
-        for message in pipe.down[:hears] if pipe else ():
+        pipe = self.world.streams.get(f"p{k}")
+        for message in pipe.to_subscriber[:hears] if pipe else ():
             pipe.subscriber.message(self.world.now, json.loads(message))
-        self.world.cut(f"p{k}")
+        self.world.disconnect(f"p{k}")
 
     @rule(k=st.integers(0, 3))
     def join(self, k):
-        if f"p{k}" in self.world.pipes:
-            self.world.cut(f"p{k}")
+        if f"p{k}" in self.world.streams:
+            self.world.disconnect(f"p{k}")
         self.world.join(self.subscribers[k])
 
     @rule()
@@ -433,7 +435,7 @@
             want.setdefault(k, {})[server] = w
         for k, lines in want.items():
             table.replace(k, lines)
-        world = World(old.settings, table, born=old.born + 1)
+        world = HubHarness(old.settings, table, born=old.born + 1)
         world.now, world.sent = old.now + 12.0, {}
         world.hub.key = old.hub.key
         self.world = world
@@ -446,7 +448,7 @@
     @invariant()
     def safe(self):
         if hasattr(self, "world"):
-            assert self.world.caps_kept()
+            assert self.world.are_limits_kept()
             for s in self.subscribers:
                 if s.whole:
                     assert all(s.tables.values())
@@ -454,13 +456,13 @@
     def teardown(self):
         if hasattr(self, "world"):
             for s in self.subscribers:
-                if s.name not in self.world.pipes:
+                if s.name not in self.world.streams:
                     self.world.join(s)
-                    if s.name not in self.world.pipes:
+                    if s.name not in self.world.streams:
                         self.world.join(s)  # refused with its token, it comes without
-            self.world.quiet(300.0)
+            self.world.run_until_idle(300.0)
             assert alike(self.world, self.subscribers), [sorted(s.rows()) for s in self.subscribers]
-            assert self.world.caps_kept()
+            assert self.world.are_limits_kept()
             shut = {k for k, (out, _) in self.world.table.shut.items() if out}
             assert all(s.shut == shut for s in self.subscribers)
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The wire: a round trip, and lines that cannot be read."""
+"""The simulator's wire protocol: round trips and invalid lines."""
 
 import io
 
@@ -27,7 +27,7 @@
     return (f"SYNC clock_us=1000000 frame={frame}", *lines, "COMMIT")
 
 
-def test_an_empty_batch_is_answered_and_the_end_of_input_is_no_fault():
+def test_an_empty_batch_is_answered_and_the_end_of_input_is_no_error():
     assert run(*batch(frame=9)) == (0, ["END frame=9"], "")
 
 
@@ -37,7 +37,7 @@
     assert "ENDPOINT map_id=0 w=1 node=10.0.0.1:80" in reply and reply[-1] == "END frame=1"
 
 
-def test_every_event_is_taken():
+def test_every_event_is_accepted():
     code, reply, errors = run(
         *batch(
             "CONTEXT who=c_1",
@@ -70,8 +70,8 @@
     assert host.instances["c"].conductor.servers["10.0.0.1:80"].state == "ready" and host.banks[0] == []
 
 
-def test_what_cannot_be_read_is_named_and_the_rest_goes_on():
-    for bad, word in (
+def test_an_invalid_event_is_reported_and_the_batch_continues():
+    for event, expected in (
         ("NONSENSE a=1", "no such event"),
         ("JOINED edge=x", "'x'"),
         ("JOINED zone=z", "'edge' is missing"),
@@ -79,15 +79,15 @@
         ("PEERS_KNOWN form=Partial bank=5", "bank 5"),
         ("PRESSURE map_id=0 tier_class=other count=1 period_len_us=1", "other"),
     ):
-        code, reply, errors = run(*batch("CONTEXT who=c", BORN, bad), *batch(frame=2))
-        assert code == 0 and word in errors and "Traceback" not in errors and reply[-1] == "END frame=2", bad
+        code, reply, errors = run(*batch("CONTEXT who=c", BORN, event), *batch(frame=2))
+        assert code == 0 and expected in errors and "Traceback" not in errors and reply[-1] == "END frame=2", event
 
 
-def test_an_event_for_an_instance_never_born_is_named():
+def test_an_event_for_an_unknown_instance_is_reported():
     assert "c_9 was never born" in run(*batch("CONTEXT who=c_9", "REMINDER cookie=0"))[2]
 
 
-def test_a_batch_cut_off_is_named():
+def test_a_truncated_batch_is_reported():
     code, reply, errors = run("SYNC clock_us=0 frame=1", "CONTEXT who=c")
     assert code == 1 and not reply and "within a batch" in errors
 
