--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -1,4 +1,4 @@
-"""The program, started and spoken to over sockets, with stand-ins for its peers."""
+"""The conductor process over sockets, with stand-ins for its peers."""
 
 import json
 import os
@@ -20,8 +20,8 @@
 ALIVE = encode_message("alive")
 
 
-def alive(stand, address):
-    """Whether a probe is answered, with the stand-ins going on meanwhile."""
+def is_alive(stand, address):
+    """Whether a probe is answered, while the stand-ins keep running."""
     sock, _ = call(address, encode_message("probe"))
     sock.setblocking(False)
 
@@ -42,98 +42,98 @@
     stand.servers = [{**x, "state": "leaving" if x["id"] == server else x["state"]} for x in stand.servers]
 
 
-def orders(stand):
+def set_orders(stand):
     return [f for x in stand.calls for f in x if f["do"] == "SET"]
 
 
-OFF_A = [
+DRAIN_ORDERS = [
     {"do": "SET", "group": 0, "server": "b", "weight": 1.0},
     {"do": "SET", "group": 0, "server": "a", "weight": 0.0},
 ]
 
 
-def test_it_serves_orders_a_drain_and_ends_at_sigterm():
+def test_it_serves_orders_a_drain_and_exits_on_sigterm():
     stand = StandIn()
     address = stand.start()
-    assert alive(stand, address)
+    assert is_alive(stand, address)
     drain(stand)
-    stand.until(lambda: orders(stand))
-    assert orders(stand) == OFF_A and stand.calls[-1][-1]["do"] == "SYNC"
+    stand.until(lambda: set_orders(stand))
+    assert set_orders(stand) == DRAIN_ORDERS and stand.calls[-1][-1]["do"] == "SYNC"
     begun = time.monotonic()
     assert stand.stop() == 0 and time.monotonic() - begun < 0.7
 
 
-def test_a_broken_call_that_was_carried_out_is_not_given_again():
+def test_a_broken_call_that_was_carried_out_is_not_sent_again():
     stand = StandIn()
     address = stand.start()
-    assert alive(stand, address)
-    stand.fate = lambda given: None if any(f["do"] == "SET" for f in given) else True
+    assert is_alive(stand, address)
+    stand.fate = lambda orders: None if any(f["do"] == "SET" for f in orders) else True
     drain(stand)
-    stand.until(lambda: orders(stand))
-    stand.fate = lambda given: True
+    stand.until(lambda: set_orders(stand))
+    stand.fate = lambda orders: True
     drain(stand, "none")
     stand.servers[0]["state"] = "active"
     stand.slices[9] = {}
     stand.tell(("lease", {"slice": 9, "on": True}))
-    stand.until(lambda: any(f["group"] == 9 for f in orders(stand)))
-    assert orders(stand)[:2] == OFF_A and all(f["group"] == 9 for f in orders(stand)[2:])
+    stand.until(lambda: any(f["group"] == 9 for f in set_orders(stand)))
+    assert set_orders(stand)[:2] == DRAIN_ORDERS and all(f["group"] == 9 for f in set_orders(stand)[2:])
     assert stand.stop() == 0
 
 
-def test_a_broken_call_that_was_not_carried_out_is_given_again():
+def test_a_broken_call_that_was_not_carried_out_is_sent_again():
     stand = StandIn()
     address = stand.start()
-    assert alive(stand, address)
-    stand.fate = lambda given: not any(f["do"] == "SET" for f in given) or len(orders(stand)) > 2
+    assert is_alive(stand, address)
+    stand.fate = lambda orders: not any(f["do"] == "SET" for f in orders) or len(set_orders(stand)) > 2
     drain(stand)
     stand.until(lambda: stand.slices[0] == {"b": 1.0})
-    assert orders(stand) == OFF_A * 2 and stand.stop() == 0
+    assert set_orders(stand) == DRAIN_ORDERS * 2 and stand.stop() == 0
 
 
-def test_peers_that_break_or_fall_silent_are_found_again():
+def test_peers_whose_connections_break_are_reconnected():
     stand = StandIn()
     address = stand.start()
-    assert alive(stand, address)
+    assert is_alive(stand, address)
     for link in list(stand.links):
         link.close(CloseReason.CLOSED_BY_US)
     stand.until(lambda: stand.news)
     drain(stand)
-    stand.until(lambda: orders(stand) == OFF_A)
+    stand.until(lambda: set_orders(stand) == DRAIN_ORDERS)
     assert stand.program.poll() is None and stand.stop() == 0
 
 
-def test_it_starts_again_from_nothing_after_a_kill():
+def test_it_restarts_without_state_after_a_kill():
     stand = StandIn()
     address = stand.start()
-    assert alive(stand, address)
+    assert is_alive(stand, address)
     stand.program.kill()
     stand.program.wait(PATIENCE)
     drain(stand)
-    assert stand.start("%s:%d" % address) == address and alive(stand, address)
+    assert stand.start("%s:%d" % address) == address and is_alive(stand, address)
     stand.until(lambda: stand.slices[0] == {"b": 1.0})
     assert stand.stop() == 0
 
 
 def test_a_new_configuration_moves_to_other_addresses():
-    """Guards against an end at SIGHUP, and the start's environment hiding where things are now."""
+    """Guards against an exit on SIGHUP, and against the start's environment overriding changed addresses."""
     stand = StandIn()
     other = StandIn(stand.loop)
     other.slices = stand.slices
     address = stand.start()
-    assert alive(stand, address)
+    assert is_alive(stand, address)
     stand.reload(discovery=other.address, hub={"address": other.address})
     stand.until(lambda: other.news and not stand.news)
     drain(other)
-    stand.until(lambda: orders(other))
-    assert orders(other) == OFF_A and not orders(stand) and all(link.closed for link in stand.links)
+    stand.until(lambda: set_orders(other))
+    assert set_orders(other) == DRAIN_ORDERS and not set_orders(stand) and all(link.closed for link in stand.links)
     assert stand.stop() == 0
 
 
-def test_a_reload_asked_for_while_it_starts_is_done_once_it_serves(tmp_path):
-    """SIGHUP ended it (exit 129) until the configuration was read. Here that reading is held up by a pipe."""
+def test_a_reload_requested_during_the_start_is_done_once_it_serves(tmp_path):
+    """Guards against SIGHUP ending the process (exit 129) before it handles signals; a pipe delays its start here."""
     stand, other, path = StandIn(), StandIn(), tmp_path / "config"
     os.mkfifo(path)
-    told = {
+    configuration = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": stand.address,
@@ -144,21 +144,21 @@
         "known": {"version": 1, "full": True, "servers": stand.servers},
     }
     program = run({"EDGE_CONFIG": str(path)}, "serve")
-    with open(path, "w") as pipe:  # comes back once the program reads
+    with open(path, "w") as pipe:  # returns once the process opens it for reading
         program.send_signal(signal.SIGHUP)
-        (tmp_path / "new").write_text(json.dumps({**told, "discovery": other.address}))
+        (tmp_path / "new").write_text(json.dumps({**configuration, "discovery": other.address}))
         os.replace(tmp_path / "new", path)
-        pipe.write(json.dumps(told))
+        pipe.write(json.dumps(configuration))
     lines = [program.stderr.readline() for _ in range(2)]
     program.terminate()
     assert program.wait(PATIENCE) == 0
     assert "knotwalk serving" in lines[0] and f"reloaded: discovery is at {other.address}" in lines[1], lines
 
 
-def test_a_new_configuration_that_cannot_be_used_leaves_the_old_in_place():
+def test_an_unusable_configuration_leaves_the_old_one_in_use():
     stand = StandIn()
     address = stand.start()
-    assert alive(stand, address)
+    assert is_alive(stand, address)
     for changes in ({"hub": {"address": "nowhere"}}, {"name": "n9"}, {"settings": {"tick_us": "x"}}):
         stand.reload(**changes)
         line = stand.program.stderr.readline()
@@ -167,16 +167,16 @@
     stand.program.send_signal(signal.SIGHUP)
     assert "reload refused" in stand.program.stderr.readline()
     drain(stand)
-    stand.until(lambda: orders(stand) == OFF_A)
+    stand.until(lambda: set_orders(stand) == DRAIN_ORDERS)
     assert stand.stop() == 0
 
 
-def test_a_drain_is_kept_while_everything_breaks():
-    """Links end at every moment and calls are carried out or not; what stands in the end is what was decided."""
-    stand, chance = StandIn(), Random(3)
+def test_a_drain_holds_while_connections_break():
+    """Connections close at any time and calls are carried out or not; in the end the tables are as decided."""
+    stand, rng = StandIn(), Random(3)
     address = stand.start()
-    assert alive(stand, address)
-    stand.fate = lambda given: chance.choice([True, None, False])
+    assert is_alive(stand, address)
+    stand.fate = lambda orders: rng.choice([True, None, False])
     collector, _ = call(address, encode_message("agent", "zone", "z"))
     report = encode_message("hot", "slice", "0", "class", "read", "tries", "40", "failed", "0", "span_ms", "2000")
     for step in range(100):
@@ -184,20 +184,20 @@
             drain(stand)
         collector.sendall(report)
         open_links = [link for link in stand.links if not link.closed]
-        if open_links and chance.random() < 0.3:
-            chance.choice(open_links).close(CloseReason.CLOSED_BY_US)
+        if open_links and rng.random() < 0.3:
+            rng.choice(open_links).close(CloseReason.CLOSED_BY_US)
         stand.loop.call_later(0.02, lambda: None)
         stand.loop.run_once()
-    stand.fate = lambda given: True
+    stand.fate = lambda orders: True
     stand.until(lambda: stand.slices == {0: {"b": 1.0}, 1: {"b": 1.0}})
-    assert alive(stand, address) and stand.stop() == 0
+    assert is_alive(stand, address) and stand.stop() == 0
     collector.close()
 
 
-def test_strangers_and_garbage_do_not_keep_it_from_serving():
+def test_unknown_clients_and_garbage_do_not_stop_it_from_serving():
     stand = StandIn()
     address = stand.start()
-    assert alive(stand, address)
+    assert is_alive(stand, address)
     socks = [socket.create_connection(address, PATIENCE) for _ in range(80)]  # the limit is 64 descriptors
     said = [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$999999999\r\n", b"*9\r\n$5\r\nho", b"\0" * 99]
     for sock, data in zip(socks, said * 20):
@@ -205,10 +205,10 @@
             sock.sendall(data)
         except OSError:
             pass
-    assert alive(stand, address) and stand.stop() == 0
+    assert is_alive(stand, address) and stand.stop() == 0
 
 
-def test_a_log_that_nobody_reads_does_not_stop_it():
+def test_a_log_that_is_not_read_does_not_block_it():
     reads, writes = os.pipe()
     os.set_blocking(writes, False)
     try:
@@ -221,15 +221,15 @@
     stand = StandIn()
     address = stand.start(listen, writes)
     stand.until(lambda: stand.news)
-    assert alive(stand, address) and stand.stop() == 0
+    assert is_alive(stand, address) and stand.stop() == 0
     os.close(reads)
     os.close(writes)
 
 
-def test_a_bad_start_says_what_is_wrong_in_one_line(tmp_path):
+def test_a_failed_start_prints_one_line(tmp_path):
     good, bad = tmp_path / "good.json", tmp_path / "bad.json"
     stand = StandIn()
-    told = {
+    configuration = {
         "name": "n0",
         "listen": stand.address,
         "discovery": stand.address,
@@ -237,8 +237,8 @@
         "hub": {"address": stand.address},
         "settings": SETTINGS,
     }
-    good.write_text(json.dumps(told))
-    bad.write_text(json.dumps({**told, "hub": {}}))
+    good.write_text(json.dumps(configuration))
+    bad.write_text(json.dumps({**configuration, "hub": {}}))
     for environ, code, word in (
         ({}, 2, "EDGE_CONFIG"),
         ({"EDGE_CONFIG": "/none"}, 2, "/none"),
@@ -273,9 +273,9 @@
     assert "Usage:" in "".join(program.communicate(timeout=PATIENCE)) and program.returncode == 1
 
 
-def host(tmp_path, **changes):
+def make_host(tmp_path, **changes):
     path = tmp_path / "config.json"
-    told = {
+    configuration = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
@@ -285,70 +285,76 @@
         "known": {"version": 1, "servers": [{"id": "a", "state": "active"}]},
         **changes,
     }
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(configuration))
     return Host(Config({"EDGE_CONFIG": str(path)}), Log(open(os.devnull, "w")))
 
 
-def test_decisions_that_fail_start_again_from_what_stands(tmp_path):
-    """Guards against a fault in the module that would end every conductor at the same message."""
-    h = host(tmp_path)
-    h.relay_stream.proxies, h.relay_stream.slices = {4}, {0: {"a": 1.0}}
-    failed = h.conductor
+def test_failed_decisions_restart_from_the_current_state(tmp_path):
+    """Guards against a fault in the decisions that would end every conductor on the same message."""
+    host = make_host(tmp_path)
+    host.relay_stream.proxies, host.relay_stream.slices = {4}, {0: {"a": 1.0}}
+    failed = host.conductor
     failed.decide = lambda *_: 1 / 0
     failed.sent_times.append(7.0)
     failed.receipt_mark = 40
-    h.run_round()
-    assert h.conductor is not failed and list(h.conductor.sent_times) == [7.0] and h.conductor.receipt_mark == 40
-    assert h.inbox == [
+    host.run_round()
+    assert (
+        host.conductor is not failed and list(host.conductor.sent_times) == [7.0] and host.conductor.receipt_mark == 40
+    )
+    assert host.inbox == [
         ("joined", (4,)),
         ("given", (0,)),
         ("held", (0, "a", 1.0)),
         ("listed", (True, False, [("a", "", "ready", 1.0, 0.0)])),
     ]
-    h.last_round_at = 0.0
-    h.run_round()
-    assert h.conductor.slices[0].sent_lines == {h.conductor.servers["a"]: 1.0} and h.inbox == []
+    host.last_round_at = 0.0
+    host.run_round()
+    assert host.conductor.slices[0].sent_lines == {host.conductor.servers["a"]: 1.0} and host.inbox == []
 
 
-def test_new_settings_make_a_new_module_that_starts_from_what_stands(tmp_path):
-    h = host(tmp_path)
-    h.relay_stream.slices, old = {0: {"a": 1.0}}, h.conductor
+def test_new_settings_start_a_new_conductor_from_the_current_state(tmp_path):
+    host = make_host(tmp_path)
+    host.relay_stream.slices, old = {0: {"a": 1.0}}, host.conductor
     old.in_flight.append((7, 30, {1}))
-    told = json.loads((tmp_path / "config.json").read_text())
-    told["settings"]["classes"].append({"name": "write", "slo_us": 1, "worth": 9})
-    told["limits"] = {"sockets": 100}
-    (tmp_path / "config.json").write_text(json.dumps(told))
-    h.reload({"EDGE_CONFIG": str(tmp_path / "config.json")})
-    assert h.conductor is not old and len(h.conductor.rpc_costs) == 2 and h.conductor.in_flight == old.in_flight
+    configuration = json.loads((tmp_path / "config.json").read_text())
+    configuration["settings"]["classes"].append({"name": "write", "slo_us": 1, "worth": 9})
+    configuration["limits"] = {"sockets": 100}
+    (tmp_path / "config.json").write_text(json.dumps(configuration))
+    host.reload({"EDGE_CONFIG": str(tmp_path / "config.json")})
+    assert (
+        host.conductor is not old and len(host.conductor.rpc_costs) == 2 and host.conductor.in_flight == old.in_flight
+    )
     assert (
-        h.method_names == {0: "read", 1: "write"} and h.collectors.max_connections == 80 and ("given", (0,)) in h.inbox
+        host.method_names == {0: "read", 1: "write"}
+        and host.collectors.max_connections == 80
+        and ("given", (0,)) in host.inbox
     )
 
 
-def test_rounds_keep_the_tick(tmp_path):
-    h = host(tmp_path)
+def test_rounds_are_at_least_a_tick_apart(tmp_path):
+    host = make_host(tmp_path)
     rounds = []
-    h.conductor.decide = lambda now, inbox, out: rounds.append(now)
-    h.run_round()
-    h.run_round()
-    h.run_round()
-    assert len(rounds) == 1 and h.round_timer is not None
-    h.loop.run_once()
-    assert len(rounds) == 2 and rounds[1] >= rounds[0] + h.config.tick_s and h.round_timer is None
+    host.conductor.decide = lambda now, inbox, out: rounds.append(now)
+    host.run_round()
+    host.run_round()
+    host.run_round()
+    assert len(rounds) == 1 and host.round_timer is not None
+    host.loop.run_once()
+    assert len(rounds) == 2 and rounds[1] >= rounds[0] + host.config.tick_s and host.round_timer is None
 
 
-def test_timers_for_one_time_are_one_round(tmp_path):
-    h = host(tmp_path)
+def test_timers_for_the_same_time_cause_one_round(tmp_path):
+    host = make_host(tmp_path)
     rounds = []
-    h.conductor.decide = lambda now, inbox, out: rounds.append(now)
+    host.conductor.decide = lambda now, inbox, out: rounds.append(now)
     for _ in range(3):
-        h.schedule_round(h.loop.now() + 0.005)
-    while len(rounds) < 1 or h.loop.timers:
-        h.loop.run_once()
+        host.schedule_round(host.loop.now() + 0.005)
+    while len(rounds) < 1 or host.loop.timers:
+        host.loop.run_once()
     assert len(rounds) <= 2
 
 
-def test_figures_in_the_configuration_that_make_no_sense(tmp_path):
+def test_invalid_values_in_the_configuration(tmp_path):
     for changes in (
         {"limits": {"sockets": "many"}},
         {"seed": "xyz"},
@@ -358,7 +364,7 @@
         {"settings": {"classes": [{"slo_us": "x"}]}},
     ):
         try:
-            host(tmp_path, **changes)
+            make_host(tmp_path, **changes)
         except ConfigError as fault:
             assert len(str(fault).splitlines()) == 1
         else:
@@ -366,14 +372,14 @@
 
 
 def recording(folder):
-    """An operator's file that records."""
+    """The arguments for an operator's file that enables recording."""
     path = folder / "operator.hcl"
     path.write_text(f'record {{\n  enabled = true\n  path = "{folder}/r"\n  checkpoint = "1s"\n}}\n')
     return "--operator", str(path)
 
 
 def reports(address):
-    """A collector's word on both servers, a period's worth."""
+    """Send a collector's reports of one period on both servers and both slices."""
     sock, _ = call(address, encode_message("agent", "zone", "z"))
     for server in "ab":
         sock.sendall(
@@ -402,13 +408,13 @@
     return sock
 
 
-def test_lives_with_a_restart_a_kill_and_a_reload_are_recorded_and_replay_exactly(tmp_path):
+def test_incarnations_with_a_restart_a_kill_and_a_reload_replay_exactly(tmp_path):
     stand = StandIn()
     address = stand.start(arguments=recording(tmp_path))
-    assert alive(stand, address)
-    told = reports(address)
+    assert is_alive(stand, address)
+    collector = reports(address)
     drain(stand)
-    stand.until(lambda: orders(stand))
+    stand.until(lambda: set_orders(stand))
     changed = {**SETTINGS, "family_info": {**SETTINGS["family_info"], "messages_most": 6}}
     stand.reload(settings=changed)
     stand.until(lambda: "reloaded" in stand.program.stderr.readline())
@@ -417,22 +423,22 @@
     stand.until(lambda: time.monotonic() > turned + 1)
     assert stand.stop() == 0
     stand.start("%s:%d" % address, arguments=recording(tmp_path))
-    assert alive(stand, address)
+    assert is_alive(stand, address)
     drain(stand, "b")
     begun = time.monotonic()
-    stand.until(lambda: time.monotonic() > begun + 3)  # past a block's age
+    stand.until(lambda: time.monotonic() > begun + 3)  # longer than a block's age
     stand.program.kill()
     stand.program.wait(PATIENCE)
     stand.start("%s:%d" % address, arguments=recording(tmp_path))
-    assert alive(stand, address) and stand.stop() == 0
-    told.close()
+    assert is_alive(stand, address) and stand.stop() == 0
+    collector.close()
     outcome = replayed(tmp_path / "r", 4)
     assert outcome.exact and outcome.lives == 4, outcome
     assert all(x.until == float("inf") for x in outcome.losses) and len(outcome.losses) <= 1
 
 
-def test_decisions_that_fail_are_recorded_and_fail_again(tmp_path):
-    """In this process, so that the module can be spoilt: a fault in it is not to be had from outside."""
+def test_failed_decisions_are_recorded_and_fail_in_the_replay(tmp_path):
+    """Runs in this process, since a fault in the decisions cannot be caused from outside."""
     stand = StandIn()
     stand.start()
     stand.program.kill()
@@ -454,7 +460,7 @@
     assert outcome.exact and outcome.failures == 1 and outcome.lives == 2
 
 
-def test_an_operators_file_that_cannot_be_used_is_told_in_lines(tmp_path):
+def test_an_unusable_operator_file_is_reported_line_by_line(tmp_path):
     stand = StandIn()
     path = tmp_path / "operator.hcl"
     path.write_text("record {\n  budget = 5\n  colour = 1\n}\n")
@@ -466,7 +472,7 @@
 
 
 def at_size(proxies):
-    """A stand-in for a fleet of so many proxies, whose relay acknowledges each message for all of them."""
+    """A stand-in for a fleet of `proxies` proxies, whose relay acknowledges each message for all of them."""
     stand = StandIn()
     family = {
         **SETTINGS["family_info"],
@@ -480,8 +486,8 @@
     stand.servers = [{"id": f"s{k}", "zone": "z", "state": "active"} for k in range(120)]
     stand.slices, stand.proxies = {0: {"s0": 1.0}}, [0]
 
-    def fate(given):
-        for mark in [f["ticket"] for f in given if f["do"] == "SYNC"]:
+    def fate(orders):
+        for mark in [f["ticket"] for f in orders if f["do"] == "SYNC"]:
             stand.loop.call_later(
                 0.1, lambda: stand.tell(*(("ack", {"proxy": p, "mark": mark, "took_ms": 100.0}) for p in stand.proxies))
             )
@@ -491,11 +497,11 @@
     return stand
 
 
-def test_all_proxies_and_slices_of_lost_conductors_come_at_once_and_a_drain_with_them():
-    """Guards against joinings that hold back what must leave, and messages past the cap of waiting lines."""
+def test_proxies_and_slices_of_lost_conductors_arrive_at_once_during_a_drain():
+    """Guards against joins that delay a drain, and against messages beyond the limit of waiting lines."""
     stand = at_size(640)
     address = stand.start()
-    assert alive(stand, address)
+    assert is_alive(stand, address)
     stand.proxies = list(range(640))
     stand.tell(*(("hello", {"proxy": p, "zone": "z", "weight": 1.0, "fresh": False}) for p in stand.proxies))
     for k in range(1, 140):
@@ -507,21 +513,21 @@
     begun = time.monotonic()
     stand.until(lambda: not any(x in gone for held in stand.slices.values() for x in held))
     assert time.monotonic() - begun < 5 and all(stand.slices.values())
-    for given in stand.calls:  # what a message weighs at all proxies is within the cap
-        assert (16 + sum(f["do"] != "SYNC" for f in given)) * 640 <= 175 * 640
+    for orders in stand.calls:  # the lines of a message, over all proxies, are within the limit
+        assert (16 + sum(f["do"] != "SYNC" for f in orders)) * 640 <= 175 * 640
     assert stand.stop() == 0
 
 
-def test_a_crowd_at_the_limit_of_descriptors_costs_no_collector_its_seat_while_addresses_move():
-    """Strangers, half-spoken and spoilt messages in waves, a new configuration in their midst, then a drain."""
+def test_connections_at_the_descriptor_limit_evict_no_collector_during_an_address_change():
+    """Waves of silent clients and of incomplete and invalid messages, an address change among them, then a drain."""
     stand = at_size(40)
     stand.sockets = 96
     address = stand.start()
-    assert alive(stand, address)
+    assert is_alive(stand, address)
     collector, _ = call(address, encode_message("agent", "zone", "z"))
     other = StandIn(stand.loop)
     other.slices, other.proxies, other.servers, other.fate = stand.slices, stand.proxies, stand.servers, stand.fate
-    spoilt = [
+    invalid_messages = [
         encode_message("outcomes", "zone", "z"),
         encode_message("hot", "slice", "x", "tries", "-1"),
         encode_message("agent", "zone"),
@@ -529,17 +535,17 @@
         b"POST / HTTP/1.1\r\n\r\n",
         b"",
     ]
-    crowd = []
+    clients = []
     for wave in range(4):
         for k in range(120):
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(address)
-            crowd.append(sock)
+            clients.append(sock)
             if k % 10 == 0:
                 stand.loop.call_later(0.005, lambda: None)
                 stand.loop.run_once()
-            if data := spoilt[k % len(spoilt)]:
+            if data := invalid_messages[k % len(invalid_messages)]:
                 try:
                     sock.send(data)
                 except OSError:
@@ -552,16 +558,16 @@
     stand.until(lambda: other.news and not stand.news)
     collector.setblocking(False)
     try:
-        assert collector.recv(1) != b"", "the collector was ended"
+        assert collector.recv(1) != b"", "the collector was closed"
     except BlockingIOError:
-        pass  # still there, and nothing was written to it
+        pass  # still connected, and nothing was written to it
     drain(other, "s0")
     stand.until(lambda: "s0" not in other.slices[0])
     assert other.slices[0]
 
-    def closed():  # what was spoilt or silent is ended, not kept
+    def closed():  # silent clients and those with invalid messages are closed
         left = []
-        for sock in crowd:
+        for sock in clients:
             try:
                 if sock.recv(99):
                     left.append(sock)
@@ -569,7 +575,7 @@
                 left.append(sock)
             except OSError:
                 pass
-        crowd[:] = left
+        clients[:] = left
         return not left
 
     assert stand.until(closed) and stand.stop() == 0
