--- a/knotwalk/net/loop.py
+++ b/knotwalk/net/loop.py
@@ -22,10 +22,8 @@
 ACCEPT_PAUSE_S = 0.1  # without accepting once the descriptors have run out: others close meanwhile
 MAX_ACCEPTS_PER_TURN = 64  # a flood of new connections must not starve the established ones
 CONNECT_TIMEOUT_S = 0.25  # on the same network: the round trip and one lost packet
-MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = (
-    0.02,
-    0.5,
-)  # doubles in between, so as not to flood the peer with attempts
+# The delay doubles from the one to the other, so as not to flood the peer with attempts.
+MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.02, 0.5
 
 
 class ProtocolError(Exception):
--- a/knotwalk/net/relay.py
+++ b/knotwalk/net/relay.py
@@ -53,9 +53,7 @@
         self.in_flight: list[dict] = []  # the orders of the call that awaits its answer
         self.unconfirmed: list[dict] = []  # the orders of a call whose outcome is unknown
         self.lost_slices: set[int] = set()  # slices removed since that call was sent
-        self.unsure_slices: set[int] = (
-            set()
-        )  # slices whose last outcome stayed unknown, until the queue has been applied
+        self.unsure_slices: set[int] = set()  # slices with an outcome that stayed unknown, until the queue is applied
         self.connection: Connection | None = None
         self.connecting = False
         self.parser, self.status, self.body = http.ResponseParser(MAX_ANSWER_BYTES), 0, b""
@@ -371,9 +369,7 @@
         self.signs_of_life = 0  # received on this connection
         self.seen: set[tuple[str, int]] = set()  # proxies and slices of the current state read so far
         self.current_slice: tuple[int, dict[str, float]] | None = None  # the slice whose lines are being read
-        self.touched_slices: set[int] = (
-            set()
-        )  # slices changed by orders since the connection was made: the state it sends may be older
+        self.touched_slices: set[int] = set()  # changed by orders since the connection was made: its state may be older
         self.parser = StreamParser()
         self.silence_timer: Timer | None = None
         self.last_data_at = 0.0  # when bytes last arrived
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -250,22 +250,22 @@
 
 
 def test_bytes_that_are_no_message_close_the_connection():
-    for data, ending in (
+    for data, reason in (
         (b"GET / HTTP/1.1\r\n\r\n", CloseReason.MALFORMED),
         (b"*1\r\n$2097152\r\n", CloseReason.TOO_LONG),
     ):
         wire = Wire(make_server()[0].accept())
         wire.feed(data)
-        assert wire.closed is ending
+        assert wire.closed is reason
 
 
 def test_silent_unjoined_connections_are_evicted_before_collectors():
     server, _, _ = make_server(max_connections=3)
     collector = Wire(server.accept())
     collector.feed(JOIN_MESSAGE)
-    strangers = [Wire(server.accept()) for _ in range(8)]
+    unjoined = [Wire(server.accept()) for _ in range(8)]
     assert not collector.closed and len(server.connections) == 3
-    assert [x.closed for x in strangers] == 6 * [CloseReason.EVICTED] + 2 * [False]
+    assert [x.closed for x in unjoined] == 6 * [CloseReason.EVICTED] + 2 * [False]
 
 
 def test_incomplete_messages_do_not_fill_the_memory():
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -25,14 +25,14 @@
     sock, _ = call(address, encode_message("probe"))
     sock.setblocking(False)
 
-    def got():
+    def is_answered():
         try:
             return sock.recv(99) == ALIVE
         except BlockingIOError:
             return False
 
     try:
-        return stand.until(got)
+        return stand.until(is_answered)
     finally:
         sock.close()
 
@@ -59,8 +59,8 @@
     drain(stand)
     stand.until(lambda: set_orders(stand))
     assert set_orders(stand) == DRAIN_ORDERS and stand.calls[-1][-1]["do"] == "SYNC"
-    begun = time.monotonic()
-    assert stand.stop() == 0 and time.monotonic() - begun < 0.7
+    started_at = time.monotonic()
+    assert stand.stop() == 0 and time.monotonic() - started_at < 0.7
 
 
 def test_a_broken_call_that_was_carried_out_is_not_sent_again():
@@ -199,8 +199,8 @@
     address = stand.start()
     assert is_alive(stand, address)
     socks = [socket.create_connection(address, PATIENCE) for _ in range(80)]  # the limit is 64 descriptors
-    said = [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$999999999\r\n", b"*9\r\n$5\r\nho", b"\0" * 99]
-    for sock, data in zip(socks, said * 20):
+    garbage = [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$999999999\r\n", b"*9\r\n$5\r\nho", b"\0" * 99]
+    for sock, data in zip(socks, garbage * 20):
         try:
             sock.sendall(data)
         except OSError:
@@ -209,21 +209,21 @@
 
 
 def test_a_log_that_is_not_read_does_not_block_it():
-    reads, writes = os.pipe()
-    os.set_blocking(writes, False)
+    read_fd, write_fd = os.pipe()
+    os.set_blocking(write_fd, False)
     try:
         while True:
-            os.write(writes, b"x" * 4096)
+            os.write(write_fd, b"x" * 4096)
     except BlockingIOError:
-        os.set_blocking(writes, True)
+        os.set_blocking(write_fd, True)
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = "%s:%d" % free.getsockname()
     stand = StandIn()
-    address = stand.start(listen, writes)
+    address = stand.start(listen, write_fd)
     stand.until(lambda: stand.news)
     assert is_alive(stand, address) and stand.stop() == 0
-    os.close(reads)
-    os.close(writes)
+    os.close(read_fd)
+    os.close(write_fd)
 
 
 def test_a_failed_start_prints_one_line(tmp_path):
@@ -265,8 +265,8 @@
             }
         )
     )
-    said = run({"EDGE_CONFIG": str(path)}, "check").communicate(timeout=PATIENCE)[0]
-    assert "n7 listens on 127.0.0.1:0" in said and "methods: read" in said
+    output = run({"EDGE_CONFIG": str(path)}, "check").communicate(timeout=PATIENCE)[0]
+    assert "n7 listens on 127.0.0.1:0" in output and "methods: read" in output
     assert run({}, "check").wait(PATIENCE) == 2
     assert run({}, "version").communicate(timeout=PATIENCE)[0].startswith("knotwalk 0.")
     program = run({}, "nonsense")
@@ -419,14 +419,14 @@
     stand.reload(settings=changed)
     stand.until(lambda: "reloaded" in stand.program.stderr.readline())
     drain(stand, "none")
-    turned = time.monotonic()
-    stand.until(lambda: time.monotonic() > turned + 1)
+    reloaded_at = time.monotonic()
+    stand.until(lambda: time.monotonic() > reloaded_at + 1)
     assert stand.stop() == 0
     stand.start("%s:%d" % address, arguments=recording(tmp_path))
     assert is_alive(stand, address)
     drain(stand, "b")
-    begun = time.monotonic()
-    stand.until(lambda: time.monotonic() > begun + 3)  # longer than a block's age
+    started_at = time.monotonic()
+    stand.until(lambda: time.monotonic() > started_at + 3)  # longer than a block's age
     stand.program.kill()
     stand.program.wait(PATIENCE)
     stand.start("%s:%d" % address, arguments=recording(tmp_path))
@@ -471,7 +471,7 @@
     assert program.returncode == 2 and len(lines) == 2 and f"{path}:2: 'record.budget'" in lines[0]
 
 
-def at_size(proxies):
+def make_fleet(proxies):
     """A stand-in for a fleet of `proxies` proxies, whose relay acknowledges each message for all of them."""
     stand = StandIn()
     family = {
@@ -499,7 +499,7 @@
 
 def test_proxies_and_slices_of_lost_conductors_arrive_at_once_during_a_drain():
     """Guards against joins that delay a drain, and against messages beyond the limit of waiting lines."""
-    stand = at_size(640)
+    stand = make_fleet(640)
     address = stand.start()
     assert is_alive(stand, address)
     stand.proxies = list(range(640))
@@ -510,9 +510,9 @@
     gone = {f"s{k}" for k in range(30)}
     stand.version += 1
     stand.servers = [{**x, "state": "leaving" if x["id"] in gone else "active"} for x in stand.servers]
-    begun = time.monotonic()
+    started_at = time.monotonic()
     stand.until(lambda: not any(x in gone for held in stand.slices.values() for x in held))
-    assert time.monotonic() - begun < 5 and all(stand.slices.values())
+    assert time.monotonic() - started_at < 5 and all(stand.slices.values())
     for orders in stand.calls:  # the lines of a message, over all proxies, are within the limit
         assert (16 + sum(f["do"] != "SYNC" for f in orders)) * 640 <= 175 * 640
     assert stand.stop() == 0
@@ -520,7 +520,7 @@
 
 def test_connections_at_the_descriptor_limit_evict_no_collector_during_an_address_change():
     """Waves of silent clients and of incomplete and invalid messages, an address change among them, then a drain."""
-    stand = at_size(40)
+    stand = make_fleet(40)
     stand.sockets = 96
     address = stand.start()
     assert is_alive(stand, address)
