--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -124,7 +124,7 @@
             caller.connection_made(Quiet())  # type: ignore[arg-type]
             caller.data_received(Quiet(), encode_message("agent", "zone", "east"))  # type: ignore[arg-type]
             host.list_watch.entries = {f"s{k}": () for k in range(GROWN.servers)}  # type: ignore[assignment]
-            host.begin_incarnation("start")
+            host.record_conductor_start("start")
             hosts.append((host, news, caller))
         sides: tuple[list[float], list[float]] = ([], [])
         between, paced, clock = 0.0, rounds[0][0], time.perf_counter
@@ -178,7 +178,7 @@
 class Quiet:
     """A link that takes whatever is written."""
 
-    over, out, address, timer, fault = False, b"", ("127.0.0.1", 1), None, ""
+    closed, write_buffer, address, timer, error = False, b"", ("127.0.0.1", 1), None, ""
 
     def write(self, data: bytes) -> None:
         """Nobody reads it."""
--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -261,7 +261,7 @@
             raise ConfigError(f"pubsub.listen: {settings.listen}: {fault.strerror}") from None
         self.log("publishing", "at %s:%d, epoch %s from version %d" % (*address, table.epoch, table.version))
 
-    def begin_incarnation(self, reason: str) -> None:
+    def record_conductor_start(self, reason: str) -> None:
         """Record the start of a new conductor, if recording."""
         if self.recorder:
             self.recorder.life(
@@ -332,7 +332,7 @@
         old, self.conductor = self.conductor, Conductor(self.config.settings, self.config.seed + self.start_count)
         carry_over(old, self.conductor)
         self.start_count += 1
-        self.begin_incarnation(reason)
+        self.record_conductor_start(reason)
         self.inbox, self.collectors.burst = [], []
         self.relay_stream.replay_state()
         # After the lines, which may name servers that are gone: these are recognized by their absence from the list.
@@ -382,7 +382,7 @@
             self.log("reload refused", f"pubsub: {fault}; the old keys stay in use")
 
     def run(self) -> None:
-        self.begin_incarnation("start")
+        self.record_conductor_start("start")
         self.enqueue("listed", True, True, self.config.known)
         listener = self.loop.listen(self.config.listen, self.collectors.accept)
         self.log("serving", "%s at %s:%d" % (self.config.name, *listener.sock.getsockname()))
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -446,7 +446,7 @@
     host = Host(
         config, Log(open(os.devnull, "w")), OperatorSettings(RecordSettings(True, str(tmp_path / "r"), checkpoint=1.0))
     )
-    host.begin_incarnation("start")
+    host.record_conductor_start("start")
     assert host.recorder.life_told["why"] == "start"
     host.enqueue("given", 0)
     host.enqueue("held", 0, "a", "heavy")
