--- a/knotwalk/net/discovery.py
+++ b/knotwalk/net/discovery.py
@@ -1,113 +1,116 @@
-"""Discovery: the watch on the list of servers.
+"""Discovery: a long-polling watch on the list of servers.
 
-Owns the list's version and the rhythm of the watch. It must never change an entry beyond its words and units,
-and never decide what a missing answer means for a server.
+Owns the list's version and the pace of the watch. It must never change an entry beyond its names and units, and never
+decide what a missing answer means for a server.
 """
 
 import json
 from collections.abc import Callable, Mapping
 
 from knotwalk.net import http
-from knotwalk.net.ending import Ending, Role, outcome
+from knotwalk.net.close_reason import CloseReason, Role, outcome
 from knotwalk.net.log import Log
-from knotwalk.net.loop import AGAIN_FIRST, Kept, Link, Loop, Timer, Unreadable
+from knotwalk.net.loop import MIN_RECONNECT_DELAY_S, Connection, Loop, PersistentConnection, ProtocolError, Timer
 from knotwalk.wire_values import SERVER_STATES, error_text, parse_amount
 
-WAIT = 1.0  # seconds that a watch may wait: a change counts as told 2 s after, whether it came or not
-LATE = 0.5  # seconds past its wait after which a call is silent; the whole list has none
-LIST_MOST = 1 << 22  # bytes of an answer: some ten thousand servers
+WATCH_WAIT_S = 1.0  # of a long poll: the platform takes a change as delivered after 2 s, whether it arrived or not
+ANSWER_MARGIN_S = 0.5  # beyond the long poll's wait, which a request for the full list does not have
+MAX_LIST_BYTES = 1 << 22  # of a response: about ten thousand servers
 
 
-def entry(f: Mapping) -> tuple:
-    """One list entry as the module has it.
+def parse_entry(fields: Mapping) -> tuple:
+    """Convert one list entry to the form that the decisions take.
 
-    >>> entry({"id": "s", "zone": "cork", "state": "leaving", "weight": 1.5, "started_ms": 2500})
+    >>> parse_entry({"id": "s", "zone": "cork", "state": "leaving", "weight": 1.5, "started_ms": 2500})
     ('s', 'cork', 'draining', 1.5, 2.5)
     """
-    if f["state"] not in SERVER_STATES:
-        raise ValueError(f"no such state '{f['state']}'")
+    if fields["state"] not in SERVER_STATES:
+        raise ValueError(f"no such state '{fields['state']}'")
     return (
-        str(f["id"]),
-        str(f.get("zone", "")),
-        SERVER_STATES[f["state"]],
-        parse_amount(f.get("weight", 1)),
-        parse_amount(f.get("started_ms") or 0) / 1e3,
+        str(fields["id"]),
+        str(fields.get("zone", "")),
+        SERVER_STATES[fields["state"]],
+        parse_amount(fields.get("weight", 1)),
+        parse_amount(fields.get("started_ms") or 0) / 1e3,
     )
 
 
-class Watch(Kept):
-    """The watch: one call after the other on one connection."""
+class ListWatch(PersistentConnection):
+    """Watches the list with one request after the other on one connection."""
 
     def __init__(
-        self, loop: Loop, address: tuple[str, int], version: int, known: list[tuple], tell: Callable, log: Log
+        self, loop: Loop, address: tuple[str, int], version: int, known: list[tuple], enqueue: Callable, log: Log
     ):
         super().__init__(loop, address)
-        self.tell, self.log = tell, log
+        self.enqueue, self.log = enqueue, log
         self.version = version
-        self.entries = {x[0]: x for x in known if x[2] != "gone"}  # the list as now held
-        self.answers, self.status, self.body = http.Answers(LIST_MOST), 0, b""
-        self.whole = True  # the next call asks for the whole list
-        self.silence: Timer | None = None
+        self.entries = {x[0]: x for x in known if x[2] != "gone"}  # the current list, by server
+        self.parser, self.status, self.body = http.ResponseParser(MAX_LIST_BYTES), 0, b""
+        self.needs_full_list = True  # whether the next request asks for the full list
+        self.answer_timer: Timer | None = None
 
-    def ask(self, link: Link) -> None:
-        query = None if self.whole else {"since": self.version, "timeout_ms": int(WAIT * 1e3)}
+    def send_request(self, connection: Connection) -> None:
+        query = None if self.needs_full_list else {"since": self.version, "timeout_ms": int(WATCH_WAIT_S * 1e3)}
         self.status, self.body = 0, b""
-        self.silence = self.loop.after(LATE + (0 if self.whole else WAIT), lambda: link.end(Ending.SILENT))
-        link.write(http.request("%s:%d" % link.address, "GET", "/v1/servers", query))
-
-    def up(self, link: Link) -> None:
-        self.answers = http.Answers(LIST_MOST)
-        self.ask(link)
-
-    def fed(self, link: Link, data: memoryview) -> None:
-        for kind, value in self.answers.feed(data):
+        self.answer_timer = self.loop.call_later(
+            ANSWER_MARGIN_S + (0 if self.needs_full_list else WATCH_WAIT_S),
+            lambda: connection.close(CloseReason.SILENT),
+        )
+        connection.write(http.build_request("%s:%d" % connection.address, "GET", "/v1/servers", query))
+
+    def connection_ready(self, connection: Connection) -> None:
+        self.parser = http.ResponseParser(MAX_LIST_BYTES)
+        self.send_request(connection)
+
+    def data_received(self, connection: Connection, data: memoryview) -> None:
+        for kind, value in self.parser.feed(data):
             if kind == "status":
                 self.status = value
             elif kind == "piece":
                 self.body += value
             else:
-                if self.silence:
-                    self.silence.cancel()
-                self.answered()
+                if self.answer_timer:
+                    self.answer_timer.cancel()
+                self.on_answer()
                 if value:
-                    self.ask(link)
-                else:  # an agent that closes after each answer: the watch goes on over the next one
-                    link.end(Ending.LEFT)
+                    self.send_request(connection)
+                else:  # the agent closes after each response: the watch goes on over a new connection
+                    connection.close(CloseReason.CLOSED_BY_US)
                     return
 
-    def answered(self) -> None:
+    def on_answer(self) -> None:
         if self.status != 200:
-            raise Unreadable(f"answer {self.status}: {self.body[:100]!r}")
+            raise ProtocolError(f"response with status {self.status}: {self.body[:100]!r}")
         try:
-            told = json.loads(self.body)
-            version, full, servers = int(told["version"]), bool(told["full"]), told["servers"]
-            entries = [entry(f) for f in servers]
+            payload = json.loads(self.body)
+            version, full, servers = int(payload["version"]), bool(payload["full"]), payload["servers"]
+            entries = [parse_entry(fields) for fields in servers]
         except (ValueError, TypeError, AttributeError, KeyError) as fault:
-            raise Unreadable(f"no list: {error_text(fault)}") from None
-        if not self.whole:
-            self.wait = AGAIN_FIRST
+            raise ProtocolError(f"invalid server list: {error_text(fault)}") from None
+        if not self.needs_full_list:
+            self.reconnect_delay = MIN_RECONNECT_DELAY_S
         if not full and version < self.version:
-            self.whole = True  # restarted with an older list: changes to that are none to ours
+            self.needs_full_list = True  # the agent restarted with an older list; its changes do not apply to ours
             return
         if full:
-            self.whole, self.entries = False, {}
-        for x in entries:  # what has gone is let go: a list that is renewed all day would fill the memory
-            self.entries.pop(x[0], None)
-            if x[2] != "gone":
-                self.entries[x[0]] = x
+            self.needs_full_list, self.entries = False, {}
+        for item in entries:  # servers that are gone are removed: under constant renewal they would fill the memory
+            self.entries.pop(item[0], None)
+            if item[2] != "gone":
+                self.entries[item[0]] = item
         if full or entries:
-            self.tell("listed", full, False, entries)
+            self.enqueue("listed", full, False, entries)
         self.version = version
 
-    def lost(self, link: Link | None, ending: Ending) -> None:
-        if self.silence:
-            self.silence.cancel()
-        if ending is not Ending.LEFT:
-            # After a gap the whole list: changes may have been told to a connection that is gone.
-            self.whole = True
-            means = outcome(Role.LIST, ending)
-            self.log("list lost", f"{ending.value}: {means.value} {link.fault if link else ''}")
-
-    def move(self, address: tuple[str, int]) -> None:
-        self.whole = True  # versions there may differ
-        super().move(address)
+    def connection_failed(self, connection: Connection | None, reason: CloseReason) -> None:
+        if self.answer_timer:
+            self.answer_timer.cancel()
+        if reason is not CloseReason.CLOSED_BY_US:
+            # Changes may have been sent to the lost connection, so the full list is needed.
+            self.needs_full_list = True
+            effect = outcome(Role.LIST, reason)
+            self.log("server list lost", f"{reason.value}: {effect.value} {connection.error if connection else ''}")
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        self.needs_full_list = True  # versions at the new address may differ
+        super().change_address(address)
