--- a/knotwalk/control_plane/metrics.py
+++ b/knotwalk/control_plane/metrics.py
@@ -62,10 +62,10 @@
     responses: dict[tuple[str, ...], float] = {(one.value,): admissions.response_counts[one] for one in Admission}
     ended: dict[tuple[str, ...], float] = {(one.value,): admissions.ending_counts[one] for one in Ending}
     kept: dict[tuple[str, ...], float] = {(phase.value,): count for phase, count in answers.count_by_phase().items()}
-    yield counter("knotwalk_core_asks", "admission requests of edges, by response", responses, "told")
-    yield counter("knotwalk_core_ends", "ends of runs that edges reported", ended, "ending")
+    yield counter("knotwalk_core_asks", "edges' asks by what was told", responses, "told")
+    yield counter("knotwalk_core_ends", "ends of operations that edges told", ended, "ending")
     yield Metric("knotwalk_core_operations", MetricType.GAUGE, "operations kept here, by phase", kept, ("phase",))
-    yield gauge("knotwalk_core_operation_bytes", "bytes of these operations", answers.size)
+    yield gauge("knotwalk_core_operation_bytes", "bytes that they take", answers.size)
 
 
 def allowances(plane: ControlPlane) -> Iterator[Metric]:
@@ -73,26 +73,28 @@
     service = plane.allowances
     yield counter(
         "knotwalk_core_allowances",
-        "tokens requested by edges and given back, by outcome",
+        "tokens asked for by edges and given back, by how that ended",
         dict(service.outcome_counts),
         "outcome",
         "how",
     )
     yield counter(
         "knotwalk_core_over_limit",
-        "requests over the limit; the first tenants are named",
+        "requests refused over their limits; the tenants met first are named",
         {(tenant,): count for tenant, count in service.refusal_counts.items()},
         "tenant",
     )
     yield counter(
         "knotwalk_core_allowance_calls",
-        "calls to the leader for tokens, by outcome",
+        "calls for allowance to the leader, by how they ended",
         {(outcome,): count for outcome, count in service.call_counts.items()},
         "outcome",
     )
-    yield gauge("knotwalk_core_tenants_held", "tenants of which this core holds tokens", len(service.escrow.holdings))
+    yield gauge(
+        "knotwalk_core_tenants_held", "tenants of which this core holds allowance", len(service.escrow.holdings)
+    )
     buckets = len(service.buckets.buckets) if service.buckets is not None else 0
-    yield gauge("knotwalk_core_buckets", "tenants with a bucket at this core, as the leader", buckets)
+    yield gauge("knotwalk_core_buckets", "tenants whose limits this core keeps as the leader", buckets)
 
 
 def claims(groups: ClaimGroups | None) -> Iterator[Metric]:
@@ -105,25 +107,25 @@
         leads[partition], waiting[partition] = group.is_leader, len(group.pending_claims)
         held[partition] = len(group.driver.state.claims)
     labels = ("part",)
-    yield Metric("knotwalk_core_claims_leader", MetricType.GAUGE, "1 while this core leads a partition", leads, labels)
-    yield Metric("knotwalk_core_claims_held", MetricType.GAUGE, "operations of a partition with a holder", held, labels)
     yield Metric(
-        "knotwalk_core_claims_waiting", MetricType.GAUGE, "pending claims of a partition here", waiting, labels
+        "knotwalk_core_claims_leader", MetricType.GAUGE, "1 while this core leads a part's group", leads, labels
     )
+    yield Metric("knotwalk_core_claims_held", MetricType.GAUGE, "operations of a part that have a holder", held, labels)
+    yield Metric("knotwalk_core_claims_waiting", MetricType.GAUGE, "claims of a part that wait here", waiting, labels)
     outcomes: dict[tuple[str, ...], float] = {
         (one.value,): count for one, count in (groups.outcome_counts.items() if groups else ())
     }
-    yield counter("knotwalk_core_claims", "claims sent by this core, by outcome", outcomes, "outcome")
+    yield counter("knotwalk_core_claims", "claims asked by this core, by their outcome", outcomes, "outcome")
 
 
 def collect_metrics(now: float, plane: ControlPlane) -> Iterator[Metric]:
     """All metrics of a core machine."""
     machine, state, manager = plane.consensus.machine, plane.consensus.state, plane.conductor
-    yield gauge("knotwalk_core_fresh", "1 while a confirmed leader was heard lately", plane.peer_api.is_fresh(now))
+    yield gauge("knotwalk_core_fresh", "1 while this core heard the leader's word lately", plane.peer_api.is_fresh(now))
     yield gauge("knotwalk_core_leader", "1 while this core leads", machine.role == "leader")
-    yield gauge("knotwalk_core_term", "the current term", machine.term)
-    yield gauge("knotwalk_core_members", "members of the group, as far as known here", len(machine.members))
-    yield gauge("knotwalk_core_commit_index", "the last entry known to be committed", machine.commit)
+    yield gauge("knotwalk_core_term", "the term of the agreement", machine.term)
+    yield gauge("knotwalk_core_members", "members of the agreement, as far as is known here", len(machine.members))
+    yield gauge("knotwalk_core_commit_index", "the last entry known as committed", machine.commit)
     yield gauge("knotwalk_core_last_index", "the last entry of the log here", machine.log.last)
     yield gauge("knotwalk_core_configuration_version", "the configuration in force, 0 for none", state.version)
     yield gauge("knotwalk_core_disk_refuses", "1 while a write hangs or was refused", plane.consensus.disk_failing)
@@ -137,12 +139,12 @@
     yield nodes(now, plane)
     yield counter(
         "knotwalk_core_holders_cleared",
-        "slices whose former holder was found to hold them no longer",
+        "slices whose former holder was found to hold them no more",
         {(evidence.value,): count for evidence, count in manager.cleared_counts.items()},
         "by",
     )
     yield counter(
-        "knotwalk_core_node_calls", "calls to nodes, by outcome", dict(manager.call_counts), "call", "outcome"
+        "knotwalk_core_node_calls", "calls to nodes by how they ended", dict(manager.call_counts), "call", "outcome"
     )
     yield counter(
         "knotwalk_core_operator_answers",
@@ -153,7 +155,7 @@
     )
     yield counter(
         "knotwalk_core_orders_refused",
-        "configuration changes with a mistake, by its place",
+        "orders that were wrong, by the place of their mistake",
         dict(plane.control.rejection_counts),
         "place",
     )
@@ -162,7 +164,7 @@
     received = {(step, "received"): count for step, count in plane.caller.received_bytes.items()}
     yield counter("knotwalk_core_call_bytes", "bytes of bodies of calls to peers", sent | received, "step", "direction")
     answer_bytes: dict[tuple[str, ...], float] = {(path,): count for path, count in plane.peer_api.answer_bytes.items()}
-    yield counter("knotwalk_core_answer_bytes", "bytes of bodies sent to edges and cores", answer_bytes, "path")
+    yield counter("knotwalk_core_answer_bytes", "bytes of bodies told to edges and cores", answer_bytes, "path")
     yield from allowances(plane)
     yield from claims(plane.claims)
     yield loop_delay_metric(plane.loop_delay)
