--- a/knotwalk/cli/__main__.py
+++ b/knotwalk/cli/__main__.py
@@ -11,8 +11,8 @@
 
 import fire
 
-from knotwalk.cli import check as checks, compare, past, show
-from knotwalk.cli.offer import NoAnswer, Operator
+from knotwalk.cli import check as checks, compare, data_folder, rendering
+from knotwalk.cli.configuration_client import ConfigurationClient, NoClearAnswerError
 from knotwalk.configuration.change_requests import MalformedRequestError, parse_json
 from knotwalk.configuration.documents import (
     InvalidConfigurationError,
@@ -26,10 +26,10 @@
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.http_client import HttpClient
 
-PATIENCE = 3.0
+CALL_TIMEOUT_S = 3.0
 
 
-def end(code: int, *lines: str, trouble: str = "") -> NoReturn:
+def exit_with(code: int, *lines: str, trouble: str = "") -> NoReturn:
     """Print and end."""
     for line in lines:
         print(line)
@@ -38,34 +38,34 @@
     sys.exit(code)
 
 
-def as_json(value: Any) -> str:
+def to_json(value: Any) -> str:
     """A value as the commands print it in JSON."""
     return json_text.dumps(value, indent=1, ensure_ascii=False)
 
 
-def read(path: str) -> bytes:
+def read_file(path: str) -> bytes:
     """The bytes of a file; the program ends with 2 if it can't be read."""
     try:
         with open(path, "rb") as file:
             return file.read()
     except OSError as error:
-        end(2, trouble=f"{path}: {error.strerror}")
+        exit_with(2, trouble=f"{path}: {error.strerror}")
 
 
-def ask(address: str, step: str, question: dict) -> Any:
+def call_core(address: str, step: str, question: dict) -> Any:
     """A core's answer; ends with 2 where there is none."""
 
     async def once() -> Any:
         caller = HttpClient()
         try:
-            return await caller.json("POST", f"http://{address}/{step}", question, PATIENCE, step)
+            return await caller.json("POST", f"http://{address}/{step}", question, CALL_TIMEOUT_S, step)
         finally:
             await caller.close()
 
     try:
         return asyncio.run(once())
     except PeerError as error:
-        end(2, trouble=str(error))
+        exit_with(2, trouble=str(error))
 
 
 class Commands:
@@ -86,10 +86,10 @@
         """
         what, found = "", []
         try:
-            what = checks.checked(parse_json(read(file)))
+            what = checks.check_file(parse_json(read_file(file)))
         except MalformedRequestError as error:
             found = [(file, str(error))]
-        except checks.Mistakes as group:
+        except checks.FileMistakesError as group:
             found = [
                 (one.location, one.mistake)
                 if isinstance(one, InvalidConfigurationError)
@@ -97,9 +97,9 @@
                 for one in group.exceptions
             ]
         if json:
-            end(
+            exit_with(
                 int(bool(found)),
-                as_json(
+                to_json(
                     {
                         "file": file,
                         "what": what,
@@ -108,7 +108,7 @@
                 ),
             )
         lines = [f"{place}: {mistake}" if place else mistake for place, mistake in found]
-        end(int(bool(found)), *(lines or [f"{what}: good"]))
+        exit_with(int(bool(found)), *(lines or [f"{what}: good"]))
 
     def diff(self, old: str, new: str, json: bool = False) -> None:
         """Tell two configurations apart in meaning: what clients would notice, one line a difference.
@@ -123,14 +123,14 @@
         both = []
         for path in (old, new):
             try:
-                both.append(parse_configuration(parse_json(read(path))))
+                both.append(parse_configuration(parse_json(read_file(path))))
             except (MalformedRequestError, InvalidConfigurationError) as error:
-                end(2, trouble=f"{path}: {error}")
+                exit_with(2, trouble=f"{path}: {error}")
         found = compare.differences(*both)
         if json:
-            end(
+            exit_with(
                 int(bool(found)),
-                as_json(
+                to_json(
                     {
                         "old": format_version(both[0].version),
                         "new": format_version(both[1].version),
@@ -138,7 +138,7 @@
                     }
                 ),
             )
-        end(int(bool(found)), *([one.line() for one in found] or ["the same in meaning"]))
+        exit_with(int(bool(found)), *([one.line() for one in found] or ["the same in meaning"]))
 
     def export(self, data_dir: str, keys: bool = False, json: bool = False) -> None:
         """Print the whole configuration that a core's data folder holds; with --keys, as it can be PUT again.
@@ -154,18 +154,18 @@
                 instead; `history` has each version whose whole text is there. `import` reads that file, too.
         """
         try:
-            told = past.export(data_dir, keys)
+            told = data_folder.export_configuration(data_dir, keys)
         except (StoreError, ValueError, KeyError) as error:
-            end(2, trouble=str(error))
+            exit_with(2, trouble=str(error))
         if json:
-            end(int(told["configuration"] is None), as_json(told))
+            exit_with(int(told["configuration"] is None), to_json(told))
         trouble = (
             f"{told['config_version'] or 'no configuration'} of {told['me']}, log to entry {told['last']} of "
             f"term {told['last_term']}; surely agreed on: {told['sure'] or 'none'}"
         )
         if told["configuration"] is None:
-            end(1, trouble=trouble)
-        end(0, as_json(told["configuration"]), trouble=trouble)
+            exit_with(1, trouble=trouble)
+        exit_with(0, to_json(told["configuration"]), trouble=trouble)
 
     def status(self, address: str, json: bool = False) -> None:
         """A core's account of itself: members, term, leader, log, configuration, nodes, leases, edges.
@@ -176,7 +176,7 @@
             address: host:port, the first port of the internal range of a core machine.
             json: print the core's answer (openapi/peers.yaml) instead.
         """
-        self._answer(ask(address, "status", {}), json, show.status, lambda told: told["fresh"])
+        self._answer(call_core(address, "status", {}), json, rendering.render_status, lambda told: told["fresh"])
 
     def explain(self, address: str, host: str, path: str, key: str | None = None, json: bool = False) -> None:
         """Where a core holds that a request belongs: route, service, and with a key the owner line and its state.
@@ -193,24 +193,31 @@
         try:
             question = {"host": host, "path": path} | ({} if key is None else {"key": int(key)})
         except ValueError:
-            end(2, trouble=f"--key: a number from 0 to 65535, not {key}")
-        self._answer(ask(address, "explain", question), json, show.explained, lambda told: told["route"] is not None)
+            exit_with(2, trouble=f"--key: a number from 0 to 65535, not {key}")
+        self._answer(
+            call_core(address, "explain", question),
+            json,
+            rendering.render_explanation,
+            lambda told: told["route"] is not None,
+        )
 
     @staticmethod
     def _answer(told: Any, json: bool, lines: Callable[[Any], list[str]], well: Callable[[Any], bool]) -> NoReturn:
         try:
-            end(int(not well(told)), *([as_json(told)] if json else lines(told)))
+            exit_with(int(not well(told)), *([to_json(told)] if json else lines(told)))
         except (KeyError, TypeError) as error:
-            end(2, trouble=f"the answer can't be read ({type(error).__name__} {error}): a core of another version?")
+            exit_with(
+                2, trouble=f"the answer can't be read ({type(error).__name__} {error}): a core of another version?"
+            )
 
 
-def whole(path: str, history: bool) -> list[dict]:
+def read_configurations(path: str, history: bool) -> list[dict]:
     """The configurations to offer from a file, oldest first: a configuration, or what `export --json` printed; ends
     with 2 where it can't be read, with 1 and a line a mistake where one is wrong."""
     try:
-        value = parse_json(read(path))
+        value = parse_json(read_file(path))
     except MalformedRequestError as error:
-        end(2, trouble=f"{path}: {error}")
+        exit_with(2, trouble=f"{path}: {error}")
     if isinstance(value, dict) and "me" in value and "configuration" in value:
         kept = value.get("history") if history else None
         found = (
@@ -221,23 +228,25 @@
     else:
         found = [value]
     if history and (len(found) < 2 or found[-1] != value.get("configuration")):
-        end(2, trouble=f"{path}: holds no history; `export --json` prints one, where there is more than one version")
+        exit_with(
+            2, trouble=f"{path}: holds no history; `export --json` prints one, where there is more than one version"
+        )
     lines = []
     for one in found:
         try:
-            checks.configuration(one)
-        except checks.Mistakes as group:
+            checks.check_configuration(one)
+        except checks.FileMistakesError as group:
             name = f"{one['config_version']}, " if len(found) > 1 and isinstance(one, dict) else ""
             lines += [f"{name}{mistake.location}: {mistake.mistake}" for mistake in group.exceptions]
     if lines:
-        end(1, *lines)
+        exit_with(1, *lines)
     return found
 
 
-async def offered(address: str, texts: list[dict], send: bool) -> tuple[int, list[str], str]:
+async def import_configurations(address: str, texts: list[dict], send: bool) -> tuple[int, list[str], str]:
     """Offer configurations one after another: exit code, lines, trouble. `texts` were checked."""
     caller, lines = HttpClient(), []
-    operator = Operator(address, caller)
+    operator = ConfigurationClient(address, caller)
     try:
         now = await operator.current()
         if now is not None and len(texts) > 1:
@@ -271,13 +280,13 @@
             lines.append(f"{name} is in force" if send else f"{name} would be sent on top of {format_version(at)}")
             now = fresh
         return 0, lines, "" if send else "nothing was sent; --apply does"
-    except NoAnswer as error:
+    except NoClearAnswerError as error:
         return 2, lines, f"no clear answer, send it again: {error}"
     finally:
         await caller.close()
 
 
-def take(
+def import_command(
     _self: Commands,
     file: str,
     address: str,
@@ -302,26 +311,26 @@
             behind.
         json: print {"code", "lines", "trouble"} instead.
     """
-    texts = whole(file, history)
+    texts = read_configurations(file, history)
     if version is not None:
         try:
             parse_version(version)
         except ValueError as error:
-            end(2, trouble=f"--version: {error}")
+            exit_with(2, trouble=f"--version: {error}")
         texts[-1] = texts[-1] | {"config_version": version}
-    code, lines, trouble = asyncio.run(offered(address, texts, apply))
+    code, lines, trouble = asyncio.run(import_configurations(address, texts, apply))
     if json:
-        end(code, as_json({"code": code, "lines": lines, "trouble": trouble}))
-    end(code, *lines, trouble=trouble)
+        exit_with(code, to_json({"code": code, "lines": lines, "trouble": trouble}))
+    exit_with(code, *lines, trouble=trouble)
 
 
-setattr(Commands, "import", take)  # a word of Python's own
+setattr(Commands, "import", import_command)  # a word of Python's own
 
 
-def arguments(given: list[str]) -> list[str]:
+def quote_arguments(given: list[str]) -> list[str]:
     """The command line for fire, which would read `1.10` as a number and take what follows --json as its value.
 
-    >>> arguments(["explain", "--json", "10.0.0.1:7660", "1.10", "/a/", "--key", "7"])
+    >>> quote_arguments(["explain", "--json", "10.0.0.1:7660", "1.10", "/a/", "--key", "7"])
     ['explain', "'10.0.0.1:7660'", "'1.10'", "'/a/'", '--key', "'7'", '--json']
     """
     flags = [one for one in ("--json", "--apply", "--history", "--keys") if one in given]
@@ -332,7 +341,7 @@
 def main() -> None:
     """Run one command of the command line."""
     try:
-        fire.Fire(Commands, arguments(sys.argv[1:]), name="cli")
+        fire.Fire(Commands, quote_arguments(sys.argv[1:]), name="cli")
         sys.stdout.flush()
     except BrokenPipeError:  # whoever read it has seen enough; nothing may be written at the end either
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
--- a/knotwalk/cli/check.py
+++ b/knotwalk/cli/check.py
@@ -6,25 +6,25 @@
 
 from __future__ import annotations
 
-from knotwalk.cli.words import count
+from knotwalk.cli.formatting import format_count
 from knotwalk.configuration.documents import NAMED_KINDS, InvalidConfigurationError, describe_value, parse_configuration
 from knotwalk.runtime.errors import SettingsError
 from knotwalk.runtime.settings import Settings, parse_settings
 
-MOST = 100  # mistakes told; a file of another kind has one a line
+MAX_MISTAKES = 100  # mistakes told; a file of another kind has one a line
 
-WANTED = {"edge": ("data_plane", "readiness"), "control_plane": ("control",)}
+REQUIRED_ADDRESSES = {"edge": ("data_plane", "readiness"), "control_plane": ("control",)}
 
 
-class Mistakes(ExceptionGroup):
+class FileMistakesError(ExceptionGroup):
     """What is wrong with a file: `exceptions` are SettingsError or InvalidConfigurationError, one a mistake."""
 
 
-def settings(raw: object) -> Settings:
-    """A settings file's JSON value, read as the programs read it, with all that they need; Mistakes if any."""
+def check_settings(raw: object) -> Settings:
+    """A settings file's JSON value, read as the programs read it, with all that they need; FileMistakesError if any."""
     found: list[Exception] = []
     left, read = raw, None
-    while read is None and len(found) < MOST:
+    while read is None and len(found) < MAX_MISTAKES:
         try:
             read = parse_settings(left)
         except SettingsError as error:
@@ -37,7 +37,7 @@
     if read is not None:
         found += [SettingsError(field, why) for field, why in _lacking(read) if field.partition(".")[0] not in named]
     if found or read is None:
-        raise Mistakes(count(len(found), "mistake"), found)
+        raise FileMistakesError(format_count(len(found), "mistake"), found)
     return read
 
 
@@ -47,7 +47,7 @@
     for served in read.serves:
         lacks += [
             (f"listen_addresses.{name}", f"is missing, and the machine serves {served}")
-            for name in WANTED.get(served, ())
+            for name in REQUIRED_ADDRESSES.get(served, ())
             if name not in read.listen
         ]
     if not read.seeds:
@@ -60,11 +60,11 @@
     return lacks
 
 
-def configuration(raw: object) -> None:
-    """A configuration's JSON value; Mistakes if any."""
+def check_configuration(raw: object) -> None:
+    """A configuration's JSON value; FileMistakesError if any."""
     found: list[Exception] = []
     left = raw
-    while len(found) < MOST:
+    while len(found) < MAX_MISTAKES:
         try:
             parse_configuration(left)
             break
@@ -75,7 +75,7 @@
                 break
             left = fixed
     if found:
-        raise Mistakes(count(len(found), "mistake"), found)
+        raise FileMistakesError(format_count(len(found), "mistake"), found)
 
 
 def _aside(place: int) -> dict:
@@ -115,15 +115,15 @@
     return f"{kind[:-1]} {describe_value(metadata.get('name'))}"
 
 
-def checked(raw: object) -> str:
-    """What kind of file it is, read without a mistake, in a few words; Mistakes otherwise."""
+def check_file(raw: object) -> str:
+    """What kind of file it is, read without a mistake, in a few words; FileMistakesError otherwise."""
     if isinstance(raw, dict) and ("objects" in raw or "config_version" in raw):
-        configuration(raw)
+        check_configuration(raw)
         read = parse_configuration(raw)
-        tenants = f", {count(len(read.tenants), 'tenant')}" if read.tenants else ""
+        tenants = f", {format_count(len(read.tenants), 'tenant')}" if read.tenants else ""
         return (
-            f"configuration {raw['config_version']}: {count(len(read.routes), 'route')}, "
-            f"{count(len(read.services), 'service')}{tenants}"
+            f"configuration {raw['config_version']}: {format_count(len(read.routes), 'route')}, "
+            f"{format_count(len(read.services), 'service')}{tenants}"
         )
-    read = settings(raw)
+    read = check_settings(raw)
     return f"settings of {read.node_name}: {read.role or 'no role'}, at {read.ip_address}"
--- a/knotwalk/cli/compare.py
+++ b/knotwalk/cli/compare.py
@@ -9,7 +9,7 @@
 from dataclasses import fields
 from typing import NamedTuple
 
-from knotwalk.cli.words import count, shares, span
+from knotwalk.cli.formatting import format_count, format_duration, format_traffic_split
 from knotwalk.configuration.index import canonical_host
 from knotwalk.configuration.objects import Configuration, Route, Tenant
 
@@ -75,7 +75,10 @@
 
 def _shown(route: Route) -> str:
     kind = route.route_type + (", public" if route.public else "")
-    return f"{route.hostname}{route.path_prefix} -> {shares(route.splits)} ({kind}, timeout {span(route.timeout)})"
+    return (
+        f"{route.hostname}{route.path_prefix} -> {format_traffic_split(route.splits)} "
+        f"({kind}, timeout {format_duration(route.timeout)})"
+    )
 
 
 def _route(old: Route, new: Route) -> list[Difference]:
@@ -91,9 +94,9 @@
     before, after = parts(old), parts(new)
     if before != after:
         what = "moved" if len(before) == len(after) == 1 else "split"
-        note(what, f"{shares(old.splits)} -> {shares(new.splits)}")
+        note(what, f"{format_traffic_split(old.splits)} -> {format_traffic_split(new.splits)}")
     times = [
-        f"{name} {span(a)} -> {span(b)}"
+        f"{name} {format_duration(a)} -> {format_duration(b)}"
         for name in ("timeout", "target_latency")
         if (a := getattr(old, name)) != (b := getattr(new, name))
     ]
@@ -115,7 +118,7 @@
     """What differs of a tenant; of its keys only how many, since they are secret."""
     if old is None or new is None:
         one = old or new
-        detail = ", ".join([count(len(one.api_keys), "key"), *(f"{n} {v}" for n, v in _terms(one).items())])
+        detail = ", ".join([format_count(len(one.api_keys), "key"), *(f"{n} {v}" for n, v in _terms(one).items())])
         return [Difference("tenant", name, "removed" if new is None else "added", detail)]
     found = []
     gone, come = set(old.api_keys) - set(new.api_keys), set(new.api_keys) - set(old.api_keys)
@@ -158,4 +161,4 @@
 
 
 def _value(name: str, value: object) -> str:
-    return span(value) if name in TIMES else str(value).lower()
+    return format_duration(value) if name in TIMES else str(value).lower()
--- a/knotwalk/cli/offer.py
+++ b/knotwalk/cli/configuration_client.py
@@ -12,13 +12,13 @@
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.http_client import HttpClient
 
-PATIENCE = 6.0  # for one answer: a core says after 4 s that it does not know
-TRIES = 8  # of one call without a clear answer: past an election, and a core that has gone
-PAUSE = 0.4
-HOPS = 2  # from a core to the leader, and once more if that one has just been replaced
+CALL_TIMEOUT_S = 6.0  # for one answer: a core says after 4 s that it does not know
+MAX_ATTEMPTS = 8  # of one call without a clear answer: past an election, and a core that has gone
+RETRY_DELAY_S = 0.4
+MAX_REDIRECTS = 2  # from a core to the leader, and once more if that one has just been replaced
 
 
-class NoAnswer(Exception):
+class NoClearAnswerError(Exception):
     """None of the tries got a clear answer; the text says what came last."""
 
 
@@ -29,21 +29,23 @@
     body: dict[str, Any]
 
 
-class Operator:
+class ConfigurationClient:
     """Calls to the control port of one core, or of whichever it sends on to."""
 
-    def __init__(self, address: str, caller: HttpClient, pause: float = PAUSE) -> None:
+    def __init__(self, address: str, caller: HttpClient, pause: float = RETRY_DELAY_S) -> None:
         self.address, self.caller, self.pause = address, caller, pause
 
     async def call(self, method: str, body: Any = None, base: int | None = None) -> Reply:
-        """One call, sent again unchanged until a core answers clearly; NoAnswer otherwise."""
+        """One call, sent again unchanged until a core answers clearly; NoClearAnswerError otherwise."""
         last = ""
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             url = f"http://{self.address}/configuration"
             heads = {} if base is None else {"If-Match": format_version(base)}
             try:
-                for _ in range(HOPS + 1):
-                    status, headers, data = await self.caller.send(method, url, body, PATIENCE, "configuration", heads)
+                for _ in range(MAX_REDIRECTS + 1):
+                    status, headers, data = await self.caller.send(
+                        method, url, body, CALL_TIMEOUT_S, "configuration", heads
+                    )
                     if status != 307 or urlsplit(headers.get("location", "")).path != "/configuration":
                         break
                     url = headers["location"]
@@ -54,9 +56,9 @@
             except (PeerError, ValueError) as error:
                 last = str(error)
             await asyncio.sleep(self.pause)
-        raise NoAnswer(last)
+        raise NoClearAnswerError(last)
 
     async def current(self) -> Configuration | None:
-        """What is in force, None before the first; NoAnswer."""
+        """What is in force, None before the first; NoClearAnswerError."""
         reply = await self.call("GET")
         return parse_configuration(reply.body) if reply.status == 200 else None
--- a/knotwalk/cli/past.py
+++ b/knotwalk/cli/data_folder.py
@@ -11,7 +11,7 @@
 from knotwalk.control_plane.replicated_state import ReplicatedState
 
 
-def export(data_dir: str, keys: bool = False) -> dict[str, Any]:
+def export_configuration(data_dir: str, keys: bool = False) -> dict[str, Any]:
     """The configuration, whole, and where it stands; StoreBroken, or ValueError for a later format.
 
     A disk does not tell of its last entries which were agreed on. `sure` is the version that certainly was: the one as
--- a/knotwalk/cli/show.py
+++ b/knotwalk/cli/rendering.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from knotwalk.cli.words import count, shares, span
+from knotwalk.cli.formatting import format_count, format_duration, format_traffic_split
 
 
-def status(told: dict[str, Any]) -> list[str]:
+def render_status(told: dict[str, Any]) -> list[str]:
     """The account of a core, a line a topic."""
     lines = [
         f"core {told['me']}: {told['role']} in term {told['term']}, "
@@ -25,43 +25,47 @@
     lines += [f"member {id} at {address}" for id, address in sorted(told["members"].items())]
     for service, leases in sorted(told["leases"].items()):
         lines += [
-            f"leases of {service}: {count(slices, 'slice')} by {conductor or 'nobody'}"
+            f"leases of {service}: {format_count(slices, 'slice')} by {conductor or 'nobody'}"
             for conductor, slices in leases.items()
         ]
         if changing := told["changing_hands"][service]:
-            lines.append(f"{service}: {count(changing, 'slice')} change hands")
+            lines.append(f"{service}: {format_count(changing, 'slice')} change hands")
     words = {True: "has the whole board", False: "is behind the board", None: "calls another core"}
     lines += [
-        f"edge {edge['edge']}: {words[edge.get('current')]}, heard of {span(edge['ago'])} ago" for edge in told["edges"]
+        f"edge {edge['edge']}: {words[edge.get('current')]}, heard of {format_duration(edge['ago'])} ago"
+        for edge in told["edges"]
     ]
     if not told["edges"]:
         lines.append("edges: none heard of")
     return lines
 
 
-def explained(told: dict[str, Any]) -> list[str]:
+def render_explanation(told: dict[str, Any]) -> list[str]:
     """Where a request belongs; said first if the core that tells may be behind the others."""
-    return ["this core is not fresh: the others may have moved on"] * (told.get("fresh") is False) + _explained(told)
+    return ["this core is not fresh: the others may have moved on"] * (told.get("fresh") is False) + _render_placement(
+        told
+    )
 
 
-def _explained(told: dict[str, Any]) -> list[str]:
+def _render_placement(told: dict[str, Any]) -> list[str]:
     version = told["config_version"]
     if version is None:
         return ["no configuration has been taken yet"]
     route = told["route"]
     if route is None:
         return [f"{version}: no route; an edge answers 404"]
-    parts = shares((one["service"], one["weight"]) for one in told["services"])
+    parts = format_traffic_split((one["service"], one["weight"]) for one in told["services"])
     lines = [
         f"{version}: route {route['name']} ({route['hostname']}{route['path_prefix']}) -> {parts}",
-        f"{_kind(route)}, timeout {span(route['timeout'])}, "
-        f"target_latency {span(route['target_latency'])}, at most {count(route['retry_count'], 'node')} a try",
+        f"{_kind(route)}, timeout {format_duration(route['timeout'])}, "
+        f"target_latency {format_duration(route['target_latency'])}, "
+        f"at most {format_count(route['retry_count'], 'node')} a try",
     ]
     for one in told["services"]:
         nodes = one["nodes"]
         lines.append(
             f"service {one['service']}: {'by key' if one['sharded'] else 'any node'}, "
-            f"{count(nodes['count'], 'node')}, {nodes['draining']} draining"
+            f"{format_count(nodes['count'], 'node')}, {nodes['draining']} draining"
         )
         if (line := one.get("line")) is not None:
             lines += _line(line)
--- a/tests/system/test_cli.py
+++ b/tests/system/test_cli.py
@@ -13,7 +13,7 @@
 
 import yaml
 
-from knotwalk.cli import __main__ as cli, check, offer, show
+from knotwalk.cli import __main__ as cli, check, configuration_client, rendering
 from knotwalk.cli.compare import differences
 from knotwalk.configuration.change_requests import ChangeHistory, decide_change, read_response
 from knotwalk.configuration.documents import parse_configuration, to_document
@@ -138,8 +138,8 @@
 
     def test_mistakes_are_a_group_of_the_readers_own_errors_and_end(self):
         with self.assertRaises(ExceptionGroup) as caught:
-            check.configuration({"config_version": "r1", "objects": [7] * 1000})
-        self.assertEqual(len(caught.exception.exceptions), check.MOST)
+            check.check_configuration({"config_version": "r1", "objects": [7] * 1000})
+        self.assertEqual(len(caught.exception.exceptions), check.MAX_MISTAKES)
 
 
 class Diff(FileCase):
@@ -295,8 +295,12 @@
     def offer(self, core, *given):
         with (
             mock.patch.object(cli, "HttpClient", lambda: core),
-            mock.patch.object(offer, "PAUSE", 0),
-            mock.patch.object(cli, "Operator", lambda at, caller: offer.Operator(at, caller, 0)),
+            mock.patch.object(configuration_client, "RETRY_DELAY_S", 0),
+            mock.patch.object(
+                cli,
+                "ConfigurationClient",
+                lambda address, client: configuration_client.ConfigurationClient(address, client, 0),
+            ),
         ):
             return run("import", *given)
 
@@ -438,20 +442,20 @@
             (told["route"]["name"], line["slice"], line["owner"], line["open"], line["fence"]),
             ("frames", 3, "i-1", True, 3),
         )
-        self.assertIn("owner i-1, at 10.0.0.9:80 in z", "\n".join(show.explained(told)))
+        self.assertIn("owner i-1, at 10.0.0.9:80 in z", "\n".join(rendering.render_explanation(told)))
         shut = status_report.explain(100.0, self.state, self.board, "tiles.example", "/frames/", 9 * SLICE_WIDTH)
-        self.assertIn("changes hands", "\n".join(show.explained(shut)))
+        self.assertIn("changes hands", "\n".join(rendering.render_explanation(shut)))
         nobody = status_report.explain(100.0, self.state, self.board, "tiles.example", "/frames/", 65535)
-        self.assertIn("owner nobody, not placed yet", "\n".join(show.explained(nobody)))
+        self.assertIn("owner nobody, not placed yet", "\n".join(rendering.render_explanation(nobody)))
         self.assertIsNone(status_report.explain(100.0, self.state, self.board, "tiles.example", "/", 3)["route"])
         self.assertEqual(
-            show.explained(status_report.explain(0.0, ReplicatedState(), self.board, "h", "/", None)),
+            rendering.render_explanation(status_report.explain(0.0, ReplicatedState(), self.board, "h", "/", None)),
             ["no configuration has been taken yet"],
         )
 
     def test_the_commands_end_as_the_answers_are(self):
         def answered(told, *given):
-            with mock.patch.object(cli, "ask", lambda *question: asked.append(question) or told):
+            with mock.patch.object(cli, "call_core", lambda *question: asked.append(question) or told):
                 return run(*given)
 
         asked = []
--- a/tests/system/test_cli_tenants.py
+++ b/tests/system/test_cli_tenants.py
@@ -4,7 +4,7 @@
 import json
 import unittest
 
-from knotwalk.cli import show
+from knotwalk.cli import rendering
 from knotwalk.configuration.documents import InvalidConfigurationError, parse_configuration
 from knotwalk.consensus.raft_types import Entry, Save
 from knotwalk.consensus.store import Store
@@ -93,7 +93,7 @@
         state.apply(1, configure(0, self.old))
         board = ViewPublisher("e")
         told = [status_report.explain(0.0, state, board, "tiles.example", path, None) for path in ("/open/", "/pay/")]
-        lines = ["\n".join(show.explained(one)) for one in told]
+        lines = ["\n".join(rendering.render_explanation(one)) for one in told]
         self.assertNotIn("needs a tenant's key", lines[0])
         self.assertIn("keyed, needs a tenant's key, timeout 60s", lines[1])
         for secret in SECRETS:
--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -16,7 +16,7 @@
 from standins.nodes import RawClient, front, routes, view
 
 from knotwalk.admission import outcome
-from knotwalk.cli.offer import NoAnswer, Operator
+from knotwalk.cli.configuration_client import ConfigurationClient, NoClearAnswerError
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge import caller as edge_caller, forwarder, node_connection
 from knotwalk.runtime import http_client as runtime_call
@@ -128,11 +128,11 @@
     repeatable = True
 
     async def call(self, number, patience=LONG):
-        operator = Operator("{}:{}".format(*self.peer.address), self.caller, 0.0)
-        with mock.patch("knotwalk.cli.offer.PATIENCE", patience):
+        operator = ConfigurationClient("{}:{}".format(*self.peer.address), self.caller, 0.0)
+        with mock.patch("knotwalk.cli.configuration_client.CALL_TIMEOUT_S", patience):
             try:
                 return (await operator.call("PUT", {"n": number}, 0)).body["n"]
-            except NoAnswer:
+            except NoClearAnswerError:
                 return FAILED
 
     async def open(self, peer):
