--- a/knotwalk/cli/__init__.py
+++ b/knotwalk/cli/__init__.py
@@ -1,6 +1,7 @@
 """The operators' command line.
 
-Owns the commands and what they print: files checked, configurations told apart in meaning, what a copied disk holds, a
-core's account of itself, a configuration offered to a running system. Must never hold state of its own, change a
-running system but through the operators' call and when told to, or write into a data folder.
+Owns the commands and what they print: checking files, comparing configurations, exporting the configuration from a
+copied data folder, showing a core's status, and importing a configuration into a running system. It must not keep state
+of its own, write into a data folder, or change a running system other than by the operators' call, and only with
+--apply.
 """
--- a/knotwalk/cli/check.py
+++ b/knotwalk/cli/check.py
@@ -1,7 +1,7 @@
-"""All mistakes of a settings file or a configuration at once, each with its place.
+"""Finds all mistakes of a settings file or a configuration, each with its place.
 
-The readers end at the first mistake, as programs want it. Here what is wrong is put aside, in a form that brings on no
-mistake elsewhere, and the rest is read again.
+The parsers stop at the first mistake, which is what programs need. Here the faulty part is replaced by a valid one that
+causes no further mistake, and the file is parsed again.
 """
 
 from __future__ import annotations
@@ -11,119 +11,135 @@
 from knotwalk.runtime.errors import SettingsError
 from knotwalk.runtime.settings import Settings, parse_settings
 
-MAX_MISTAKES = 100  # mistakes told; a file of another kind has one a line
+MAX_MISTAKES = 100  # a file of an unrelated kind can have a mistake in every line
 
+# Listen addresses that a machine needs for what it serves.
 REQUIRED_ADDRESSES = {"edge": ("data_plane", "readiness"), "control_plane": ("control",)}
 
 
 class FileMistakesError(ExceptionGroup):
-    """What is wrong with a file: `exceptions` are SettingsError or InvalidConfigurationError, one a mistake."""
+    """The mistakes of a file: `exceptions` has a SettingsError or InvalidConfigurationError for each."""
 
 
-def check_settings(raw: object) -> Settings:
-    """A settings file's JSON value, read as the programs read it, with all that they need; FileMistakesError if any."""
-    found: list[Exception] = []
-    left, read = raw, None
-    while read is None and len(found) < MAX_MISTAKES:
+def check_settings(value: object) -> Settings:
+    """Parse a settings file's JSON value and check that its machine has all settings that it needs.
+
+    Raises FileMistakesError if there is any mistake.
+    """
+    mistakes: list[Exception] = []
+    remaining, settings = value, None
+    while settings is None and len(mistakes) < MAX_MISTAKES:
         try:
-            read = parse_settings(left)
+            settings = parse_settings(remaining)
         except SettingsError as error:
-            found.append(error)
+            mistakes.append(error)
             field = error.peer.partition(".")[0].partition("[")[0]
-            if not isinstance(left, dict) or field not in left and field != "node_name":
+            if not isinstance(remaining, dict) or field not in remaining and field != "node_name":
                 break
-            left = {**left, "node_name": "?"} if field == "node_name" else {k: v for k, v in left.items() if k != field}
-    named = {error.peer.partition(".")[0].partition("[")[0] for error in found if isinstance(error, SettingsError)}
-    if read is not None:
-        found += [SettingsError(field, why) for field, why in _lacking(read) if field.partition(".")[0] not in named]
-    if found or read is None:
-        raise FileMistakesError(format_count(len(found), "mistake"), found)
-    return read
-
-
-def _lacking(read: Settings) -> list[tuple[str, str]]:
-    """What a program of this kind can't do without."""
-    lacks = []
-    for served in read.serves:
-        lacks += [
-            (f"listen_addresses.{name}", f"is missing, and the machine serves {served}")
-            for name in REQUIRED_ADDRESSES.get(served, ())
-            if name not in read.listen
+            remaining = (
+                {**remaining, "node_name": "?"}
+                if field == "node_name"
+                else {name: item for name, item in remaining.items() if name != field}
+            )
+    faulty_fields = {
+        error.peer.partition(".")[0].partition("[")[0] for error in mistakes if isinstance(error, SettingsError)
+    }
+    if settings is not None:
+        mistakes += [
+            SettingsError(field, reason)
+            for field, reason in _find_missing_settings(settings)
+            if field.partition(".")[0] not in faulty_fields
+        ]
+    if mistakes or settings is None:
+        raise FileMistakesError(format_count(len(mistakes), "mistake"), mistakes)
+    return settings
+
+
+def _find_missing_settings(settings: Settings) -> list[tuple[str, str]]:
+    """Settings that are optional in the file, but needed by what the machine serves: fields with the reason."""
+    missing = []
+    for role in settings.serves:
+        missing += [
+            (f"listen_addresses.{name}", f"is missing, and the machine serves {role}")
+            for name in REQUIRED_ADDRESSES.get(role, ())
+            if name not in settings.listen
         ]
-    if not read.seeds:
-        lacks.append(("seed_nodes", "is empty: nobody else would be found"))
-    if "control_plane" in read.serves:
-        if read.data_dir is None:
-            lacks.append(("data_dir", "is missing, and what is agreed on must last"))
-        if read.platform.address is None:
-            lacks.append(("cloud_api.address", "is missing: no node would ever be known"))
-    return lacks
-
-
-def check_configuration(raw: object) -> None:
-    """A configuration's JSON value; FileMistakesError if any."""
-    found: list[Exception] = []
-    left = raw
-    while len(found) < MAX_MISTAKES:
+    if not settings.seeds:
+        missing.append(("seed_nodes", "is empty: the machine would find no other machine"))
+    if "control_plane" in settings.serves:
+        if settings.data_dir is None:
+            missing.append(("data_dir", "is missing: a core stores the replicated log there"))
+        if settings.platform.address is None:
+            missing.append(("cloud_api.address", "is missing: a core gets the list of nodes from there"))
+    return missing
+
+
+def check_configuration(value: object) -> None:
+    """Check a configuration's JSON value; raises FileMistakesError if there is any mistake."""
+    mistakes: list[Exception] = []
+    remaining = value
+    while len(mistakes) < MAX_MISTAKES:
         try:
-            parse_configuration(left)
+            parse_configuration(remaining)
             break
         except InvalidConfigurationError as error:
-            found.append(error)
-            fixed = _put_aside(left, error.location)
-            if fixed is None:
+            mistakes.append(error)
+            repaired = _replace_faulty_part(remaining, error.location)
+            if repaired is None:
                 break
-            left = fixed
-    if found:
-        raise FileMistakesError(format_count(len(found), "mistake"), found)
+            remaining = repaired
+    if mistakes:
+        raise FileMistakesError(format_count(len(mistakes), "mistake"), mistakes)
 
 
-def _aside(place: int) -> dict:
-    """Stands where a wrong item was: of a kind that has no meaning, and the only one of its name."""
-    return {"object_kind": "-", "metadata": {"name": str(place)}}
+def _placeholder(position: int) -> dict:
+    """An item that replaces a faulty one: of an unknown kind, which parsers ignore, and with a unique name."""
+    return {"object_kind": "-", "metadata": {"name": str(position)}}
 
 
-def _put_aside(raw: object, where: str) -> dict | None:
-    """The configuration with what is wrong at `where` out of the way; None if nothing else can be read."""
-    if not isinstance(raw, dict):
+def _replace_faulty_part(value: object, location: str) -> dict | None:
+    """The configuration with the part at `location` replaced; None if the rest can't be parsed without it."""
+    if not isinstance(value, dict):
         return None
-    if where == "config_version":
-        return {**raw, "config_version": "r1"}
-    objects = raw.get("objects")
+    if location == "config_version":
+        return {**value, "config_version": "r1"}
+    objects = value.get("objects")
     if not isinstance(objects, list):
         return None
 
-    def fits(place: int, item: dict) -> bool:
-        if where == f"objects[{place}]":
+    def is_at_location(position: int, item: dict) -> bool:
+        if location == f"objects[{position}]":
             return True
-        return isinstance(item, dict) and (where == "limits" == item.get("object_kind") or where == _named(item))
-
-    for place, item in enumerate(objects):
-        if fits(place, item):
-            fresh = _aside(place)
-            if isinstance(item, dict) and where == _named(item) and item["object_kind"] == "services":
-                fresh = {**item, "specification": {}}  # routes name it still
-            return {**raw, "objects": [*objects[:place], fresh, *objects[place + 1 :]]}
+        return isinstance(item, dict) and (
+            location == "limits" == item.get("object_kind") or location == _location_of(item)
+        )
+
+    for position, item in enumerate(objects):
+        if is_at_location(position, item):
+            replacement = _placeholder(position)
+            if isinstance(item, dict) and location == _location_of(item) and item["object_kind"] == "services":
+                replacement = {**item, "specification": {}}  # routes still refer to the service by name
+            return {**value, "objects": [*objects[:position], replacement, *objects[position + 1 :]]}
     return None
 
 
-def _named(item: dict) -> str:
-    """An item as the reader names it: `route "x"`."""
+def _location_of(item: dict) -> str:
+    """An item's location as the parser gives it: `route "x"`."""
     kind, metadata = item.get("object_kind"), item.get("metadata")
     if kind not in NAMED_KINDS or not isinstance(metadata, dict):
         return ""
     return f"{kind[:-1]} {describe_value(metadata.get('name'))}"
 
 
-def check_file(raw: object) -> str:
-    """What kind of file it is, read without a mistake, in a few words; FileMistakesError otherwise."""
-    if isinstance(raw, dict) and ("objects" in raw or "config_version" in raw):
-        check_configuration(raw)
-        read = parse_configuration(raw)
-        tenants = f", {format_count(len(read.tenants), 'tenant')}" if read.tenants else ""
+def check_file(value: object) -> str:
+    """Check the JSON value of either kind of file: a summary in a few words; raises FileMistakesError on mistakes."""
+    if isinstance(value, dict) and ("objects" in value or "config_version" in value):
+        check_configuration(value)
+        configuration = parse_configuration(value)
+        tenants = f", {format_count(len(configuration.tenants), 'tenant')}" if configuration.tenants else ""
         return (
-            f"configuration {raw['config_version']}: {format_count(len(read.routes), 'route')}, "
-            f"{format_count(len(read.services), 'service')}{tenants}"
+            f"configuration {value['config_version']}: {format_count(len(configuration.routes), 'route')}, "
+            f"{format_count(len(configuration.services), 'service')}{tenants}"
         )
-    read = check_settings(raw)
-    return f"settings of {read.node_name}: {read.role or 'no role'}, at {read.ip_address}"
+    settings = check_settings(value)
+    return f"settings of {settings.node_name}: {settings.role or 'no role'}, at {settings.ip_address}"
--- a/knotwalk/cli/compare.py
+++ b/knotwalk/cli/compare.py
@@ -1,7 +1,7 @@
-"""Two configurations told apart in meaning: what clients would notice. Pure.
+"""Lists how two configurations differ in meaning, which is in what clients would notice. Pure.
 
-A route is known by its name, and where the name is new by its host and prefix: a mere change of name is told as one.
-The order of items and the form of times and weights mean nothing.
+Routes are matched by name. A route whose name is in one configuration only is matched by host and prefix, so that a
+mere change of name is reported as such. The order of items and the notation of durations and weights have no meaning.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from knotwalk.configuration.index import canonical_host
 from knotwalk.configuration.objects import Configuration, Route, Tenant
 
-TIMES = {"timeout", "target_latency", "header_timeout", "idle_timeout", "prewarm"}
-WRITTEN = {"deduplicates": "idempotent"}  # fields whose name in configurations is another one
+DURATION_FIELDS = {"timeout", "target_latency", "header_timeout", "idle_timeout", "prewarm"}
+FIELD_NAMES = {"deduplicates": "idempotent"}  # attributes that configurations spell differently
 KINDS = ("route", "service", "tenant", "limits")
 
 
 class Difference(NamedTuple):
-    """One thing that differs: `what` is added, removed, renamed, moved, split, timeouts or changed."""
+    """One difference: `what` is added, removed, renamed, moved, split, timeouts or changed."""
 
     kind: str  # one of KINDS
     name: str
@@ -27,53 +27,55 @@
     detail: str
 
     def line(self) -> str:
-        """As it is shown."""
+        """The difference as `diff` and `import` print it."""
         sign = {"added": "+", "removed": "-"}.get(self.what, "~")
         return f"{sign} {self.kind} {self.name}".rstrip() + f" {self.what}: {self.detail}"
 
 
-def place(route: Route) -> tuple[str, str]:
-    """Host and path prefix, by which two configurations' routes are the same."""
+def route_location(route: Route) -> tuple[str, str]:
+    """Host and path prefix, by which routes of different names are matched."""
     return canonical_host(route.hostname), route.path_prefix
 
 
-def parts(route: Route) -> dict[str, float]:
-    """Services by their part of the traffic, the same for 9 to 1 and 90 to 10; a service named twice counts once."""
+def service_shares(route: Route) -> dict[str, float]:
+    """Each service's fraction of the traffic, so that 9 to 1 equals 90 to 10; a service named twice has the sum."""
     total = sum(weight for _, weight in route.splits)
-    found: dict[str, float] = {}
+    shares: dict[str, float] = {}
     for service, weight in route.splits:
-        found[service] = found.get(service, 0.0) + weight / total
-    return {service: round(part, 9) for service, part in found.items()}
+        shares[service] = shares.get(service, 0.0) + weight / total
+    return {service: round(share, 9) for service, share in shares.items()}
 
 
 def differences(old: Configuration, new: Configuration) -> list[Difference]:
-    """What differs, routes first; empty if both mean the same."""
+    """All differences, routes first; empty if both have the same meaning."""
     found: list[Difference] = []
-    pairs = {name: name for name in old.routes if name in new.routes}
-    by_place = {place(route): name for name, route in new.routes.items() if name not in old.routes}
-    pairs |= {
-        name: by_place[place(route)]
+    matches = {name: name for name in old.routes if name in new.routes}
+    by_location = {route_location(route): name for name, route in new.routes.items() if name not in old.routes}
+    matches |= {
+        name: by_location[route_location(route)]
         for name, route in old.routes.items()
-        if name not in pairs and place(route) in by_place
+        if name not in matches and route_location(route) in by_location
     }
     for name, route in old.routes.items():
-        if name in pairs:
-            found += _route(route, new.routes[pairs[name]])
+        if name in matches:
+            found += _compare_routes(route, new.routes[matches[name]])
         else:
-            found.append(Difference("route", name, "removed", _shown(route)))
-    paired = set(pairs.values())
+            found.append(Difference("route", name, "removed", _describe_route(route)))
+    matched = set(matches.values())
     found += [
-        Difference("route", name, "added", _shown(route)) for name, route in new.routes.items() if name not in paired
+        Difference("route", name, "added", _describe_route(route))
+        for name, route in new.routes.items()
+        if name not in matched
     ]
     for name in old.services.keys() | new.services.keys():
-        found += _fields("service", name, old.services.get(name), new.services.get(name))
+        found += _compare_fields("service", name, old.services.get(name), new.services.get(name))
     for name in old.tenants.keys() | new.tenants.keys():
-        found += _tenant(name, old.tenants.get(name), new.tenants.get(name))
-    found += _fields("limits", "", old.limits, new.limits)
-    return sorted(found, key=lambda one: (KINDS.index(one.kind), one.name, one.what))
+        found += _compare_tenants(name, old.tenants.get(name), new.tenants.get(name))
+    found += _compare_fields("limits", "", old.limits, new.limits)
+    return sorted(found, key=lambda difference: (KINDS.index(difference.kind), difference.name, difference.what))
 
 
-def _shown(route: Route) -> str:
+def _describe_route(route: Route) -> str:
     kind = route.route_type + (", public" if route.public else "")
     return (
         f"{route.hostname}{route.path_prefix} -> {format_traffic_split(route.splits)} "
@@ -81,50 +83,57 @@
     )
 
 
-def _route(old: Route, new: Route) -> list[Difference]:
+def _compare_routes(old: Route, new: Route) -> list[Difference]:
     found: list[Difference] = []
 
-    def note(what: str, detail: str) -> None:
+    def add(what: str, detail: str) -> None:
         found.append(Difference("route", old.name, what, detail))
 
     if old.name != new.name:
-        note("renamed", new.name)
-    if place(old) != place(new):
-        note("changed", f"host and prefix {old.hostname}{old.path_prefix} -> {new.hostname}{new.path_prefix}")
-    before, after = parts(old), parts(new)
+        add("renamed", new.name)
+    if route_location(old) != route_location(new):
+        add("changed", f"host and prefix {old.hostname}{old.path_prefix} -> {new.hostname}{new.path_prefix}")
+    before, after = service_shares(old), service_shares(new)
     if before != after:
         what = "moved" if len(before) == len(after) == 1 else "split"
-        note(what, f"{format_traffic_split(old.splits)} -> {format_traffic_split(new.splits)}")
-    times = [
+        add(what, f"{format_traffic_split(old.splits)} -> {format_traffic_split(new.splits)}")
+    changed_durations = [
         f"{name} {format_duration(a)} -> {format_duration(b)}"
         for name in ("timeout", "target_latency")
         if (a := getattr(old, name)) != (b := getattr(new, name))
     ]
-    if times:
-        note("timeouts", ", ".join(times))
+    if changed_durations:
+        add("timeouts", ", ".join(changed_durations))
     if old.idempotent != new.idempotent:
-        note("changed", "may be repeated" if new.idempotent else "may not be repeated any more")
+        add("changed", "may be repeated" if new.idempotent else "may not be repeated any more")
     if old.keyed != new.keyed:
-        note("changed", "runs once for an Operation-Key" if new.keyed else "no Operation-Key is heeded any more")
+        add("changed", "runs once for an Operation-Key" if new.keyed else "no Operation-Key is heeded any more")
     if old.public != new.public:
-        note("changed", "needs no tenant's key" if new.public else "needs a tenant's key")
+        add("changed", "needs no tenant's key" if new.public else "needs a tenant's key")
     for name in ("priority", "retry_count"):
         if (a := getattr(old, name)) != (b := getattr(new, name)):
-            note("changed", f"{name} {a} -> {b}")
+            add("changed", f"{name} {a} -> {b}")
     return found
 
 
-def _tenant(name: str, old: Tenant | None, new: Tenant | None) -> list[Difference]:
-    """What differs of a tenant; of its keys only how many, since they are secret."""
+def _compare_tenants(name: str, old: Tenant | None, new: Tenant | None) -> list[Difference]:
+    """The differences of a tenant; keys are secret, so only their number is given."""
     if old is None or new is None:
-        one = old or new
-        detail = ", ".join([format_count(len(one.api_keys), "key"), *(f"{n} {v}" for n, v in _terms(one).items())])
+        item = old or new
+        detail = ", ".join(
+            [
+                format_count(len(item.api_keys), "key"),
+                *(f"{term} {value}" for term, value in _tenant_terms(item).items()),
+            ]
+        )
         return [Difference("tenant", name, "removed" if new is None else "added", detail)]
     found = []
-    gone, come = set(old.api_keys) - set(new.api_keys), set(new.api_keys) - set(old.api_keys)
-    if gone or come:
-        found.append(Difference("tenant", name, "changed", f"keys: {len(come)} added, {len(gone)} removed"))
-    before, after = _terms(old), _terms(new)
+    removed_keys, added_keys = set(old.api_keys) - set(new.api_keys), set(new.api_keys) - set(old.api_keys)
+    if removed_keys or added_keys:
+        found.append(
+            Difference("tenant", name, "changed", f"keys: {len(added_keys)} added, {len(removed_keys)} removed")
+        )
+    before, after = _tenant_terms(old), _tenant_terms(new)
     return found + [
         Difference("tenant", name, "changed", f"{term} {before[term]} -> {after[term]}")
         for term in before
@@ -132,8 +141,8 @@
     ]
 
 
-def _terms(tenant: Tenant) -> dict[str, str]:
-    """What is told of a tenant beside its keys."""
+def _tenant_terms(tenant: Tenant) -> dict[str, str]:
+    """What is printed of a tenant beside its keys."""
     return {
         "priority": "of the route" if tenant.priority is None else str(tenant.priority),
         "rate_per_s": f"{tenant.rate_per_s:g}" if tenant.rate_per_s else "no limit",
@@ -141,24 +150,31 @@
     }
 
 
-def _fields(kind: str, name: str, old: object, new: object) -> list[Difference]:
-    """Field by field; of something that is on one side only, that."""
+def _compare_fields(kind: str, name: str, old: object, new: object) -> list[Difference]:
+    """The differences field by field, or one that says that the item is on one side only."""
     if old is None or new is None:
-        one = old or new
+        item = old or new
         detail = ", ".join(
-            f"{_written(f.name)} {_value(f.name, getattr(one, f.name))}" for f in fields(one) if f.name != "name"
+            f"{_field_name(field.name)} {_format_value(field.name, getattr(item, field.name))}"
+            for field in fields(item)
+            if field.name != "name"
         )
         return [Difference(kind, name, "removed" if new is None else "added", detail)]
     return [
-        Difference(kind, name, "changed", f"{_written(f.name)} {_value(f.name, a)} -> {_value(f.name, b)}")
-        for f in fields(old)
-        if (a := getattr(old, f.name)) != (b := getattr(new, f.name))
+        Difference(
+            kind,
+            name,
+            "changed",
+            f"{_field_name(field.name)} {_format_value(field.name, a)} -> {_format_value(field.name, b)}",
+        )
+        for field in fields(old)
+        if (a := getattr(old, field.name)) != (b := getattr(new, field.name))
     ]
 
 
-def _written(name: str) -> str:
-    return WRITTEN.get(name, name)
+def _field_name(name: str) -> str:
+    return FIELD_NAMES.get(name, name)
 
 
-def _value(name: str, value: object) -> str:
-    return format_duration(value) if name in TIMES else str(value).lower()
+def _format_value(name: str, value: object) -> str:
+    return format_duration(value) if name in DURATION_FIELDS else str(value).lower()
--- a/knotwalk/cli/formatting.py
+++ b/knotwalk/cli/formatting.py
@@ -1,4 +1,4 @@
-"""Figures and names as operators read them. Pure."""
+"""Formats counts, durations and traffic splits for operators. Pure."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def format_count(number: int, noun: str) -> str:
-    """A number with its noun.
+    """A number with its noun in the singular or plural.
 
     >>> format_count(1, "route"), format_count(2, "mistake")
     ('1 route', '2 mistakes')
@@ -15,7 +15,7 @@
 
 
 def format_duration(seconds: float) -> str:
-    """A time as configurations write it.
+    """A duration in the form that configurations use.
 
     >>> format_duration(1.5), format_duration(20.0), format_duration(0.4)
     ('1.5s', '20s', '400ms')
@@ -24,7 +24,7 @@
 
 
 def format_traffic_split(splits: Iterable[tuple[str, float]]) -> str:
-    """Services with their parts of the traffic.
+    """Services with their percentage of the traffic; a single service is given without one.
 
     >>> format_traffic_split([("a", 90.0), ("b", 10.0)]), format_traffic_split([("a", 3.0)])
     ('a 90%, b 10%', 'a')
