--- a/tests/simulation/claimants.py
+++ b/tests/simulation/claimants.py
@@ -103,4 +103,4 @@
             found = self.ask(place, claim, CALM_PATIENCE)
             self.world.loop.run(self.world.loop.now + CALM_PATIENCE + 0.1)
             if not found or found[0].outcome is Outcome.UNAVAILABLE:
-                self.world.judge.says(f"{self.world.loop.now:.3f} no claim is answered at {place.host} in the end")
+                self.world.judge.report(f"{self.world.loop.now:.3f} no claim is answered at {place.host} in the end")
--- a/tests/simulation/claims_judge.py
+++ b/tests/simulation/claims_judge.py
@@ -47,7 +47,7 @@
         found = self.grants.setdefault(claim.operation, [])
         for one in found:
             if one.holder != holder and now - one.at < self.window:
-                self.judge.says(
+                self.judge.report(
                     f"{now:.3f} {claim.operation[:8]} is granted to {holder}, and to {one.holder} at {one.at:.3f}"
                 )
         self.ended += any(one.holder != holder for one in found)
@@ -55,7 +55,7 @@
 
     def _held(self, claim: Claim, result: ClaimResult) -> None:
         if result.holder is None or result.holder.attempt == claim.holder.attempt:
-            self.judge.says(
+            self.judge.report(
                 f"{self.loop.now:.3f} {claim.operation[:8]} is held by {result.holder}, as its holder hears"
             )
 
--- a/tests/simulation/claims_walk.py
+++ b/tests/simulation/claims_walk.py
@@ -16,27 +16,27 @@
 from tests.simulation.claimants import Claimants
 from tests.simulation.claims_mistakes import MISTAKES
 from tests.simulation.faults import Fault
-from tests.simulation.judges import Letters
+from tests.simulation.judges import ConsensusJudge
 from tests.simulation.mistakes import Mistake
-from tests.simulation.walk import CALM, SPAN, Outcome, _broken, _pass, shrink
+from tests.simulation.walk import CALM, SPAN, Outcome, _pass, _violations, shrink
 from tests.simulation.world import World
 
 
-class GroupLetters:
+class GroupConsensusJudge:
     """What core machines promise each other in each group, beside the configuration's."""
 
     def __init__(self, world: World, parts: int):
-        self.others = world.wire.heard
-        self.groups = [Letters(world.judge, world.loop) for _ in range(parts)]
+        self.others = world.wire.on_message
+        self.groups = [ConsensusJudge(world.judge, world.loop) for _ in range(parts)]
 
-    def heard(self, sender: str, to: str, path: str, body: bytes) -> None:
+    def on_message(self, sender: str, to: str, path: str, body: bytes) -> None:
         """A message is on its way."""
         self.others(sender, to, path, body)
         if path.endswith("/claim-groups"):
             messages = [unpack(one) for one in json.loads(body)]
-            for part, letters in enumerate(self.groups):
+            for part, judge in enumerate(self.groups):
                 found = [one for one in messages if one["group"] == part]
-                letters.heard(sender, to, "/consensus", json.dumps(found).encode())
+                judge.on_message(sender, to, "/consensus", json.dumps(found).encode())
 
 
 def walk(seed: int, plan: list[Fault] | None = None, span: float = SPAN, early: bool = False) -> Outcome:
@@ -46,7 +46,7 @@
     plan = faults.plan(seed, span) if plan is None else plan
     parts, compact, trail = chance.choice((1, 1, 3)), chance.choice((8, 40, 4000)), chance.choice((2, 512))
     claimants = Claimants(world)
-    world.wire.heard = GroupLetters(world, parts).heard
+    world.wire.on_message = GroupConsensusJudge(world, parts).on_message
     with programs.in_place(world.wire, seed, world.say, compact, trail, parts):
         try:
             world.start()
@@ -56,12 +56,12 @@
             if _pass(world, span, early):
                 faults.heal(world)
                 _pass(world, span + CALM, early)
-            if not (early and _broken(world)):
+            if not (early and _violations(world)):
                 claimants.last()
         except AssertionError as error:
-            world.judge.says(f"{world.loop.now:.3f} {type(error).__name__} {error}")
+            world.judge.report(f"{world.loop.now:.3f} {type(error).__name__} {error}")
     told = claimants.claims
-    return Outcome(seed, _broken(world), plan, world.loop.steps, told.granted, told.ended, list(world.said))
+    return Outcome(seed, _violations(world), plan, world.loop.steps, told.granted, told.ended, list(world.said))
 
 
 def find(mistake: Mistake) -> Outcome | None:
@@ -70,7 +70,7 @@
         for seed in mistake.seeds():
             found = walk(seed, early=True)
             gc.collect()
-            if found.broken:
+            if found.violations:
                 return found
     return None
 
@@ -85,15 +85,15 @@
     given = parser.parse_args()
     if given.trace is not None:
         found = walk(given.trace)
-        for line in [*found.said, *found.broken]:
+        for line in [*found.said, *found.violations]:
             print(line)
-        if found.broken:
-            print(*shrink(found.faults, lambda fewer: bool(walk(given.trace, fewer, early=True).broken)), sep="\n")
+        if found.violations:
+            print(*shrink(found.faults, lambda fewer: bool(walk(given.trace, fewer, early=True).violations)), sep="\n")
         return
     if given.mistakes:
         for name, mistake in MISTAKES.items():
             found = find(mistake)
-            print(name, found and (found.seed, found.broken[0]), flush=True)
+            print(name, found and (found.seed, found.violations[0]), flush=True)
         return
     begun, done, broken, granted, ended = time.monotonic(), 0, 0, 0, 0
     for seed in range(given.first, given.first + given.walks):
@@ -102,9 +102,9 @@
         found = walk(seed)
         gc.collect()
         done, granted, ended = done + 1, granted + found.changes, ended + found.calls
-        if found.broken:
+        if found.violations:
             broken += 1
-            print(seed, *found.broken[:5], sep="\n   ", flush=True)
+            print(seed, *found.violations[:5], sep="\n   ", flush=True)
     took = round(time.monotonic() - begun, 1)
     print(json.dumps({"walks": done, "walks_broken": broken, "granted": granted, "ended": ended, "seconds": took}))
 
--- a/tests/simulation/connections.py
+++ b/tests/simulation/connections.py
@@ -48,12 +48,12 @@
     loop: VirtualLoop
     ran: dict[int, int] = field(default_factory=dict)  # how often each has run
     careful: set[int] = field(default_factory=set)  # those that must not run twice
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     left: dict[int, float] = field(default_factory=dict)  # when the client of each that left did so
 
-    def says(self, number: int, why: str) -> None:
+    def report(self, number: int, why: str) -> None:
         """Something is wrong with a call."""
-        self.broken.append(f"{self.loop.now:.3f} call {number} {why}")
+        self.violations.append(f"{self.loop.now:.3f} call {number} {why}")
 
 
 class Transport(asyncio.Transport):
@@ -137,7 +137,7 @@
     def stale(self, data: bytes) -> None:
         """A call is sent on a connection on which something lies unread."""
         if self.number(data) in self.calls.careful:
-            self.calls.says(self.number(data), "is sent on a connection that has ended or has spoken")
+            self.calls.report(self.number(data), "is sent on a connection that has ended or has spoken")
 
     def request(self, transport: Transport, data: bytes) -> None:
         """A call arrives."""
@@ -149,10 +149,10 @@
             self._send(transport, REFUSED % number, wait)
             return
         if self.calls.loop.now - self.calls.left.get(number, math.inf) > WAY + UNREAD:
-            self.calls.says(number, "begins after its client has left")
+            self.calls.report(number, "begins after its client has left")
         self.calls.ran[number] = self.calls.ran.get(number, 0) + 1
         if self.calls.ran[number] > 1 and number in self.calls.careful:
-            self.calls.says(number, "must not run twice, and does")
+            self.calls.report(number, "must not run twice, and does")
         self._misbehave(transport, number, data, chance, wait)
 
     def _misbehave(self, transport: Transport, number: int, data: bytes, chance: float, wait: float) -> None:
@@ -241,7 +241,7 @@
         finally:
             await asyncio.sleep(chance.choice((0.0, 0.002, 0.03)))
         if told != {"n": number}:
-            calls.says(number, f"is answered by {told}")
+            calls.report(number, f"is answered by {told}")
 
 
 def _leave(calls: Calls, number: int, exchange: Exchange) -> None:
@@ -271,9 +271,9 @@
         for timer in timers:
             timer.cancel()
         if exchange.answer is not None and exchange.answer.status == 200 and exchange.answer.body != b"%08d" % number:
-            calls.says(number, f"is answered by {exchange.answer.body!r}")
+            calls.report(number, f"is answered by {exchange.answer.body!r}")
         if exchange.status == 503 and calls.ran.get(number):
-            calls.says(number, "is told to come back, and has run")
+            calls.report(number, "is told to come back, and has run")
         await asyncio.sleep(chance.choice((0.0, 0.002, 0.03)))
 
 
@@ -333,5 +333,5 @@
         works += [edge.spawn(_to_nodes(to_nodes, forwarder, chance, 10_000 * n)) for n in range(CLIENTS)]
         loop.run(600.0)
     if not all(work.done() for work in works):
-        to_nodes.broken.append("calls never ended")
-    return to_core.broken + to_nodes.broken + loop.failed()
+        to_nodes.violations.append("calls never ended")
+    return to_core.violations + to_nodes.violations + loop.failed()
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -253,8 +253,8 @@
 
 def _out(world: World, process: CoreProcess) -> None:
     """One that was told to be out, and whose disk is gone, is out."""
-    if world.letters.is_member(process.machine.me):
-        world.judge.says(f"{world.loop.now:.3f} {process.machine.me} has left, and is a member still")
+    if world.consensus_judge.is_member(process.machine.me):
+        world.judge.report(f"{world.loop.now:.3f} {process.machine.me} has left, and is a member still")
 
 
 def _term(world: World, fault: Fault, place: Place) -> None:
--- a/tests/simulation/judges.py
+++ b/tests/simulation/judges.py
@@ -1,4 +1,4 @@
-"""Who looks on a walk: at what edges show, and at what core machines promise each other on the wire."""
+"""Judges that check a walk's invariants: on what edges show, and on the consensus messages between core machines."""
 
 from __future__ import annotations
 
@@ -10,144 +10,153 @@
 from tests.simulation.loop import VirtualLoop
 from tests.simulation.register import Register
 
-# Seconds that a fresh core's answer may be behind what was acknowledged: a core holds itself fresh for
-# MAX_LEADER_SILENCE_S from when it asked, and the leader that answered it was proven PROOF before; clocks drift, and
-# the answer itself takes its way.
-BEHIND = 1.2 + 0.35 + 0.1
+# Seconds by which a fresh core's answer may be behind what was acknowledged: a core counts as fresh for
+# MAX_LEADER_SILENCE_S from when it asked the leader (1.2), and the leader that answered had proven its leadership up to
+# 0.35 before. The rest (0.1) is for clock drift and the transit of the answer.
+MAX_STALENESS_S = 1.2 + 0.35 + 0.1
 
 
 @dataclass
 class Judge:
-    """What was found broken, first of all first."""
+    """Collects the violations of a walk, in the order in which they were found."""
 
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
-    def says(self, why: str) -> None:
-        self.broken.append(why)
+    def report(self, reason: str) -> None:
+        self.violations.append(reason)
 
 
-def mark_of(shown: dict | None) -> str:
-    """The mark of a configuration as it is shown: the host of its one route."""
-    for item in (shown or {}).get("objects", ()):
+def mark_of(document: dict | None) -> str:
+    """The mark of a configuration document: the host of its only route."""
+    for item in (document or {}).get("objects", ()):
         if item["object_kind"] == "routes" and item["metadata"]["name"] == "r":
             return item["specification"]["hostname"]
     return ""
 
 
-class Edges:
-    """What edges show: never back, never what was not taken, never far behind where a fresh core told it."""
+class EdgeJudge:
+    """Checks that edges never go back to an older version and never lag too far behind a fresh core.
+
+    Versions that they show are recorded, so that the register can check that each was committed.
+    """
 
     def __init__(self, judge: Judge, loop: VirtualLoop, register: Register):
         self.judge, self.loop, self.register = judge, loop, register
-        self.shown: dict[str, int] = {}
-        self.fresh: set[str] = set()  # lives of cores that have called themselves fresh
+        self.shown_versions: dict[str, int] = {}
+        self.fresh_cores: set[str] = set()  # incarnations of cores that have reported themselves fresh
 
-    def news(self, edge: str, view: Any) -> None:
-        """An edge has taken news."""
+    def on_update(self, edge: str, view: Any) -> None:
+        """Handle that an edge's cluster view has changed."""
         if view.configuration is None:
             return
         version, now = view.configuration.version, self.loop.now
-        if version < self.shown.get(edge, 0):
-            self.judge.says(f"{now:.3f} {edge} goes back from r{self.shown[edge]} to r{version}")
-        self.shown[edge] = version
-        self.register.seen.setdefault((version, mark_of(to_document(view.configuration))), now)
-
-    def answered(self, edge: str, core: str, begun: float, told: dict, view: Any) -> None:
-        """A core answered an edge's call, and the edge has taken what it told."""
-        if not told["fresh"]:
-            if "provisional" in told and core in self.fresh:
-                self.judge.says(f"{self.loop.now:.3f} {core} was fresh, and gives {edge} a provisional view")
+        if version < self.shown_versions.get(edge, 0):
+            self.judge.report(f"{now:.3f} {edge} goes back from r{self.shown_versions[edge]} to r{version}")
+        self.shown_versions[edge] = version
+        self.register.observed.setdefault((version, mark_of(to_document(view.configuration))), now)
+
+    def on_answer(self, edge: str, core: str, started_at: float, answer: dict, view: Any) -> None:
+        """Handle that a core has answered an edge's call and that the edge has applied the answer."""
+        if not answer["fresh"]:
+            if "provisional" in answer and core in self.fresh_cores:
+                self.judge.report(f"{self.loop.now:.3f} {core} was fresh, and gives {edge} a provisional view")
             return
-        self.fresh.add(core)
-        known = self.register.known(begun - BEHIND)
-        has = view.configuration.version if view.configuration else 0
-        if has < known:
-            self.judge.says(f"{self.loop.now:.3f} {core} calls itself fresh; {edge} has r{has}, r{known} was told")
+        self.fresh_cores.add(core)
+        expected = self.register.newest_acknowledged(started_at - MAX_STALENESS_S)
+        shown = view.configuration.version if view.configuration else 0
+        if shown < expected:
+            self.judge.report(
+                f"{self.loop.now:.3f} {core} reports itself fresh; {edge} has r{shown}, r{expected} was acknowledged"
+            )
 
 
 @dataclass
-class Letters:
-    """What core machines promise each other: one leader a term, one content an entry, none committed taken back."""
+class ConsensusJudge:
+    """Checks the consensus messages on the wire.
+
+    A term has one leader, a member votes once a term, an entry has one content, and no committed entry is replaced.
+    """
 
     judge: Judge
     loop: VirtualLoop
-    leaders: dict[int, str] = field(default_factory=dict)
-    votes: dict[tuple[str, int], str] = field(default_factory=dict)
-    entries: dict[tuple[int, int], str] = field(default_factory=dict)
-    logs: dict[int, dict[int, int]] = field(default_factory=dict)  # by term of a leader: its entries' terms
-    told: dict[int, int] = field(default_factory=dict)  # by term of a leader: how far it told of commits
-    changes: dict[int, tuple[int, dict[str, str]]] = field(default_factory=dict)  # of members: index -> term, members
+    leaders: dict[int, str] = field(default_factory=dict)  # by term
+    votes: dict[tuple[str, int], str] = field(default_factory=dict)  # by voter and term
+    entries: dict[tuple[int, int], str] = field(default_factory=dict)  # content by index and term
+    logs: dict[int, dict[int, int]] = field(default_factory=dict)  # by term of a leader: its entries' terms by index
+    commits: dict[int, int] = field(default_factory=dict)  # by term of a leader: the highest commit index it sent
+    membership_changes: dict[int, tuple[int, dict[str, str]]] = field(default_factory=dict)  # index -> term, members
     committed: dict[int, int] = field(default_factory=dict)  # index -> term of the entry
 
-    def heard(self, sender: str, to: str, path: str, body: bytes) -> None:
-        """A message is on its way."""
+    def on_message(self, sender: str, to: str, path: str, body: bytes) -> None:
+        """Check the messages of a call that is sent."""
         if not path.endswith("/consensus"):
             return
         for message in json.loads(body):
             if message["type"] == "append":
-                self._append(message)
+                self._check_append(message)
             elif message["type"] == "voted" and message["granted"]:
-                self._votes(message, message["to"])
+                self._check_vote(message, message["to"])
             elif message["type"] == "vote":
-                self._votes(message, message["from"])  # who asks for votes has given itself its own
+                self._check_vote(message, message["from"])  # a candidate has voted for itself
 
-    def _votes(self, message: dict, whom: str) -> None:
-        """A vote is given, on the wire."""
+    def _check_vote(self, message: dict, candidate: str) -> None:
         key = message["from"], message["term"]
-        if self.votes.setdefault(key, whom) != whom:
-            self.judge.says(f"{self.loop.now:.3f} {key[0]} votes twice in term {key[1]}")
+        if self.votes.setdefault(key, candidate) != candidate:
+            self.judge.report(f"{self.loop.now:.3f} {key[0]} votes twice in term {key[1]}")
 
-    def _append(self, message: dict) -> None:
+    def _check_append(self, message: dict) -> None:
         term, leader = message["term"], message["from"]
         if self.leaders.setdefault(term, leader) != leader:
-            self.judge.says(f"{self.loop.now:.3f} {leader} and {self.leaders[term]} both lead term {term}")
-        log, told = self.logs.setdefault(term, {}), self.told.get(term, 0)
-        for index, of, kind, entry in message["entries"]:
-            text = json.dumps([kind, entry], sort_keys=True)
-            if self.entries.setdefault((index, of), text) != text:
-                self.judge.says(f"{self.loop.now:.3f} entry {index} of term {of} has two contents")
-            log[index] = of
+            self.judge.report(f"{self.loop.now:.3f} {leader} and {self.leaders[term]} both lead term {term}")
+        log, commit = self.logs.setdefault(term, {}), self.commits.get(term, 0)
+        for index, entry_term, kind, entry in message["entries"]:
+            content = json.dumps([kind, entry], sort_keys=True)
+            if self.entries.setdefault((index, entry_term), content) != content:
+                self.judge.report(f"{self.loop.now:.3f} entry {index} of term {entry_term} has two contents")
+            log[index] = entry_term
             if kind == "members":
-                self._members(message, index, of, entry["members"])
-            if index <= told:
-                self._commits(leader, index, of)
-        for index in range(told + 1, message["commit"] + 1):
+                self._check_membership_change(message, index, entry_term, entry["members"])
+            if index <= commit:
+                self._check_commit(leader, index, entry_term)
+        for index in range(commit + 1, message["commit"] + 1):
             if index in log:
-                self._commits(leader, index, log[index])
-        self.told[term] = max(told, message["commit"])
+                self._check_commit(leader, index, log[index])
+        self.commits[term] = max(commit, message["commit"])
 
-    def _members(self, message: dict, index: int, of: int, members: dict[str, str]) -> None:
-        """A change of members is sent: a leader's own, only once the one before and one of its term are committed."""
-        self.changes[index] = (of, members)
-        if of != message["term"]:
+    def _check_membership_change(self, message: dict, index: int, entry_term: int, members: dict[str, str]) -> None:
+        """Check a leader's own membership change: the previous one and an entry of its term must be committed."""
+        self.membership_changes[index] = (entry_term, members)
+        if entry_term != message["term"]:
             return
-        log, commit = self.logs[of], message["commit"]
+        log, commit = self.logs[entry_term], message["commit"]
         if any(
-            before < index and before > commit and log.get(before) == self.changes[before][0] for before in self.changes
+            previous < index and previous > commit and log.get(previous) == self.membership_changes[previous][0]
+            for previous in self.membership_changes
         ):
-            self.judge.says(
+            self.judge.report(
                 f"{self.loop.now:.3f} {message['from']} changes members before the change before is committed"
             )
-        if min(at for at, term in log.items() if term == of) > commit:
-            self.judge.says(f"{self.loop.now:.3f} {message['from']} changes members before it has committed anything")
+        if min(position for position, term in log.items() if term == entry_term) > commit:
+            self.judge.report(f"{self.loop.now:.3f} {message['from']} changes members before it has committed anything")
 
     def is_member(self, id: str) -> bool:
-        """Whether an id is among the members by the newest change that was told to be committed.
+        """Whether an id is a member by the newest committed membership change.
 
-        A change of an earlier term is committed by what follows it; the leader that tells so need not send it again.
+        A change of an earlier term is committed by a later entry; the leader that commits it need not send it again.
         """
         newest = max(self.committed, default=0)
-        found = [
+        committed_changes = [
             members
-            for index, (of, members) in sorted(self.changes.items())
-            if index <= newest and self.committed.get(index, of) == of
+            for index, (entry_term, members) in sorted(self.membership_changes.items())
+            if index <= newest and self.committed.get(index, entry_term) == entry_term
         ]
-        return id in found[-1] if found else id.endswith("#founder")
-
-    def _commits(self, leader: str, index: int, of: int) -> None:
-        """A leader tells that an entry is committed."""
-        before = self.committed.setdefault(index, of)
-        if before != of:
-            self.judge.says(
-                f"{self.loop.now:.3f} entry {index} of term {before} was committed; {leader} tells of term {of}"
+        return id in committed_changes[-1] if committed_changes else id.endswith("#founder")
+
+    def _check_commit(self, leader: str, index: int, entry_term: int) -> None:
+        """Check that the entry that a leader reports as committed is the one that was committed before."""
+        committed_term = self.committed.setdefault(index, entry_term)
+        if committed_term != entry_term:
+            self.judge.report(
+                f"{self.loop.now:.3f} entry {index} of term {committed_term} was committed; "
+                f"{leader} commits one of term {entry_term}"
             )
--- a/tests/simulation/keys_judge.py
+++ b/tests/simulation/keys_judge.py
@@ -61,21 +61,23 @@
             return
         now, register = self.world.loop.now, self.world.register
         if status == UNAUTHORIZED:
-            self.world.judge.says(f"{now:.3f} {edge} refuses a key that every configuration holds")
+            self.world.judge.report(f"{now:.3f} {edge} refuses a key that every configuration holds")
         if status:
             return
         self.taken += 1
         has = process.link.view.configuration.version  # type: ignore[attr-defined]
-        known = register.known(now - REVOKE_TIMEOUT)
+        known = register.newest_acknowledged(now - REVOKE_TIMEOUT)
         if has < known:
-            self.world.judge.says(f"{now:.3f} {edge} takes keys by r{has}; r{known} was told {REVOKE_TIMEOUT:g} s ago")
-        gone = (content.mark for content in reversed(register.first) if content.version < known)
+            self.world.judge.report(
+                f"{now:.3f} {edge} takes keys by r{has}; r{known} was told {REVOKE_TIMEOUT:g} s ago"
+            )
+        gone = (content.mark for content in reversed(register.first_sent_at) if content.version < known)
         for mark in islice(gone, GONE):
             if self.status(process, mark) == 0:
-                self.world.judge.says(f"{now:.3f} {edge} takes the key of {mark}; r{known} has none such")
+                self.world.judge.report(f"{now:.3f} {edge} takes the key of {mark}; r{known} has none such")
 
     def settled(self) -> None:
         """Every fault has ended: all edges take the key that stays."""
         for name, process in self.world.edge_processes.items():
             if (status := self.status(process, STAYS)) != 0:
-                self.world.judge.says(f"{name} refuses a key that is there with {status} in the end")
+                self.world.judge.report(f"{name} refuses a key that is there with {status} in the end")
--- a/tests/simulation/operators.py
+++ b/tests/simulation/operators.py
@@ -12,7 +12,7 @@
 from tests.simulation.judges import mark_of
 from tests.simulation.loop import Process
 from tests.simulation.programs import CONTROL
-from tests.simulation.register import Content, Told
+from tests.simulation.register import Content, OperatorCall
 from tests.simulation.wire import Caller
 
 if TYPE_CHECKING:
@@ -118,7 +118,7 @@
         version = int(found["config_version"][1:]) if status == 200 else 0
         mark = mark_of(found) if status == 200 else None
         self.known = max(self.known, version)
-        self.world.register.add(Told(begun, self.world.loop.now, status, None, version, mark))
+        self.world.register.record(OperatorCall(begun, self.world.loop.now, status, None, version, mark))
         return True
 
     async def change(self) -> bool:
@@ -142,14 +142,14 @@
     async def send(self, order: Order) -> int:
         """One call with an order: its status, 0 where the fate is unknown."""
         begun, content = self.world.loop.now, order.content
-        self.world.register.begins(content, begun)
+        self.world.register.record_sent(content, begun)
         headers = {"if-match": f"r{content.base}" if content.base else "0"}
         status, found = await self._call(order.method, order.body, headers, self.random.choice((0.4, 1.5, 4.0)))
-        told = Told(begun, self.world.loop.now, status if status in (200, 400, 412) else 0, content)
+        told = OperatorCall(begun, self.world.loop.now, status if status in (200, 400, 412) else 0, content)
         if status == 412 and "config_version" in (found or {}):
             told.version = int(found["config_version"][1:])
             self.known = max(self.known, told.version)
         if status == 200:
             self.known = max(self.known, content.version)
-        self.world.register.add(told)
+        self.world.register.record(told)
         return told.status
--- a/tests/simulation/quota_judge.py
+++ b/tests/simulation/quota_judge.py
@@ -86,11 +86,11 @@
             passed.popleft()
         most = self.most(now, name)
         if len(passed) > most:
-            self.world.judge.says(f"{now:.3f} {name}: {len(passed)} let pass in a window, at most {most:.1f}")
+            self.world.judge.report(f"{now:.3f} {name}: {len(passed)} let pass in a window, at most {most:.1f}")
 
     def most(self, now: float, name: str) -> float:
         """What the rule allows in the window that ends now, by the highest limit that may be in force in it."""
-        first = self.world.register.known(now - BOUNDS.quota_window - BEFORE)
+        first = self.world.register.newest_acknowledged(now - BOUNDS.quota_window - BEFORE)
         last = max(first, self.world.operators.known + 2)  # the highest that may have been sent
         limits = [limit(name, era * ERA) for era in range(first // ERA, last // ERA + 1)]
         whole = max(rate * BOUNDS.quota_window + burst for rate, burst in limits)
@@ -105,4 +105,4 @@
                     break
                 await asyncio.sleep(PATIENCE)
             else:
-                self.world.judge.says(f"no request of {name} is let pass in the end")
+                self.world.judge.report(f"no request of {name} is let pass in the end")
--- a/tests/simulation/register.py
+++ b/tests/simulation/register.py
@@ -1,8 +1,9 @@
-"""The checker of the configuration: one register with compare-and-set, judged by calls and answers alone.
+"""Checks that operators' calls are linearizable: the configuration is one register with compare-and-set.
 
-Each content is told from all others by a mark of its own. Versions only rise, and each is built on the one before, so
-what was taken is one chain: its links are found from the answers, and a time for each must exist between the first
-call that brought it and the first answer that shows it, in the order of the chain and beside all other answers.
+The check uses only calls and their answers. Each content carries a unique mark. Versions only rise and each is based on
+the one before it, so the committed contents form one chain. Its links are found from the answers. For each link there
+must be a time between the first call that sent it and the first answer that shows it, in the order of the chain and
+consistent with all other answers.
 """
 
 from __future__ import annotations
@@ -10,13 +11,13 @@
 import bisect
 from dataclasses import dataclass, field
 
-FOR_EVER = float("inf")
-UNKNOWN = -1  # what a version was built on, where several were sent under its number
+FOREVER = float("inf")
+UNKNOWN = -1  # base or version of a link for which several contents were sent under its number
 
 
 @dataclass(frozen=True)
 class Content:
-    """What an operator wants taken: a version built on another, with a mark that no other content has."""
+    """A configuration that an operator sends: a version based on another, with a mark that no other content has."""
 
     version: int
     base: int
@@ -24,11 +25,14 @@
 
 
 @dataclass
-class Told:
-    """A call and its answer: `status` 0 where its fate is unknown. `version` and `mark` are what the answer shows."""
+class OperatorCall:
+    """A call and its answer.
 
-    begun: float
-    ended: float
+    `status` is 0 if the outcome is unknown. `version` and `mark` are those of the configuration that the answer shows.
+    """
+
+    started_at: float
+    ended_at: float
     status: int
     content: Content | None = None
     version: int | None = None
@@ -37,166 +41,183 @@
 
 @dataclass
 class _Link:
+    """A content of the chain, with bounds on the time of its commit.
+
+    `lower` and `upper` follow from the answers about this content, `earliest` and `latest` also from its neighbours.
+    """
+
     content: Content
     lower: float
-    upper: float = FOR_EVER
+    upper: float = FOREVER
     earliest: float = 0.0
-    latest: float = FOR_EVER
+    latest: float = FOREVER
 
 
 @dataclass
 class Register:
-    """All calls of a walk. `broken` says what can't be."""
-
-    told: list[Told] = field(default_factory=list)
-    seen: dict[tuple[int, str], float] = field(default_factory=dict)  # version and mark shown elsewhere, when first
-    first: dict[Content, float] = field(default_factory=dict)  # when each content was sent first
-    acknowledged: list[tuple[float, int]] = field(default_factory=list)  # when a version was known, the newest by then
-
-    def begins(self, content: Content, at: float) -> None:
-        """A content is sent."""
-        self.first.setdefault(content, at)
-
-    def add(self, one: Told) -> None:
-        """Take a call that has ended."""
-        self.told.append(one)
-        version = one.version
-        if one.status == 200 and one.content is not None:
-            version = max(one.content.version, version or 0)
+    """All operators' calls of a walk."""
+
+    calls: list[OperatorCall] = field(default_factory=list)
+    observed: dict[tuple[int, str], float] = field(default_factory=dict)  # when an edge first showed a version and mark
+    first_sent_at: dict[Content, float] = field(default_factory=dict)
+    acknowledged: list[tuple[float, int]] = field(default_factory=list)  # time of an answer, newest version by then
+
+    def record_sent(self, content: Content, now: float) -> None:
+        """Record that a content is sent."""
+        self.first_sent_at.setdefault(content, now)
+
+    def record(self, call: OperatorCall) -> None:
+        """Record a call that has ended."""
+        self.calls.append(call)
+        version = call.version
+        if call.status == 200 and call.content is not None:
+            version = max(call.content.version, version or 0)
         if version is not None:
-            before = self.acknowledged[-1][1] if self.acknowledged else 0
-            self.acknowledged.append((one.ended, max(before, version)))
+            newest = self.acknowledged[-1][1] if self.acknowledged else 0
+            self.acknowledged.append((call.ended_at, max(newest, version)))
 
-    def known(self, at: float) -> int:
-        """The newest version that an answer had told by then."""
-        k = bisect.bisect_right(self.acknowledged, (at, 1 << 62))
-        return self.acknowledged[k - 1][1] if k else 0
+    def newest_acknowledged(self, now: float) -> int:
+        """The newest version that an answer had shown by then."""
+        count = bisect.bisect_right(self.acknowledged, (now, 1 << 62))
+        return self.acknowledged[count - 1][1] if count else 0
 
-    def broken(self) -> str | None:
-        """Why no single register could have answered so; None if one could."""
+    def find_violation(self) -> str | None:
+        """Why no single register could have given these answers; None if one could."""
         try:
-            links = self._chain()
-            self._bound(links)
-            self._order(links)
-            self._refusals(links)
-        except _Broken as error:
+            links = self._build_chain()
+            self._set_bounds(links)
+            self._check_order(links)
+            self._check_refusals(links)
+        except _ViolationError as error:
             return str(error)
         return None
 
-    # -- which contents were taken
-
-    def _first(self) -> dict[Content, float]:
-        first = dict(self.first)
-        for one in self.told:
-            if one.content is not None:
-                first[one.content] = min(one.begun, first.get(one.content, FOR_EVER))
-        return first
-
-    def _chain(self) -> list[_Link]:
-        first = self._first()
-        marks = {content.mark: content for content in first}
-        taken: dict[int, Content] = {}
-        for one in self.told:
-            if one.content is not None and one.status == 200:
-                self._take(taken, one.content)
-        shown = [(one.version, one.mark) for one in self.told if one.mark is not None and one.version]
-        for version, mark in [*shown, *self.seen]:
+    # -- which contents were committed
+
+    def _first_sent_at(self) -> dict[Content, float]:
+        first_sent_at = dict(self.first_sent_at)
+        for call in self.calls:
+            if call.content is not None:
+                first_sent_at[call.content] = min(call.started_at, first_sent_at.get(call.content, FOREVER))
+        return first_sent_at
+
+    def _build_chain(self) -> list[_Link]:
+        first_sent_at = self._first_sent_at()
+        marks = {content.mark: content for content in first_sent_at}
+        committed: dict[int, Content] = {}
+        for call in self.calls:
+            if call.content is not None and call.status == 200:
+                self._add_committed(committed, call.content)
+        shown = [(call.version, call.mark) for call in self.calls if call.mark is not None and call.version]
+        for version, mark in [*shown, *self.observed]:
             if (content := marks.get(mark)) is None or content.version != version:
-                raise _Broken(f"r{version} with {mark} is shown, and was never sent")
-            self._take(taken, content)
+                raise _ViolationError(f"r{version} with {mark} is shown, and was never sent")
+            self._add_committed(committed, content)
         links = [_Link(Content(0, UNKNOWN, ""), 0.0, 0.0)]
-        told = {one.version for one in self.told if one.version}
-        for version in sorted(taken.keys() | told):
-            if (content := taken.get(version)) is not None:
-                links += self._between(first, links[-1].content.version, content)
-                links.append(_Link(content, first[content]))
+        shown_versions = {call.version for call in self.calls if call.version}
+        for version in sorted(committed.keys() | shown_versions):
+            if (content := committed.get(version)) is not None:
+                links += self._links_between(first_sent_at, links[-1].content.version, content)
+                links.append(_Link(content, first_sent_at[content]))
             elif links[-1].content.version < version:
-                links.append(self._unnamed(first, version))
+                links.append(self._link_by_number(first_sent_at, version))
         return links
 
     @staticmethod
-    def _unnamed(first: dict[Content, float], version: int) -> _Link:
-        """A version that was told by its number alone: one of those sent under it."""
-        sent = [one for one in first if one.version == version]
-        if not sent:
-            raise _Broken(f"r{version} is told to be current, and was never sent")
-        begun = min(first[one] for one in sent)
-        return _Link(sent[0] if len(sent) == 1 else Content(version, UNKNOWN, ""), begun)
+    def _link_by_number(first_sent_at: dict[Content, float], version: int) -> _Link:
+        """The link of a version that answers showed only by its number: one of the contents sent under it."""
+        candidates = [content for content in first_sent_at if content.version == version]
+        if not candidates:
+            raise _ViolationError(f"r{version} is shown as current, and was never sent")
+        sent_at = min(first_sent_at[content] for content in candidates)
+        return _Link(candidates[0] if len(candidates) == 1 else Content(version, UNKNOWN, ""), sent_at)
 
     @staticmethod
-    def _take(taken: dict[int, Content], content: Content) -> None:
-        if taken.setdefault(content.version, content) != content:
-            raise _Broken(
-                f"two contents were taken as r{content.version}: {taken[content.version].mark}, {content.mark}"
+    def _add_committed(committed: dict[int, Content], content: Content) -> None:
+        if committed.setdefault(content.version, content) != content:
+            raise _ViolationError(
+                f"two contents were accepted as r{content.version}: {committed[content.version].mark}, {content.mark}"
             )
 
-    def _between(self, first: dict[Content, float], version: int, content: Content) -> list[_Link]:
-        """Links whose fate no answer told, and that must lie between a version and a content."""
-        found: list[_Link] = []
+    def _links_between(self, first_sent_at: dict[Content, float], version: int, content: Content) -> list[_Link]:
+        """Links that must lie between a version and a content, though no answer told their outcome."""
+        links: list[_Link] = []
         while content.base > version:
-            sent = [one for one in first if one.version == content.base]
-            if not sent:
-                raise _Broken(f"r{content.version} was taken on r{content.base}, which was never sent")
-            if len({one.base for one in sent}) > 1:
-                return [_Link(Content(content.base, UNKNOWN, ""), min(first[one] for one in sent))]
-            content = sent[0] if len(sent) == 1 else Content(content.base, sent[0].base, "")
-            found.insert(0, _Link(content, min(first[one] for one in sent)))
+            candidates = [candidate for candidate in first_sent_at if candidate.version == content.base]
+            if not candidates:
+                raise _ViolationError(f"r{content.version} was accepted on r{content.base}, which was never sent")
+            if len({candidate.base for candidate in candidates}) > 1:
+                return [
+                    _Link(Content(content.base, UNKNOWN, ""), min(first_sent_at[candidate] for candidate in candidates))
+                ]
+            content = candidates[0] if len(candidates) == 1 else Content(content.base, candidates[0].base, "")
+            links.insert(0, _Link(content, min(first_sent_at[candidate] for candidate in candidates)))
         if content.base < version:
-            raise _Broken(f"r{content.version} was taken on r{content.base}, and r{version} was in force: it is lost")
-        return found
-
-    # -- when they were taken
-
-    def _bound(self, links: list[_Link]) -> None:
-        at = {link.content.version: k for k, link in enumerate(links)}
-        for one in self.told:
-            if one.content is not None and one.status == 200:
-                link = links[at[one.content.version]]
-                link.upper = min(link.upper, one.ended)
-            if one.version is None:
+            raise _ViolationError(
+                f"r{content.version} was accepted on r{content.base} while r{version} was in force: r{version} is lost"
+            )
+        return links
+
+    # -- when they were committed
+
+    def _set_bounds(self, links: list[_Link]) -> None:
+        positions = {link.content.version: position for position, link in enumerate(links)}
+        for call in self.calls:
+            if call.content is not None and call.status == 200:
+                link = links[positions[call.content.version]]
+                link.upper = min(link.upper, call.ended_at)
+            if call.version is None:
                 continue
-            k = at.get(one.version)
-            if k is None:
-                raise _Broken(f"r{one.version} is told to be current, and was never taken")
-            links[k].upper = min(links[k].upper, one.ended) if k else links[k].upper
-            if k + 1 < len(links):
-                links[k + 1].lower = max(links[k + 1].lower, one.begun)
-        for (version, _), when in self.seen.items():
-            links[at[version]].upper = min(links[at[version]].upper, when)
-
-    def _order(self, links: list[_Link]) -> None:
-        time = 0.0
+            position = positions.get(call.version)
+            if position is None:
+                raise _ViolationError(f"r{call.version} is shown as current, and was never accepted")
+            links[position].upper = min(links[position].upper, call.ended_at) if position else links[position].upper
+            if position + 1 < len(links):
+                links[position + 1].lower = max(links[position + 1].lower, call.started_at)
+        for (version, _), shown_at in self.observed.items():
+            links[positions[version]].upper = min(links[positions[version]].upper, shown_at)
+
+    def _check_order(self, links: list[_Link]) -> None:
+        bound = 0.0
         for link in links:
-            time = link.earliest = max(time, link.lower)
-        time = FOR_EVER
+            bound = link.earliest = max(bound, link.lower)
+        bound = FOREVER
         for link in reversed(links):
-            time = link.latest = min(time, link.upper)
+            bound = link.latest = min(bound, link.upper)
         for link in links:
             if link.earliest > link.latest:
-                raise _Broken(
+                raise _ViolationError(
                     f"r{link.content.version} ({link.content.mark}) was in force by {link.latest:.3f},"
                     f" and can't have been before {link.earliest:.3f}"
                 )
 
     # -- refusals
 
-    def _refusals(self, links: list[_Link]) -> None:
-        at = {link.content.version: k for k, link in enumerate(links)}
-        for one in self.told:
-            if one.content is None or one.status not in (400, 412):
+    def _check_refusals(self, links: list[_Link]) -> None:
+        positions = {link.content.version: position for position, link in enumerate(links)}
+        for call in self.calls:
+            if call.content is None or call.status not in (400, 412):
                 continue
-            k = at.get(one.content.version)
-            if k is not None and links[k].content == one.content and links[k].latest <= one.begun:
-                raise _Broken(
-                    f"{one.content.mark} was taken by {links[k].latest:.3f}; repeated at {one.begun:.3f}: {one.status}"
+            position = positions.get(call.content.version)
+            if (
+                position is not None
+                and links[position].content == call.content
+                and links[position].latest <= call.started_at
+            ):
+                raise _ViolationError(
+                    f"{call.content.mark} was accepted by {links[position].latest:.3f}; "
+                    f"repeated at {call.started_at:.3f}: {call.status}"
                 )
-            base = at.get(one.content.base)
-            if one.status != 412 or base is None:
+            base = positions.get(call.content.base)
+            if call.status != 412 or base is None:
                 continue
-            until = links[base + 1].earliest if base + 1 < len(links) else FOR_EVER
-            if links[base].latest <= one.begun and until > one.ended:
-                raise _Broken(f"{one.content.mark} got 412 at {one.ended:.3f} while its base r{one.content.base} stood")
+            replaced_at = links[base + 1].earliest if base + 1 < len(links) else FOREVER
+            if links[base].latest <= call.started_at and replaced_at > call.ended_at:
+                raise _ViolationError(
+                    f"{call.content.mark} got 412 at {call.ended_at:.3f} while its base r{call.content.base} "
+                    "was in force"
+                )
 
 
-class _Broken(Exception):
+class _ViolationError(Exception):
     pass
--- a/tests/simulation/walk.py
+++ b/tests/simulation/walk.py
@@ -33,7 +33,7 @@
     """What came of a walk."""
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     faults: list[Fault]
     steps: int = 0
     changes: int = 0
@@ -58,32 +58,32 @@
             if _pass(world, span, early):
                 faults.heal(world)
                 _pass(world, span + CALM, early)
-            if not (early and _broken(world)):
+            if not (early and _violations(world)):
                 world.operators.resting = True
                 world.loop.run(span + CALM + LAST)
                 _last(world)
         except AssertionError as error:
-            world.judge.says(f"{world.loop.now:.3f} {type(error).__name__} {error}")
-    taken = {one.content for one in world.register.told if one.status == 200 and one.content}
-    broken = _broken(world)
-    told, let_pass = len(world.register.told), world.quota.let_pass if world.quota else 0
-    return Outcome(seed, broken, plan, world.loop.steps, len(taken), told, list(world.said), let_pass)
+            world.judge.report(f"{world.loop.now:.3f} {type(error).__name__} {error}")
+    taken = {one.content for one in world.register.calls if one.status == 200 and one.content}
+    violations = _violations(world)
+    told, let_pass = len(world.register.calls), world.quota.let_pass if world.quota else 0
+    return Outcome(seed, violations, plan, world.loop.steps, len(taken), told, list(world.said), let_pass)
 
 
 def _pass(world: World, until: float, early: bool) -> bool:
     """Let time pass; False where something broke and the walk ends with that."""
     while early and world.loop.now < until - 1.0:
         world.loop.run(world.loop.now + 1.0)
-        if _broken(world):
+        if _violations(world):
             return False
     world.loop.run(until)
     return True
 
 
-def _broken(world: World) -> list[str]:
+def _violations(world: World) -> list[str]:
     """All that the judges hold against a walk."""
-    register = world.register.broken()
-    return [*world.judge.broken, *world.owners.broken, *world.loop.failed(), *([register] if register else [])]
+    register = world.register.find_violation()
+    return [*world.judge.violations, *world.owners.broken, *world.loop.failed(), *([register] if register else [])]
 
 
 def _last(world: World) -> None:
@@ -106,14 +106,14 @@
     task = world.loop.world.spawn(ends())
     world.loop.run(world.loop.now + 10.0)
     if not task.done() or not task.result():
-        world.judge.says("no order is taken after all faults have ended")
+        world.judge.report("no order is taken after all faults have ended")
         return
     world.keys.settled()
-    newest = world.register.known(world.loop.now)
+    newest = world.register.newest_acknowledged(world.loop.now)
     for name, process in world.edge_processes.items():
         configuration = process.link.view.configuration  # type: ignore[attr-defined]
         if configuration is None or configuration.version < newest:
-            world.judge.says(
+            world.judge.report(
                 f"{name} shows {configuration and configuration.version} in the end, r{newest} is in force"
             )
 
@@ -143,7 +143,7 @@
             else:
                 found = walk(seed, early=True, limited=mistake.point == QUOTA)
             gc.collect()
-            if found.broken:
+            if found.violations:
                 return found
     return None
 
@@ -159,7 +159,7 @@
 
 def measure(count: int) -> dict[str, int]:
     """Walks, those that broke something, and the mistakes put in and found; for `benchmarks.system`."""
-    broken = sum(bool(found.broken) for found in walks(range(count)))
+    broken = sum(bool(found.violations) for found in walks(range(count)))
     shown = sum(find(mistake, mistake.seeds()) is not None for mistake in MISTAKES.values())
     return {
         "walks": count,
@@ -176,9 +176,9 @@
     found = walk(seed)
     for line in found.said:
         print(*line)
-    print(*found.broken, sep="\n")
-    if found.broken:
-        print(*shrink(found.faults, lambda fewer: bool(walk(seed, fewer, early=True).broken)), sep="\n")
+    print(*found.violations, sep="\n")
+    if found.violations:
+        print(*shrink(found.faults, lambda fewer: bool(walk(seed, fewer, early=True).violations)), sep="\n")
 
 
 def main() -> None:
@@ -201,14 +201,14 @@
     if given.mistakes:
         for name, mistake in MISTAKES.items():
             found = find(mistake, mistake.seeds())
-            print(name, found and (found.seed, found.broken[0]), flush=True)
+            print(name, found and (found.seed, found.violations[0]), flush=True)
         return
     done = broken = changes = 0
     for found in walks(range(given.first, given.first + given.walks), begun + given.seconds):
         done, changes = done + 1, changes + found.changes
-        if found.broken:
+        if found.violations:
             broken += 1
-            print(found.seed, *found.broken[:5], sep="\n   ", flush=True)
+            print(found.seed, *found.violations[:5], sep="\n   ", flush=True)
     took = time.monotonic() - begun
     print(json.dumps({"walks": done, "walks_broken": broken, "changes": changes, "seconds": round(took, 1)}))
 
--- a/tests/simulation/wire.py
+++ b/tests/simulation/wire.py
@@ -59,7 +59,7 @@
         self._busy: dict[str, float] = {}  # until when such a link is taken
         self.loss = self.double = 0.0
         self.late = 0.0005
-        self.heard: Callable[[str, str, str, Any], None] = lambda sender, to, path, body: None
+        self.on_message: Callable[[str, str, str, Any], None] = lambda sender, to, path, body: None
 
     # -- one way
 
@@ -143,7 +143,7 @@
             if handler is None:
                 raise LookupError(f"nothing at {url}")
             request = SimpleNamespace(method=method, path=parts.path, headers=headers, body=data, query=parts.query)
-            self.heard(caller.host, to, parts.path, data)
+            self.on_message(caller.host, to, parts.path, data)
             process.soon(lambda: serving.append((process, process.spawn(serve(process, handler, request)))))
 
         async def serve(process: Process, handler: Handler, request: Any) -> None:
@@ -151,7 +151,7 @@
             found = Answered(
                 answer.status, {k.lower(): v for k, v in answer.headers.items()}, answer.body, process.name
             )
-            self.heard(process.host, caller.host, "answer " + parts.path, found.body)
+            self.on_message(process.host, caller.host, "answer " + parts.path, found.body)
             self._travel(
                 process.host,
                 caller.host,
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -18,7 +18,7 @@
 from knotwalk.shared_state import messages
 from tests.simulation import keys_judge, quota_judge
 from tests.simulation.disk import Disk
-from tests.simulation.judges import Edges, Judge, Letters
+from tests.simulation.judges import ConsensusJudge, EdgeJudge, Judge
 from tests.simulation.loop import Process, VirtualLoop
 from tests.simulation.operators import Operators
 from tests.simulation.programs import PEERS, PLATFORM, CoreProcess, settings
@@ -62,11 +62,11 @@
         self.wire = Wire(self.loop, self.seed)
         self.loop.disk = lambda process, future, act, given: act.__self__.disk.work(process, future, act, given)  # type: ignore
         self.judge = Judge()
-        self.letters = Letters(self.judge, self.loop)
-        self.wire.heard = self.letters.heard
+        self.consensus_judge = ConsensusJudge(self.judge, self.loop)
+        self.wire.on_message = self.consensus_judge.on_message
         self.register = Register()
         self.owners = OwnerChecker()
-        self.edges = Edges(self.judge, self.loop, self.register)
+        self.edge_judge = EdgeJudge(self.judge, self.loop, self.register)
         self.keys = keys_judge.KeysJudge(self)
         self.quota = quota_judge.QuotaJudge(self) if self.limited else None
         self.edge_processes: dict[str, Process] = {}
@@ -204,7 +204,7 @@
             self.random.randrange(1 << 30),
             "z",
             dict,
-            lambda changed, edges: self.edges.news(process.name, view),
+            lambda changed, edges: self.edge_judge.on_update(process.name, view),
             keys_judge.freshness(),
         )
         process.link = link  # type: ignore[attr-defined]
@@ -254,7 +254,7 @@
         found = await self.answered(method, url, body, patience, step)
         told = decode_json_response(step, url, found.status, found.body)
         # By the process that answered, not by the one that runs there now: an answer may come after its giver's end.
-        self.world.loop.call_soon(self.world.edges.answered, self.edge, found.server, begun, told, self.view)
+        self.world.loop.call_soon(self.world.edge_judge.on_answer, self.edge, found.server, begun, told, self.view)
         return told
 
 
--- a/tests/system/test_claim_groups.py
+++ b/tests/system/test_claim_groups.py
@@ -40,7 +40,7 @@
 
     def tearDown(self) -> None:
         self.assertEqual(self.world.loop.failed(), [])
-        self.assertEqual(self.world.judge.broken, [])
+        self.assertEqual(self.world.judge.violations, [])
 
     @property
     def places(self) -> list[Place]:
@@ -275,7 +275,7 @@
         leader = self.leader()
         other = self.other(leader)
         calls = []
-        self.world.wire.heard = lambda sender, to, path, body: calls.append((sender, path))
+        self.world.wire.on_message = lambda sender, to, path, body: calls.append((sender, path))
         found = [self.begin(other, "a", operation=operation(0, number)) for number in range(40)]
         self.until(lambda: all(found))
         self.assertEqual({one[0] for one in found}, {GRANTED})
--- a/tests/system/test_claims_simulation.py
+++ b/tests/system/test_claims_simulation.py
@@ -18,7 +18,7 @@
         for seed in range(WALKS):
             with self.subTest(seed=seed):
                 found = walk(seed)
-                self.assertEqual(found.broken, [])
+                self.assertEqual(found.violations, [])
                 self.assertGreater(found.changes, 50)  # claims granted
 
     def test_each_mistake_is_found(self):
@@ -26,9 +26,9 @@
             with self.subTest(name):
                 found = find(mistake)
                 self.assertIsNotNone(found, f"not found in {mistake.within} walks")
-                self.assertNotRegex(found.broken[0], "TypeError|AttributeError|NameError")
+                self.assertNotRegex(found.violations[0], "TypeError|AttributeError|NameError")
                 self.assertRegex(
-                    found.broken[0], "granted|was committed"
+                    found.violations[0], "granted|was committed"
                 )  # by the judge of claims, or of consensus messages
 
 
@@ -49,26 +49,26 @@
     def test_two_holders_within_the_window_are_reported(self):
         self.granted(1.0, "a")
         self.granted(4.9, "b")
-        self.assertEqual(len(self.judge.broken), 1)
+        self.assertEqual(len(self.judge.violations), 1)
 
     def test_a_second_holder_after_the_window_or_a_release_is_allowed(self):
         self.granted(1.0, "a")
         self.granted(5.0, "b")
         self.claims.releases(self.claim("b"))
         self.granted(5.1, "c")
-        self.assertEqual(self.judge.broken, [])
+        self.assertEqual(self.judge.violations, [])
 
     def test_a_grant_after_a_release_counts(self):
         self.granted(1.0, "a")
         self.claims.releases(self.claim("a"))
         self.granted(2.0, "a")
         self.granted(3.0, "b")
-        self.assertEqual(len(self.judge.broken), 1)
+        self.assertEqual(len(self.judge.violations), 1)
 
     def test_a_holder_refused_because_of_its_own_claim_is_reported(self):
         one = self.claim("a")
         self.claims.answered(one, ClaimResult(Outcome.HELD, one.holder))
-        self.assertEqual(len(self.judge.broken), 1)
+        self.assertEqual(len(self.judge.violations), 1)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_shared_walks.py
+++ b/tests/system/test_shared_walks.py
@@ -14,7 +14,7 @@
         for seed in range(WALKS):
             with self.subTest(seed=seed):
                 found = walk(seed, limited=True)
-                self.assertEqual(found.broken, [])
+                self.assertEqual(found.violations, [])
                 self.assertGreater(found.let_pass, 100)
 
 
@@ -28,7 +28,7 @@
             with self.subTest(name):
                 found = find(mistake, mistake.seeds())
                 self.assertIsNotNone(found, f"not found in {mistake.within} walks")
-                self.assertRegex(found.broken[0], self.SAYS[mistake.point])
+                self.assertRegex(found.violations[0], self.SAYS[mistake.point])
 
 
 if __name__ == "__main__":
--- a/tests/system/test_simulation.py
+++ b/tests/system/test_simulation.py
@@ -8,7 +8,7 @@
 from tests.simulation import connections
 from tests.simulation.faults import plan
 from tests.simulation.mistakes import MISTAKES
-from tests.simulation.register import Content, Register, Told
+from tests.simulation.register import Content, OperatorCall, Register
 from tests.simulation.walk import find, shrink, walk
 
 WALKS = 6
@@ -20,12 +20,12 @@
         for seed in range(WALKS):
             with self.subTest(seed=seed):
                 found = walk(seed)
-                self.assertEqual(found.broken, [])
+                self.assertEqual(found.violations, [])
                 self.assertGreater(found.changes, 5)
 
     def test_a_node_that_thaws_holds_no_key_that_was_granted_on(self):
         """OWNER on one walk: a node stands still for 7.45 s while its keys are granted on."""
-        self.assertEqual(walk(24).broken, [])
+        self.assertEqual(walk(24).violations, [])
 
     def test_nothing_is_broken_on_connections(self):
         for seed in range(CONNECTIONS):
@@ -55,37 +55,41 @@
 class RegisterTest(unittest.TestCase):
     A, B, C = Content(1, 0, "a"), Content(2, 1, "b"), Content(2, 1, "c")
 
-    def broken(self, *told):
-        return Register(list(told)).broken()
+    def find_violation(self, *calls):
+        return Register(list(calls)).find_violation()
 
     def test_a_plain_story_is_one_register(self):
         self.assertIsNone(
-            self.broken(
-                Told(0, 1, 200, self.A),
-                Told(0, 3, 0, self.B),
-                Told(2, 4, 412, self.C, 2),
-                Told(4, 5, 200, None, 2, "b"),
-                Told(6, 7, 200, self.B),
+            self.find_violation(
+                OperatorCall(0, 1, 200, self.A),
+                OperatorCall(0, 3, 0, self.B),
+                OperatorCall(2, 4, 412, self.C, 2),
+                OperatorCall(4, 5, 200, None, 2, "b"),
+                OperatorCall(6, 7, 200, self.B),
             )
         )
 
     def test_what_cannot_be_is_told(self):
         stories = {
-            "an old read": (Told(0, 1, 200, self.A), Told(2, 3, 404, None, 0)),
-            "a lost change": (Told(0, 1, 200, self.A), Told(2, 3, 200, Content(2, 0, "x"))),
-            "two under one number": (Told(0, 1, 200, self.A), Told(2, 3, 200, self.B), Told(2, 3, 200, self.C)),
-            "a repeat refused": (Told(0, 1, 200, self.A), Told(2, 3, 412, self.A)),
-            "a refusal without reason": (Told(0, 1, 200, self.A), Told(2, 3, 412, self.B)),
+            "an old read": (OperatorCall(0, 1, 200, self.A), OperatorCall(2, 3, 404, None, 0)),
+            "a lost change": (OperatorCall(0, 1, 200, self.A), OperatorCall(2, 3, 200, Content(2, 0, "x"))),
+            "two under one number": (
+                OperatorCall(0, 1, 200, self.A),
+                OperatorCall(2, 3, 200, self.B),
+                OperatorCall(2, 3, 200, self.C),
+            ),
+            "a repeat refused": (OperatorCall(0, 1, 200, self.A), OperatorCall(2, 3, 412, self.A)),
+            "a refusal without reason": (OperatorCall(0, 1, 200, self.A), OperatorCall(2, 3, 412, self.B)),
             "an old refusal": (
-                Told(0, 1, 200, self.A),
-                Told(2, 3, 200, self.B),
-                Told(4, 5, 412, Content(3, 0, "x"), 1),
+                OperatorCall(0, 1, 200, self.A),
+                OperatorCall(2, 3, 200, self.B),
+                OperatorCall(4, 5, 412, Content(3, 0, "x"), 1),
             ),
-            "what was never sent": (Told(0, 1, 200, None, 1, "z"),),
+            "what was never sent": (OperatorCall(0, 1, 200, None, 1, "z"),),
         }
         for name, told in stories.items():
             with self.subTest(name):
-                self.assertIsNotNone(self.broken(*told))
+                self.assertIsNotNone(self.find_violation(*told))
 
 
 class MistakesTest(unittest.TestCase):
@@ -100,7 +104,7 @@
     def held(self, found, mistake):
         self.assertIsNotNone(found, f"not found in {mistake.within} walks")
         # A patch that no longer fits what it patches breaks the programs, which says nothing of the mistake.
-        self.assertNotRegex(found.broken[0], "TypeError|AttributeError|NameError")
+        self.assertNotRegex(found.violations[0], "TypeError|AttributeError|NameError")
 
     def test_mistakes_of_point_1_are_found(self):
         self.found(1)
