--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -37,8 +37,8 @@
 )
 
 if TYPE_CHECKING:
-    from knotwalk.pubsub.front import Publisher
-    from knotwalk.pubsub.keep import Keeper
+    from knotwalk.pubsub.persistence import Keeper
+    from knotwalk.pubsub.publisher import Publisher
     from knotwalk.record.feed import Feed
     from knotwalk.record.recorder import Recorder
     from knotwalk.settings.operator import OperatorSettings, PubsubSettings, RecordSettings
@@ -205,32 +205,32 @@
         """Open the publisher's port; what that takes is loaded only here. Raises Misfit."""
         from pathlib import Path
 
-        from knotwalk.pubsub import front, keep, wire
+        from knotwalk.pubsub import persistence, publisher, wire
         from knotwalk.pubsub.hub import Hub
         from knotwalk.pubsub.versions import Table
 
         self.access_files = wanted.secrets, wanted.certificate, wanted.private_key, wanted.client_ca
         table, key = Table(os.urandom(8).hex()), os.urandom(32)
         try:
-            access = front.Access(*self.access_files)
+            access = publisher.Access(*self.access_files)
             if wanted.keep:
                 path = Path(wanted.keep) / f"{self.config.name}.kwt"
                 path.parent.mkdir(parents=True, exist_ok=True)
                 try:
-                    lock = keep.locked(path)
+                    lock = persistence.locked(path)
                     try:
-                        table, key = keep.load(path) or (table, key)
-                    except keep.Unkept as fault:  # it is only of use: a new epoch does without
+                        table, key = persistence.load(path) or (table, key)
+                    except persistence.Unkept as fault:  # it is only of use: a new epoch does without
                         self.log("kept table not used", f"{path}: {fault}; a new epoch begins")
-                    self.keeper = keep.Keeper(self.loop, path, lock, table, key, self.log)
-                except keep.Unkept as fault:
+                    self.keeper = persistence.Keeper(self.loop, path, lock, table, key, self.log)
+                except persistence.Unkept as fault:
                     self.log("table not kept", f"{path}: {fault}; a new epoch begins, and ends with this process")
-        except front.Misfit as fault:
+        except publisher.Misfit as fault:
             raise Misfit(f"pubsub: {fault}") from None
         except OSError as fault:
             raise Misfit(f"pubsub.keep: {fault.filename}: {fault.strerror}") from None
         hub = Hub(table, self.config.settings, key, wire.encoded, self.config.seed)
-        self.publisher = front.Publisher(
+        self.publisher = publisher.Publisher(
             self.loop,
             hub,
             access,
@@ -359,12 +359,12 @@
 
     def follow_keys(self) -> None:
         """Read the publisher's keys and certificates anew, whole or not at all; streams that are up stay."""
-        from knotwalk.pubsub import front
+        from knotwalk.pubsub import publisher
 
         assert self.publisher is not None
         try:
-            self.publisher.reload(front.Access(*self.access_files))
-        except front.Misfit as fault:
+            self.publisher.reload(publisher.Access(*self.access_files))
+        except publisher.Misfit as fault:
             self.log("reload refused", f"pubsub: {fault}; the old keys stay")
 
     def run(self) -> None:
--- a/knotwalk/pubsub/client.py
+++ b/knotwalk/pubsub/client.py
@@ -9,8 +9,8 @@
 from knotwalk.net.ending import Ending
 from knotwalk.net.loop import Link, Loop, Timer, Unreadable
 from knotwalk.pubsub import wire
-from knotwalk.pubsub.secure import Secure
 from knotwalk.pubsub.subscriber import Subscriber
+from knotwalk.pubsub.tls import Secure
 
 CONNECT = 2.0  # seconds for a connection to come up
 SILENT = 60.0  # seconds without a word after which the stream is tried anew: a cut says nothing
--- a/knotwalk/pubsub/keep.py
+++ b/knotwalk/pubsub/persistence.py
@@ -3,7 +3,7 @@
 Owns one file a conductor, replaced whole, and the process that writes it, so that no disk holds the loop up. It must
 never let a version be told that a later life could tell again: versions are reserved on disk before they are used.
 
-    python -m knotwalk.pubsub.keep FILE
+    python -m knotwalk.pubsub.persistence FILE
 
 reads states, each after its length, on descriptor 0, and answers with a byte.
 """
@@ -128,7 +128,7 @@
         ours, theirs = socket.socketpair()
         try:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "knotwalk.pubsub.keep", str(self.path)],
+                [sys.executable, "-m", "knotwalk.pubsub.persistence", str(self.path)],
                 stdin=theirs.fileno(),
                 stdout=subprocess.DEVNULL,
                 pass_fds=[self.lock],
--- a/knotwalk/pubsub/front.py
+++ b/knotwalk/pubsub/publisher.py
@@ -14,7 +14,7 @@
 from knotwalk.net.loop import Link, Loop, Timer
 from knotwalk.pubsub import wire
 from knotwalk.pubsub.hub import Cursor, Hub, Later, Refused
-from knotwalk.pubsub.secure import Secure
+from knotwalk.pubsub.tls import Secure
 
 HELLO = 2.0  # seconds to say who one is: a TLS handshake and a hello
 UNREAD = 1 << 16  # bytes left unread past which a stream is sent nothing more: half of a link's bound
--- a/tests/standins/edges.py
+++ b/tests/standins/edges.py
@@ -4,7 +4,7 @@
 import time
 
 from knotwalk.net.loop import Loop
-from knotwalk.pubsub import front, wire
+from knotwalk.pubsub import publisher, wire
 from knotwalk.pubsub.client import Client
 from knotwalk.pubsub.hub import Hub
 from knotwalk.pubsub.subscriber import Subscriber
@@ -31,10 +31,10 @@
     def __init__(self, settings, table, access=None, seats=200, key=b"k" * 32):
         self.loop, self.told, self.lines = Loop(), [], []
         self.hub = Hub(table, settings, key, wire.encoded, 1)
-        self.publisher = front.Publisher(
+        self.publisher = publisher.Publisher(
             self.loop,
             self.hub,
-            access or front.Access(),
+            access or publisher.Access(),
             lambda *x: self.told.append(x),
             lambda proxy: False,
             lambda kind, text="": self.lines.append((kind, text)),
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -17,7 +17,7 @@
 from standins.tapes import replayed
 
 from knotwalk.net.loop import Loop
-from knotwalk.pubsub import front, keep, wire
+from knotwalk.pubsub import persistence, publisher, wire
 from knotwalk.pubsub.versions import Table
 
 ROOT = Path(__file__).parent.parent
@@ -118,7 +118,7 @@
 def test_who_is_not_known_gets_nothing_and_keys_are_reloaded_without_losing_streams(tmp_path):
     authority = certificates(tmp_path, ["publisher", "p1", "p2"])
     files = ("", str(tmp_path / "publisher.pem"), str(tmp_path / "publisher.key"), authority)
-    site = Site(QUICK, filled(50), front.Access(*files))
+    site = Site(QUICK, filled(50), publisher.Access(*files))
     known = site.edge("p1", proxy=1, context=contexts(tmp_path, authority, "p1"), server_name="publisher")
     site.until(lambda: site.alike([known]))
     other = site.edge("p1", proxy=1, context=contexts(tmp_path, authority, "p2"), server_name="publisher")
@@ -132,7 +132,7 @@
     again = tmp_path / "again"
     again.mkdir()
     authority_2 = certificates(again, ["publisher", "p1"])
-    site.publisher.reload(front.Access("", str(again / "publisher.pem"), str(again / "publisher.key"), authority_2))
+    site.publisher.reload(publisher.Access("", str(again / "publisher.pem"), str(again / "publisher.key"), authority_2))
     link = known.link
     site.order(("line", (1, "later", 1.0)))
     site.until(lambda: site.alike([known]))
@@ -144,7 +144,7 @@
 def test_keys_let_in_by_role_and_are_told_from_each_other(tmp_path):
     path = tmp_path / "keys"
     path.write_text("proxy  0123456789abcdef0  # edge\nobserver fedcba98765432100\n")
-    site = Site(QUICK, filled(5), front.Access(str(path)))
+    site = Site(QUICK, filled(5), publisher.Access(str(path)))
     good = [site.edge("p", proxy=1, key="0123456789abcdef0"), site.edge("w", key="fedcba98765432100")]
     bad = [site.edge("x", proxy=2, key="fedcba98765432100"), site.edge("y", key="short"), site.edge("z", proxy=3)]
     site.until(lambda: site.alike(good))
@@ -152,33 +152,35 @@
     assert not any(e.came for e in bad)
     for text, message in (("proxy short\n", ":1: a secret of 5"), ("admin x\n", ":1: 'proxy SECRET'"), ("# \n", "no")):
         path.write_text(text)
-        with pytest.raises(front.Misfit, match=message):
-            front.Access(str(path))
-    with pytest.raises(front.Misfit, match="No such file"):
-        front.Access(str(tmp_path / "none"))
+        with pytest.raises(publisher.Misfit, match=message):
+            publisher.Access(str(path))
+    with pytest.raises(publisher.Misfit, match="No such file"):
+        publisher.Access(str(tmp_path / "none"))
 
 
 def test_a_kept_file_that_is_damaged_is_refused_in_words_at_any_byte(tmp_path):
-    data = keep.packed(filled(20), 500, b"key")
-    table, key = keep.unpacked(data)
+    data = persistence.packed(filled(20), 500, b"key")
+    table, key = persistence.unpacked(data)
     assert (table.version, table.epoch, key) == (500, "e1", b"key")
     assert sorted(table.rows()) == sorted(filled(20).rows())
     chance = Random(1)
     for _ in range(200):
         at = chance.randrange(len(data))
         for spoilt in (data[:at], data[:at] + bytes([data[at] ^ 1 << chance.randrange(8)]) + data[at + 1 :]):
-            with pytest.raises(keep.Unkept):
-                keep.unpacked(spoilt)
+            with pytest.raises(persistence.Unkept):
+                persistence.unpacked(spoilt)
 
 
 def test_a_keeper_killed_at_random_leaves_a_whole_file_and_versions_that_are_never_told_twice(tmp_path, monkeypatch):
-    monkeypatch.setattr(keep, "RESERVE", 50)
-    monkeypatch.setattr(keep, "AGAIN", 0.01)
+    monkeypatch.setattr(persistence, "RESERVE", 50)
+    monkeypatch.setattr(persistence, "AGAIN", 0.01)
     loop, lines, chance = Loop(), [], Random(3)
     path, table, told = tmp_path / "n0.kwt", filled(100), 0
     for life in range(4):
         exhausted = []
-        keeper = keep.Keeper(loop, path, keep.locked(path), table, b"key", lambda kind, text="": lines.append(kind))
+        keeper = persistence.Keeper(
+            loop, path, persistence.locked(path), table, b"key", lambda kind, text="": lines.append(kind)
+        )
         for k in range(60):
             table.line(k, f"s{life}-{k}", 1.0)
             keeper.watch(lambda: exhausted.append(table.version))
@@ -193,14 +195,14 @@
                 loop.turn()
         keeper.close()
         loop.timers.clear()
-        os.close(keep.locked(path))  # its process has ended
-        table, _ = keep.load(path)
+        os.close(persistence.locked(path))  # its process has ended
+        table, _ = persistence.load(path)
         assert table.version >= told
     assert "keeping stands still" in lines
-    held = keep.locked(path)
-    monkeypatch.setattr(keep, "PATIENCE", 0.05)
-    with pytest.raises(keep.Unkept, match="another process keeps it"):
-        keep.locked(path)
+    held = persistence.locked(path)
+    monkeypatch.setattr(persistence, "PATIENCE", 0.05)
+    with pytest.raises(persistence.Unkept, match="another process keeps it"):
+        persistence.locked(path)
     os.close(held)
 
 
@@ -235,7 +237,7 @@
     stand.until(lambda: done.poll() is not None)
     told = [json.loads(line) for line in done.stdout]
     assert done.returncode == 0 and told[-1]["slices"] == {"0": {"a": 1.0}, "1": {"b": 1.0}} and told[-1]["whole"]
-    assert stand.stop() == 0 and keep.load(tmp_path / "kept" / "n0.kwt")
+    assert stand.stop() == 0 and persistence.load(tmp_path / "kept" / "n0.kwt")
 
 
 def test_a_conductor_killed_again_and_again_leaves_all_subscribers_alike(tmp_path, port):
