--- a/benchmarks/pubsub.py
+++ b/benchmarks/pubsub.py
@@ -129,7 +129,7 @@
 
     def encode(delta: Delta) -> bytes:
         encoded[0] += 1
-        return wire.encoded(delta)
+        return wire.encode_delta(delta)
 
     world = World(SMALL._replace(messages_most=10**6, lines_waiting_most=10.0**9), table)
     world.hub.encode = encode
@@ -149,17 +149,17 @@
         encoded[0] = 0
         world.order(*(("line", (k * 30 + i, f"c{k}", 1.0)) for i in range(20)))
         begun = time.perf_counter()
-        world.hub.turn(world.now, Light())  # type: ignore[arg-type]
+        world.hub.send_due(world.now, Light())  # type: ignore[arg-type]
         times.append(time.perf_counter() - begun)
         once = encoded[0]
         for cursor, message in sent:
             world.pipes[cursor.name].down.append(message)
         sent.clear()
         world.quiet()
-    delta = table.since(table.version - 20)
+    delta = table.changes_since(table.version - 20)
     begun = time.perf_counter()
     for _ in range(200):
-        wire.encoded(delta)
+        wire.encode_delta(delta)
     each = (time.perf_counter() - begun) / 200
     best = min(times)
     return {
@@ -174,11 +174,11 @@
     """All since a base 20 changes old: the index, a scan of all lines, a log searched from the base."""
     table, log, chance = Table("e"), [], random.Random(1)
     for k in range(slices):
-        table.line(k, f"s{k % 50}", 1.0)
+        table.set_line(k, f"s{k % 50}", 1.0)
         log.append((table.version, k, f"s{k % 50}", 1.0))
     for k in range(20 * slices // 10):
         id, w = chance.randrange(200), k + 1.0  # a few slices change again and again
-        table.line(id, "hot", w)
+        table.set_line(id, "hot", w)
         log.append((table.version, id, "hot", w))
     base = table.version - 20
 
@@ -201,9 +201,9 @@
             times.append(time.perf_counter() - begun)
         return min(times)
 
-    index, plain, logged = timed(lambda: table.since(base)), timed(scan), timed(from_log)
+    index, plain, logged = timed(lambda: table.changes_since(base)), timed(scan), timed(from_log)
     old = slices  # a subscriber that was away for long: the log holds each change anew
-    far = timed(lambda: table.since(old))
+    far = timed(lambda: table.changes_since(old))
     base = old
     return {
         "scan": round(plain / index, 1),
@@ -220,7 +220,7 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for k in range(count):
-        world.hub.hello(world.now, f"p{k}", k, None, None, None, False)
+        world.hub.handle_hello(world.now, f"p{k}", k, None, None, None, False)
     cursor = (tracemalloc.get_traced_memory()[0] - before) / count / 1024
     tracemalloc.stop()
     return {"cursor": round(cursor, 2)}
@@ -277,7 +277,9 @@
         edges = site.proxies(8)
 
         def same() -> bool:
-            return all(e.link and e.subscriber.place is None and e.subscriber.tables == stand.slices for e in edges)
+            return all(
+                e.link and e.subscriber.next_slice is None and e.subscriber.slice_lines == stand.slices for e in edges
+            )
 
         stand.until(same)
         for k in range(kills):
@@ -302,7 +304,7 @@
     turns: list[float] = []
     settings = settings_of(size)
     world = World(settings, Table("e"))
-    empty = Hub(Table("e"), settings, b"k", wire.encoded, 1)
+    empty = Hub(Table("e"), settings, b"k", wire.encode_delta, 1)
     for s in proxies(count):
         world.join(s)
     clock = time.perf_counter
@@ -313,7 +315,7 @@
         world.now = now
         for full in (True, False) if len(turns) % 2 else (False, True):
             begun = clock()
-            (world.hub if full else empty).ordered(now, inbox, orders)
+            (world.hub if full else empty).apply_round(now, inbox, orders)
             times[full].append(decided + clock() - begun)
         begun = clock()
         world.turn()
@@ -336,15 +338,15 @@
 
 def encodings() -> dict:
     """A piece of 500 lines in the forms that were weighed."""
-    parts, _ = filled(500, 60).pieces(0, 500)
+    parts, _ = filled(500, 60).snapshot_piece(0, 500)
     parts = tuple(p._replace(lines={f"s-{hash((p.slice, 1)) & 0xFFFFFFFF:08x}": 1.0}) for p in parts)
     delta = Delta(parts, {}, {})
-    rows = [[p.slice, int(p.whole), p.lines, p.levels] for p in parts]
+    rows = [[p.slice, int(p.is_full), p.lines, p.levels] for p in parts]
     words = [
         w for p in parts for server, weight in p.lines.items() for w in ("SET", str(p.slice), server, f"{weight:g}")
     ]
     forms = {
-        "json": (lambda: wire.encoded(delta), lambda data: json.loads(data)),
+        "json": (lambda: wire.encode_delta(delta), lambda data: json.loads(data)),
         "msgpack": (
             lambda: msgpack.packb({"s": rows, "shut": {}, "levels": {}}),
             lambda data: msgpack.unpackb(data, strict_map_key=False),
@@ -391,7 +393,7 @@
         world.turn()
         for name in list(world.pipes):
             world.deliver(name, 1)  # one message a tick of 50 ms: a way of that length
-            if world.pipes[name].subscriber.version >= target and world.pipes[name].subscriber.place is None:
+            if world.pipes[name].subscriber.version >= target and world.pipes[name].subscriber.next_slice is None:
                 done.setdefault(name, world.now - begun)
         world.now += 0.05
     by = {kind: max((t for n, t in done.items() if n[0] == kind), default=None) for kind in "pfw"}
--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -37,7 +37,7 @@
 )
 
 if TYPE_CHECKING:
-    from knotwalk.pubsub.persistence import Keeper
+    from knotwalk.pubsub.persistence import TableWriter
     from knotwalk.pubsub.publisher import Publisher
     from knotwalk.record.feed import Feed
     from knotwalk.record.recorder import Recorder
@@ -173,7 +173,7 @@
         self.recorder: Recorder | None = None
         self.feed: Feed | None = None
         self.publisher: Publisher | None = None
-        self.keeper: Keeper | None = None
+        self.keeper: TableWriter | None = None
         if operator and operator.record.enabled:
             self.record(operator.record)
         if operator and operator.pubsub.enabled:
@@ -217,19 +217,19 @@
                 path = Path(wanted.keep) / f"{self.config.name}.kwt"
                 path.parent.mkdir(parents=True, exist_ok=True)
                 try:
-                    lock = persistence.locked(path)
+                    lock = persistence.acquire_lock(path)
                     try:
                         table, key = persistence.load(path) or (table, key)
-                    except persistence.Unkept as fault:  # it is only of use: a new epoch does without
+                    except persistence.TableFileError as fault:  # it is only of use: a new epoch does without
                         self.log("kept table not used", f"{path}: {fault}; a new epoch begins")
-                    self.keeper = persistence.Keeper(self.loop, path, lock, table, key, self.log)
-                except persistence.Unkept as fault:
+                    self.keeper = persistence.TableWriter(self.loop, path, lock, table, key, self.log)
+                except persistence.TableFileError as fault:
                     self.log("table not kept", f"{path}: {fault}; a new epoch begins, and ends with this process")
-        except publisher.Misfit as fault:
+        except publisher.AccessConfigError as fault:
             raise Misfit(f"pubsub: {fault}") from None
         except OSError as fault:
             raise Misfit(f"pubsub.keep: {fault.filename}: {fault.strerror}") from None
-        hub = Hub(table, self.config.settings, key, wire.encoded, self.config.seed)
+        hub = Hub(table, self.config.settings, key, wire.encode_delta, self.config.seed)
         self.publisher = publisher.Publisher(
             self.loop,
             hub,
@@ -298,10 +298,10 @@
                 self.recorder.round(now, inbox, tape.orders, self.module)
             if tape and self.publisher:
                 if out.orders:  # one account a proxy over all fronts
-                    self.publisher.hub.charge(now, self.news.proxies)
-                self.publisher.round(now, inbox, tape.orders)
+                    self.publisher.hub.charge_messages(now, self.news.proxies)
+                self.publisher.handle_round(now, inbox, tape.orders)
                 if self.keeper:
-                    self.keeper.watch(self.publisher.anew)
+                    self.keeper.check_reservation(self.publisher.start_new_epoch)
 
     def next_round(self) -> None:
         self.timer = None
@@ -364,7 +364,7 @@
         assert self.publisher is not None
         try:
             self.publisher.reload(publisher.Access(*self.access_files))
-        except publisher.Misfit as fault:
+        except publisher.AccessConfigError as fault:
             self.log("reload refused", f"pubsub: {fault}; the old keys stay")
 
     def run(self) -> None:
--- a/knotwalk/pubsub/client.py
+++ b/knotwalk/pubsub/client.py
@@ -1,6 +1,6 @@
-"""The subscriber on a loop: connects, goes on after breaks, and tells of what changed.
+"""The subscriber on an event loop: connects, reconnects after failures, and reports what changed.
 
-Owns the connection and its waits; what is held is the subscriber's to say.
+Owns the connection and its timers; the table and the protocol's state are kept by Subscriber.
 """
 
 import ssl
@@ -10,38 +10,40 @@
 from knotwalk.net.loop import Link, Loop, Timer, Unreadable
 from knotwalk.pubsub import wire
 from knotwalk.pubsub.subscriber import Subscriber
-from knotwalk.pubsub.tls import Secure
+from knotwalk.pubsub.tls import TlsPeer
 
-CONNECT = 2.0  # seconds for a connection to come up
-SILENT = 60.0  # seconds without a word after which the stream is tried anew: a cut says nothing
+CONNECT_TIMEOUT_S = 2.0
+SILENCE_TIMEOUT_S = 60.0  # reconnect if nothing is received for so long: a cut network path gives no other sign
 
 
 class Client:
-    """One subscriber at the first of some addresses that serves it. `changed` hears of each message applied,
-    `said` of whatever else is worth a line: (kind, text)."""
+    """One subscriber, connected to the first of some addresses that accepts it.
+
+    `on_applied` is called with each message applied, `on_event` with (kind, text) for everything else worth reporting.
+    """
 
     def __init__(
         self,
         loop: Loop,
         addresses: Sequence[tuple[str, int]],
         subscriber: Subscriber,
-        changed: Callable[[Mapping], None] = lambda told: None,
-        said: Callable[[str, str], None] = lambda kind, text: None,
+        on_applied: Callable[[Mapping], None] = lambda message: None,
+        on_event: Callable[[str, str], None] = lambda kind, text: None,
         context: ssl.SSLContext | None = None,
         server_name: str | None = None,
     ):
         self.loop, self.addresses, self.subscriber = loop, list(addresses), subscriber
-        self.changed, self.said, self.context, self.server_name = changed, said, context, server_name
-        self.at = 0
+        self.on_applied, self.on_event, self.context, self.server_name = on_applied, on_event, context, server_name
+        self.address_index = 0
         self.link: Link | None = None
-        self.lines = wire.Lines(wire.FROM_PUBLISHER)
+        self.decoder = wire.LineDecoder(wire.MAX_PUBLISHER_LINE_BYTES)
         self.timer: Timer | None = None
-        self.later = 0.0  # seconds that the publisher asked to wait
+        self.retry_after_s = 0.0  # asked for by the publisher
         self.stopped = False
 
     def start(self) -> None:
-        peer = Secure(self, self.context, False, self.server_name) if self.context else self
-        self.loop.connect(self.addresses[self.at], peer, CONNECT)
+        peer = TlsPeer(self, self.context, False, self.server_name) if self.context else self
+        self.loop.connect(self.addresses[self.address_index], peer, CONNECT_TIMEOUT_S)
 
     def stop(self) -> None:
         self.stopped = True
@@ -51,38 +53,38 @@
             self.link.end(Ending.LEFT)
 
     def opened(self, link: Link) -> None:
-        self.link, self.lines = link, wire.Lines(wire.FROM_PUBLISHER)
-        self.said("connected", "%s:%d" % self.addresses[self.at])
+        self.link, self.decoder = link, wire.LineDecoder(wire.MAX_PUBLISHER_LINE_BYTES)
+        self.on_event("connected", "%s:%d" % self.addresses[self.address_index])
         link.write(self.subscriber.hello())
-        self.stay_awake()
+        self.restart_silence_timer()
 
-    def stay_awake(self) -> None:
+    def restart_silence_timer(self) -> None:
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.after(SILENT, self.silent)
+        self.timer = self.loop.after(SILENCE_TIMEOUT_S, self.handle_silence)
 
-    def silent(self) -> None:
+    def handle_silence(self) -> None:
         if self.link:
             self.link.end(Ending.SILENT)
 
     def fed(self, link: Link, data: memoryview) -> None:
-        self.stay_awake()
-        for told in self.lines.feed(data):
-            if told["t"] == "later":
-                self.later = wire.weight(told.get("after_ms")) / 1e3
-                self.said("put off", f"{self.later:.1f} s: {told.get('why')}")
-            elif told["t"] == "error":
-                self.subscriber.refused(str(told.get("why")))
-                self.said("refused", str(told.get("why")))
+        self.restart_silence_timer()
+        for message in self.decoder.feed(data):
+            if message["t"] == "later":
+                self.retry_after_s = wire.parse_weight(message.get("after_ms")) / 1e3
+                self.on_event("deferred", f"{self.retry_after_s:.1f} s: {message.get('why')}")
+            elif message["t"] == "error":
+                self.subscriber.handle_refusal(str(message.get("why")))
+                self.on_event("refused", str(message.get("why")))
             before = self.subscriber.applied
             try:
-                answers = self.subscriber.message(self.loop.now(), told)
-            except ValueError as fault:
-                raise Unreadable(str(fault)) from None
+                answers = self.subscriber.handle_message(self.loop.now(), message)
+            except ValueError as error:
+                raise Unreadable(str(error)) from None
             for answer in answers:
                 link.write(answer)
             if self.subscriber.applied > before:
-                self.changed(told)
+                self.on_applied(message)
             if link.over:
                 return
 
@@ -93,8 +95,8 @@
         if self.stopped:
             return
         if ending is not Ending.LEFT:
-            self.said("lost", f"{ending.value} {link.fault if link else ''}")
-        wait, self.later = max(self.subscriber.again(self.loop.now()), self.later), 0.0
+            self.on_event("lost", f"{ending.value} {link.fault if link else ''}")
+        delay, self.retry_after_s = max(self.subscriber.next_retry_delay(self.loop.now()), self.retry_after_s), 0.0
         if len(self.addresses) > 1:
-            self.at = (self.at + 1) % len(self.addresses)
-        self.timer = self.loop.after(wait, self.start)
+            self.address_index = (self.address_index + 1) % len(self.addresses)
+        self.timer = self.loop.after(delay, self.start)
--- a/knotwalk/pubsub/command.py
+++ b/knotwalk/pubsub/command.py
@@ -1,4 +1,4 @@
-"""The command `knotwalk subscribe`: prints a table and its changes, for a person or a script."""
+"""The command `knotwalk subscribe`: prints a table and its changes as text or JSON."""
 
 import json
 import signal
@@ -12,44 +12,44 @@
 from knotwalk.pubsub.subscriber import Subscriber
 
 
-class Bad(Exception):
-    """An option that cannot be used; the text says why."""
+class OptionError(Exception):
+    """An invalid option; the text gives the reason."""
 
 
-def addresses_of(texts: list[str]) -> list[tuple[str, int]]:
-    out = []
+def parse_addresses(texts: list[str]) -> list[tuple[str, int]]:
+    addresses = []
     for text in texts:
         host, _, port = text.rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) < 65536:
-            raise Bad(f"'{text}' is no address with a port; 127.0.0.1:3100 would be one")
-        out.append((host, int(port)))
-    return out
+            raise OptionError(f"'{text}' is not an address with a port, such as 127.0.0.1:3100")
+        addresses.append((host, int(port)))
+    return addresses
 
 
-def slices_of(text: str | None) -> list[int] | None:
+def parse_slices(text: str | None) -> list[int] | None:
     """
-    >>> slices_of("3,5-7")
+    >>> parse_slices("3,5-7")
     [3, 5, 6, 7]
     """
     if not text:
         return None
-    out: list[int] = []
+    slices: list[int] = []
     try:
         for part in text.split(","):
             first, dash, last = part.partition("-")
-            out += range(int(first), int(last) + 1) if dash else [int(first)]
+            slices += range(int(first), int(last) + 1) if dash else [int(first)]
     except ValueError:
-        raise Bad(f"--slices {text}: 3,5-7 would be right") from None
-    if len(out) > wire.SLICES_MOST:
-        raise Bad(f"--slices names {len(out)}, {wire.SLICES_MOST} at most")
-    return out
+        raise OptionError(f"--slices {text}: expected a list such as 3,5-7") from None
+    if len(slices) > wire.MAX_LISTED_SLICES:
+        raise OptionError(f"--slices lists {len(slices)} slices; at most {wire.MAX_LISTED_SLICES} are allowed")
+    return slices
 
 
 def subscribe(options: dict) -> int:
-    """`knotwalk subscribe`, with docopt's options; the exit code."""
+    """Run `knotwalk subscribe` with docopt's options; return the exit code."""
     as_json, once = options["--json"], options["--once"]
     try:
-        addresses = addresses_of(options["ADDRESS"])
+        addresses = parse_addresses(options["ADDRESS"])
         key = None
         if options["--key"]:
             with open(options["--key"], encoding="utf-8") as file:
@@ -59,56 +59,60 @@
             context = ssl.create_default_context(cafile=options["--ca"])
             if options["--cert"]:
                 context.load_cert_chain(options["--cert"], options["--cert-key"])
-        held = Subscriber(
-            options["--name"] or "watcher", 1, wanted=slices_of(options["--slices"]), of_zone=options["--zone"], key=key
+        subscriber = Subscriber(
+            options["--name"] or "watcher",
+            1,
+            wanted=parse_slices(options["--slices"]),
+            server_zone=options["--zone"],
+            key=key,
         )
-    except Bad as fault:
+    except OptionError as fault:
         print(f"knotwalk: {fault}", file=sys.stderr)
         return 2
     except (OSError, ssl.SSLError) as fault:
         print(f"knotwalk: {getattr(fault, 'filename', '') or ''} {fault.strerror or fault}", file=sys.stderr)
         return 2
-    loop, done = Loop(), []
+    loop, exit_codes = Loop(), []
 
-    def say(text: str) -> None:
+    def print_line(text: str) -> None:
         try:
             print(text, flush=True)
         except BrokenPipeError:
-            done.append(0)
+            exit_codes.append(0)
 
-    def changed(told: Mapping) -> None:
-        delta = wire.decoded(told["d"])
+    def on_applied(message: Mapping) -> None:
+        delta = wire.decode_delta(message["d"])
         if as_json:
-            say(
+            print_line(
                 json.dumps(
                     {
-                        "kind": told["t"],
-                        "epoch": held.epoch,
-                        "version": held.version,
-                        "whole": held.place is None,
-                        "slices": {p.slice: held.tables.get(p.slice, {}) for p in delta.parts},
-                        "shut": delta.shut,
+                        "kind": message["t"],
+                        "epoch": subscriber.epoch,
+                        "version": subscriber.version,
+                        "whole": subscriber.next_slice is None,
+                        "slices": {p.slice: subscriber.slice_lines.get(p.slice, {}) for p in delta.parts},
+                        "shut": delta.withdrawn,
                     }
                 )
             )
         else:
             for p in delta.parts:
-                lines = ", ".join(f"{k} {w:g}" for k, w in sorted(held.tables.get(p.slice, {}).items()))
-                say(f"{held.version} slice {p.slice}: {lines or 'no line'}")
-            for server, out in delta.shut.items():
-                say(f"{held.version} server {server}: {'withdrawn' if out else 'open again'}")
-        if held.place is None and once:
-            done.append(0)
+                lines = ", ".join(f"{k} {w:g}" for k, w in sorted(subscriber.slice_lines.get(p.slice, {}).items()))
+                print_line(f"{subscriber.version} slice {p.slice}: {lines or 'no line'}")
+            for server, is_withdrawn in delta.withdrawn.items():
+                print_line(f"{subscriber.version} server {server}: {'withdrawn' if is_withdrawn else 'open again'}")
+        if subscriber.next_slice is None and once:
+            exit_codes.append(0)
 
-    def said(kind: str, text: str) -> None:
+    def on_event(kind: str, text: str) -> None:
         print(f"knotwalk: {kind}: {text}", file=sys.stderr, flush=True)
         if kind == "refused" and once:
-            done.append(1)
+            exit_codes.append(1)
 
-    client = Client(loop, addresses, held, changed, said, context, options["--server-name"])
-    loop.signals((signal.SIGINT, signal.SIGTERM), lambda _: done.append(0))
+    client = Client(loop, addresses, subscriber, on_applied, on_event, context, options["--server-name"])
+    loop.signals((signal.SIGINT, signal.SIGTERM), lambda _: exit_codes.append(0))
     client.start()
-    while not done:
+    while not exit_codes:
         loop.turn()
     client.stop()
-    return done[0]
+    return exit_codes[0]
--- a/knotwalk/pubsub/hub.py
+++ b/knotwalk/pubsub/hub.py
@@ -1,8 +1,9 @@
-"""The hub: who is sent what, and when, under one budget of lines and messages.
+"""The hub: decides which subscriber is sent which message and when, within the caps on lines and messages.
 
-Owns cursors, accounts of messages, and the order in which subscribers are served. Pure: it is told the time and what
-came, and hands bodies to a sender. It must never pass a cap of rule 5, let an observer delay a proxy, send a
-subscriber a change that it cannot place, or hold more for one that does not read than its cursor.
+Keeps a cursor for each subscriber, the times of the messages sent to each proxy, and the order in which subscribers are
+served. Does no I/O and reads no clock: callers pass the time and what was received, and a sender takes the messages.
+Invariants: no cap of rule 5 is exceeded; an observer never delays a proxy; no subscriber is sent a change that does not
+follow from what it holds; and nothing but a cursor is kept for a subscriber that does not read.
 """
 
 import json
@@ -13,83 +14,87 @@
 
 from knotwalk.interface import Settings
 from knotwalk.pubsub import token
-from knotwalk.pubsub.versions import Delta, Part, Table
+from knotwalk.pubsub.versions import Delta, SliceUpdate, Table
 
-# Who goes first. Each class may fill the proxies' part of the channel up to its share, so that what cannot wait finds
-# room; the first two are rules 1 and 3, and may also use the last message of a proxy's span.
-BARE, LEAVING, ORDINARY, STALE, OBSERVER = range(5)
+# Priority classes, the most urgent first: proxies without a usable table; proxies that still hold lines to a draining
+# or withdrawn server; other changes; snapshots for proxies that hold an old table; observers. Each class of proxies may
+# fill the proxies' part of the channel (the cap on unacknowledged lines) up to its share, so that more urgent messages
+# still find space. The first two serve rules 1 and 3 and may also use the last message of a proxy's span.
+NO_TABLE, DRAINING, CHANGE, STALE_TABLE, OBSERVER = range(5)
 SHARES = (0.98, 0.98, 0.85, 0.7, 1.0)
-PROXIES = 0.95  # of the channel; the rest is the observers', whom no storm of proxies starves
-FLIGHT = 3  # messages to one subscriber not yet acknowledged: later changes collapse into the newest state
-ACK_LATE = 15.0  # seconds without the answer to a message after which a subscriber is let go
-SPANS_MOST = 2.0  # spans that a stale proxy waits behind ordinary changes, at the most: then it counts as they do
-PIECE_LEAST, PIECE_MOST = 64, 2000  # lines of a snapshot's piece: a head is worth it; a link's buffer holds it
-HOLD_MOST = 3.0  # seconds of a snapshot's wait that are held; past that one with a table is told when to return
-NACK_FIRST, NACK_MOST = 1.0, 60.0  # seconds before a table that was refused is sent again; doubles
-WAIT = 0.05  # seconds until another look at a full channel: answers wake the hub sooner
-SPARE = 1.1  # times the span: the proxy's clock counts from when it reads, not from when we write
+PROXY_SHARE = 0.95  # of the channel; the rest is reserved for observers, so that busy proxies cannot starve them
+MAX_IN_FLIGHT = 3  # unacknowledged messages to one subscriber; later changes are merged into the newest state
+ACK_TIMEOUT_S = 15.0  # a subscriber that has not acknowledged a message by then is disconnected
+MAX_STALE_SPANS = 2.0  # spans for which a proxy with a stale table ranks behind changes; after that it ranks with them
+# Lines in one piece of a snapshot: fewer would not be worth the message's header, more would not fit a link's buffer.
+MIN_PIECE_LINES, MAX_PIECE_LINES = 64, 2000
+MAX_SNAPSHOT_WAIT_S = 3.0  # expected wait for a snapshot above which a subscriber that has a table must retry later
+MIN_NACK_DELAY_S, MAX_NACK_DELAY_S = 1.0, 60.0  # before a rejected table is sent again; doubles with each rejection
+FULL_CHANNEL_RETRY_S = 0.05  # until a full channel is checked again; acknowledgements wake the hub sooner
+SPAN_MARGIN = 1.1  # factor on the span: a proxy's clock counts from when it reads, ours from when we write
 
 
-class Refused(Exception):
-    """A hello that cannot be served; the text says why, for both sides."""
+class MessageRejectedError(Exception):
+    """A message from a subscriber is not accepted; the text gives the reason to the subscriber and to the log."""
 
 
-class Later(Exception):
-    """A subscriber that has a table and had better return."""
+class RetryLaterError(Exception):
+    """The subscriber already has a table and should reconnect after `delay_s` seconds."""
 
-    def __init__(self, after: float, why: str):
+    def __init__(self, delay_s: float, why: str):
         super().__init__(why)
-        self.after = after
+        self.delay_s = delay_s
 
 
 class Cursor:
-    """One subscriber: what it has, what is under way, what it acknowledged."""
-
-    def __init__(self, name: str, proxy: int | None, since: float):
-        self.name, self.proxy, self.since = name, proxy, since
-        self.wanted: frozenset[int] | None = None  # slices; None: all
-        self.zone: str | None = None  # of servers; None: all
-        self.version = 0  # all up to it was sent, in a snapshot below the place
-        self.acked = -1  # the last version that it holds whole
-        self.place: int | None = 0  # the next slice of a snapshot under way; None: it is over
-        self.first = True  # whether the snapshot's first piece is yet to go
-        self.usable = False  # whether it holds a table, though an old one
-        self.need: list[int] = []  # slices of which it has no line left, asked for out of turn
-        self.number = 0  # of the last message
-        self.flight: deque[tuple[int, float, int, int, bool]] = deque()  # number, when, lines, version, whole
-        self.behind_since: float | None = since
-        self.not_before = 0.0
-        self.nacks = 0
-        self.writable: Callable[[], bool] = lambda: True  # whether its link takes more
+    """One subscriber: what it was sent, what is in flight and what it has acknowledged."""
+
+    def __init__(self, name: str, proxy: int | None, joined_at: float):
+        self.name, self.proxy, self.joined_at = name, proxy, joined_at
+        self.wanted: frozenset[int] | None = None  # slices that it subscribes to; None: all
+        self.zone: str | None = None  # only servers of this zone; None: all
+        self.version = 0  # it was sent everything up to this version; during a snapshot, only below next_slice
+        self.acked_version = -1  # the last version of which it acknowledged the complete table
+        self.next_slice: int | None = 0  # the next slice of the snapshot in progress; None: no snapshot
+        self.first_piece_pending = True  # the snapshot's first piece has not been sent
+        self.has_table = False  # it holds a table, though perhaps an old one
+        self.needed_slices: list[int] = []  # slices without a line left, which it asked for out of turn
+        self.number = 0  # number of the last message sent
+        # unacknowledged messages: (number, sent at, lines, version, whether the table is complete with it)
+        self.in_flight: deque[tuple[int, float, int, int, bool]] = deque()
+        self.behind_since: float | None = joined_at  # when the table first was newer; None: up to date
+        self.not_before = 0.0  # no message is sent before this time
+        self.nacks = 0  # messages rejected since it last acknowledged a complete table
+        self.is_writable: Callable[[], bool] = lambda: True  # whether its link can take more bytes
 
     @property
-    def signed(self) -> str:
-        """What its tokens are signed for: its name, and what of the table they speak of."""
+    def token_subject(self) -> str:
+        """What its tokens are signed for: its name and the part of the table that it subscribes to."""
         wanted = "" if self.wanted is None else ",".join(map(str, sorted(self.wanted)))
         return f"{self.name}\0{wanted}\0{self.zone or ''}"
 
 
 class Sender(Protocol):
-    """Where messages go."""
+    """Carries out what the hub decides."""
 
     def send(self, cursor: Cursor, message: bytes) -> None:
-        """To one subscriber."""
+        """Send a message to one subscriber."""
 
     def end(self, cursor: Cursor, why: str) -> None:
-        """It is let go, and told why."""
+        """Disconnect a subscriber and send it the reason."""
 
-    def told(self, handler: str, *arguments: object) -> None:
-        """Something for the module's inbox."""
+    def notify_module(self, handler: str, *arguments: object) -> None:
+        """Add an event to the module's inbox."""
 
-    def note(self, kind: str, text: str) -> None:
-        """A line for the operators."""
+    def log_event(self, kind: str, text: str) -> None:
+        """Write a log line for operators."""
 
 
 class Message(NamedTuple):
-    """What a message says beside the number and the token, which differ by subscriber."""
+    """The content of a message without its number and token, which differ between subscribers."""
 
-    head: str  # JSON members
-    body: bytes  # the delta, encoded once for all
+    head: str  # JSON members, without braces
+    body: bytes  # the delta, encoded once for all subscribers that need it
     lines: int
 
 
@@ -100,103 +105,107 @@
         self.table, self.settings, self.key, self.encode = table, settings, key, encode
         self.random = Random(seed)
         self.cursors: dict[str, Cursor] = {}
-        self.accounts: dict[int, deque[float]] = {}  # by proxy: when messages went, over all fronts
-        self.waiting = {True: 0, False: 0}  # lines not yet acknowledged: proxies', observers'
-        self.marks: deque[tuple[int, int]] = deque()  # receipts that the module asked for, and their versions
+        self.sent_at: dict[int, deque[float]] = {}  # by proxy: when it was sent messages, on any channel
+        self.unacked_lines = {True: 0, False: 0}  # lines in flight, to proxies (True) and to observers (False)
+        self.receipts: deque[tuple[int, int]] = deque()  # (mark, version) of the receipts that the module asked for
         self.leaving: set[str] = set()  # servers that are draining or gone
-        self.urgent = 0  # the version of the last line taken from one of those
-        self.zones: dict[str, str] = {}  # of servers
-        self.encoded: dict[tuple, tuple[bytes, int]] = {}
-        self.encoded_at = -1
+        self.urgent_version = 0  # the last version that removed a line of such a server or withdrew a server
+        self.zones: dict[str, str] = {}  # by server
+        self.encoded: dict[tuple, tuple[bytes, int]] = {}  # cache of encoded deltas and their sizes in lines
+        self.encoded_version = -1  # the table version to which the cache belongs
 
     # --- caps ---
 
     @property
     def span(self) -> float:
-        return SPARE * (self.settings.messages_span or 10.0)
+        """Seconds over which messages to one proxy are counted."""
+        return SPAN_MARGIN * (self.settings.messages_span or 10.0)
 
-    def room(self, proxy: bool, share: float) -> float:
-        """Lines that may still go, for a class's share."""
-        most = self.settings.lines_waiting_most
-        if not most:
+    def available_lines(self, proxy: bool, share: float) -> float:
+        """Lines that may still be sent by a class with that share of the channel."""
+        max_lines = self.settings.lines_waiting_most
+        if not max_lines:
             return float("inf")
-        return most * (PROXIES * share if proxy else 1 - PROXIES) - self.waiting[proxy]
+        return max_lines * (PROXY_SHARE * share if proxy else 1 - PROXY_SHARE) - self.unacked_lines[proxy]
 
     def messages_left(self, now: float, proxy: int) -> int:
-        """Messages that a proxy may still be sent in this span, over all fronts."""
+        """Messages that a proxy may still be sent in this span, counting those sent on other channels."""
         if not self.settings.messages_most:
             return 1 << 30
-        account = self.accounts.get(proxy)
-        if account is None:
+        times = self.sent_at.get(proxy)
+        if times is None:
             return self.settings.messages_most
-        while account and account[0] <= now - self.span:
-            account.popleft()
-        return self.settings.messages_most - len(account)
+        while times and times[0] <= now - self.span:
+            times.popleft()
+        return self.settings.messages_most - len(times)
 
-    def charge(self, now: float, proxies: Iterable[int]) -> None:
-        """Another front has sent these a message."""
+    def charge_messages(self, now: float, proxies: Iterable[int]) -> None:
+        """Count a message that these proxies were sent on another channel: the cap is on the sum of all channels."""
         for proxy in proxies:
-            self.accounts.setdefault(proxy, deque()).append(now)
+            self.sent_at.setdefault(proxy, deque()).append(now)
 
-    # --- the module's orders ---
+    # --- the module's orders and inbox ---
 
-    def ordered(self, now: float, inbox: Iterable[tuple[str, tuple]], orders: Iterable[tuple[str, tuple]]) -> None:
-        """A round becomes versions of the table."""
+    def apply_round(self, now: float, inbox: Iterable[tuple[str, tuple]], orders: Iterable[tuple[str, tuple]]) -> None:
+        """Apply a round's inbox and orders to the table."""
         table = self.table
-        self.met(inbox)
-        for name, f in orders:
+        self.apply_inbox(inbox)
+        for name, fields in orders:
             if name == "line":
-                table.line(*f)
-                if not f[2] and f[1] in self.leaving:
-                    self.urgent = table.version
+                table.set_line(*fields)
+                if not fields[2] and fields[1] in self.leaving:
+                    self.urgent_version = table.version
             elif name == "admit":
-                table.level(*f)
+                table.set_level(*fields)
             elif name == "withdraw":
-                table.withdraw(*f)
-                if f[1]:
-                    self.urgent = table.version
+                table.set_withdrawn(*fields)
+                if fields[1]:
+                    self.urgent_version = table.version
             elif name == "receipt":
-                self.marks.append((f[0], table.version))
-        while len(self.marks) > 4096:
-            self.marks.popleft()
-
-    def met(self, inbox: Iterable[tuple[str, tuple]]) -> None:
-        """What the module is told of servers and slices holds here too, ahead of what it orders on it."""
-        given: dict[int, dict[str, float]] = {}
-        for name, f in inbox:
+                self.receipts.append((fields[0], table.version))
+        while len(self.receipts) > 4096:
+            self.receipts.popleft()
+
+    def apply_inbox(self, inbox: Iterable[tuple[str, tuple]]) -> None:
+        """Apply what the module is told of servers and slices; called before the orders that it based on that."""
+        granted_lines: dict[int, dict[str, float]] = {}
+        for name, fields in inbox:
             if name == "listed":
-                self.listed(
-                    f[2]
-                    if not f[0]
-                    else [*f[2], *((x, "", "gone") for x in list(self.zones) if x not in {e[0] for e in f[2]})]
+                self.update_servers(
+                    fields[2]
+                    if not fields[0]
+                    else [
+                        *fields[2],
+                        *((x, "", "gone") for x in list(self.zones) if x not in {e[0] for e in fields[2]}),
+                    ]
                 )
             elif name == "given":
-                given[f[0]] = {}
-            elif name == "held" and f[0] in given:
-                given[f[0]][f[1]] = f[2]
+                granted_lines[fields[0]] = {}
+            elif name == "held" and fields[0] in granted_lines:
+                granted_lines[fields[0]][fields[1]] = fields[2]
             elif name == "held":
-                self.table.line(*f)
-        for slice_id, lines in given.items():
-            self.table.replace(slice_id, lines)
-            if slice_id in self.table.slices:  # a giving resets levels
+                self.table.set_line(*fields)
+        for slice_id, lines in granted_lines.items():
+            self.table.replace_lines(slice_id, lines)
+            if slice_id in self.table.slices:  # being given a slice resets its levels
                 for method, (_, retry, _) in list(self.table.slices[slice_id].levels.items()):
-                    self.table.level(slice_id, method, 1.0, retry)
+                    self.table.set_level(slice_id, method, 1.0, retry)
 
-    def listed(self, entries: Iterable[tuple]) -> None:
-        """Servers as the list has them: (id, zone, state, size, started)."""
-        for id, zone, condition, *_ in entries:
+    def update_servers(self, entries: Iterable[tuple]) -> None:
+        """Take over entries of the server list: (id, zone, state, size, started)."""
+        for id, zone, state, *_ in entries:
             self.zones[id] = zone or self.zones.get(id, "")
-            if condition == "ready":
+            if state == "ready":
                 self.leaving.discard(id)
             else:
                 self.leaving.add(id)
-                if condition == "gone" and id not in self.table.used:
+                if state == "gone" and id not in self.table.line_counts:
                     self.zones.pop(id, None)
                     self.leaving.discard(id)
 
     # --- subscribers ---
 
-    def hello(
+    def handle_hello(
         self,
         now: float,
         name: str,
@@ -204,215 +213,247 @@
         wanted: frozenset[int] | None,
         zone: str | None,
         resume: object,
-        usable: bool,
+        has_table: bool,
     ) -> Cursor:
-        """A subscriber joins, with what it holds. One of the same name is replaced: its old stream is dead.
+        """Admit a subscriber, which resumes from its token if possible. It replaces one of the same name, whose stream
+        must be dead.
 
-        Raises Refused, or Later where it had better return.
+        Raises MessageRejectedError, or RetryLaterError if it should reconnect later.
         """
         if proxy is not None and (wanted is not None or zone is not None):
-            raise Refused("a proxy takes the whole table")
+            raise MessageRejectedError("a proxy must subscribe to the whole table")
         cursor = Cursor(name, proxy, now)
-        cursor.wanted, cursor.zone, cursor.usable = wanted, zone, usable
-        held = token.read(self.key, cursor.signed, resume) if resume is not None else None
+        cursor.wanted, cursor.zone, cursor.has_table = wanted, zone, has_table
+        held = token.decode_token(self.key, cursor.token_subject, resume) if resume is not None else None
         if resume is not None and held is None:
-            raise Refused("a token that is none of ours for you")
+            raise MessageRejectedError("the token was not issued by this publisher to this subscriber")
         if held is not None and held.epoch == self.table.epoch:
             if held.version > self.table.version:
-                raise Refused(f"a token of version {held.version}, which is yet to come")
-            if self.table.holds(held.version):
-                cursor.version, cursor.place, cursor.first = held.version, held.place, False
-                if held.place is None:
-                    cursor.acked, cursor.usable = held.version, True
-        if cursor.usable and cursor.place is not None and cursor.first:
-            wait = self.snapshots_wait()
-            if wait > HOLD_MOST:
-                raise Later(wait * self.random.uniform(0.5, 1.5), "many subscribers want a snapshot at once")
+                raise MessageRejectedError(f"the token is of version {held.version}, which does not exist yet")
+            if self.table.can_resume_from(held.version):
+                cursor.version, cursor.next_slice, cursor.first_piece_pending = held.version, held.next_slice, False
+                if held.next_slice is None:
+                    cursor.acked_version, cursor.has_table = held.version, True
+        if cursor.has_table and cursor.next_slice is not None and cursor.first_piece_pending:
+            wait = self.estimate_snapshot_wait()
+            if wait > MAX_SNAPSHOT_WAIT_S:
+                raise RetryLaterError(
+                    wait * self.random.uniform(0.5, 1.5), "many subscribers are waiting for a snapshot"
+                )
         old = self.cursors.get(name)
         if old is not None:
-            self.forget(old)
+            self.release_lines(old)
         self.cursors[name] = cursor
         return cursor
 
-    def snapshots_wait(self) -> float:
-        """Seconds that the snapshots under way will take, by half of the channel's usual rate."""
+    def estimate_snapshot_wait(self) -> float:
+        """Seconds until the snapshots in progress are sent, assuming half of the channel's usual rate for them."""
         if not self.settings.lines_rate:
             return 0.0
-        whole = sum(self.table.used.values())
-        left = sum(whole for c in self.cursors.values() if c.place is not None)
-        return left / (self.settings.lines_rate / 2)
+        table_lines = sum(self.table.line_counts.values())
+        remaining = sum(table_lines for cursor in self.cursors.values() if cursor.next_slice is not None)
+        return remaining / (self.settings.lines_rate / 2)
 
-    def left(self, cursor: Cursor) -> None:
-        """Its stream is over."""
+    def remove(self, cursor: Cursor) -> None:
+        """Remove a subscriber whose stream has ended."""
         if self.cursors.get(cursor.name) is cursor:
             del self.cursors[cursor.name]
-            self.forget(cursor)
+            self.release_lines(cursor)
 
-    def forget(self, cursor: Cursor) -> None:
-        self.waiting[cursor.proxy is not None] -= sum(f[2] for f in cursor.flight)
-        cursor.flight.clear()
+    def release_lines(self, cursor: Cursor) -> None:
+        """Stop counting the lines in flight to a subscriber."""
+        self.unacked_lines[cursor.proxy is not None] -= sum(message[2] for message in cursor.in_flight)
+        cursor.in_flight.clear()
 
     def prune(self, now: float) -> None:
-        """Accounts of proxies that are no longer here count until their span is over."""
-        here = {c.proxy for c in self.cursors.values()}
-        for proxy in [p for p, a in self.accounts.items() if p not in here and (not a or a[-1] <= now - self.span)]:
-            del self.accounts[proxy]
-
-    def ack(self, now: float, cursor: Cursor, number: int, need: list[int], out: Sender) -> None:
-        """All messages up to a number were taken in; `need` are slices without a line left. Raises Refused."""
-        if not cursor.number - len(cursor.flight) <= number <= cursor.number:
-            raise Refused(f"an answer to message {number}, and {cursor.number} was the last")
-        while cursor.flight and cursor.flight[0][0] <= number:
-            _, _, lines, version, whole = cursor.flight.popleft()
-            self.waiting[cursor.proxy is not None] -= lines
-            if whole:
-                before, cursor.acked = cursor.acked, version
-                cursor.usable, cursor.nacks = True, 0
+        """Drop the counts of proxies that have left, once their last span is over."""
+        connected = {cursor.proxy for cursor in self.cursors.values()}
+        for proxy in [p for p, t in self.sent_at.items() if p not in connected and (not t or t[-1] <= now - self.span)]:
+            del self.sent_at[proxy]
+
+    def handle_ack(self, now: float, cursor: Cursor, number: int, need: list[int], sender: Sender) -> None:
+        """All messages up to a number were applied; `need` are slices that the subscriber has no line of any more.
+
+        Raises MessageRejectedError.
+        """
+        if not cursor.number - len(cursor.in_flight) <= number <= cursor.number:
+            raise MessageRejectedError(
+                f"acknowledgement of message {number}, but the last one sent was {cursor.number}"
+            )
+        while cursor.in_flight and cursor.in_flight[0][0] <= number:
+            _, _, lines, version, completes_table = cursor.in_flight.popleft()
+            self.unacked_lines[cursor.proxy is not None] -= lines
+            if completes_table:
+                before, cursor.acked_version = cursor.acked_version, version
+                cursor.has_table, cursor.nacks = True, 0
                 if cursor.proxy is not None:
-                    mark = next((m for m, v in reversed(self.marks) if before < v <= version), None)
+                    mark = next((m for m, v in reversed(self.receipts) if before < v <= version), None)
                     if mark is not None:
-                        out.told("applied", cursor.proxy, mark)
-        if need and cursor.place is not None:
-            cursor.need = [x for x in need if x in self.table.slices][:PIECE_MOST]
-
-    def nack(self, now: float, cursor: Cursor, number: int, why: str, out: Sender) -> None:
-        """A message was not taken in: its table stands as it was. It is begun anew after a while."""
-        if not cursor.flight or number < cursor.flight[0][0] or number > cursor.number:
-            raise Refused(f"a refusal of message {number}, which is not under way")
-        self.forget(cursor)
+                        sender.notify_module("applied", cursor.proxy, mark)
+        if need and cursor.next_slice is not None:
+            cursor.needed_slices = [x for x in need if x in self.table.slices][:MAX_PIECE_LINES]
+
+    def handle_nack(self, now: float, cursor: Cursor, number: int, why: str, sender: Sender) -> None:
+        """A message was rejected and the subscriber's table is unchanged: start a new snapshot after a delay."""
+        if not cursor.in_flight or number < cursor.in_flight[0][0] or number > cursor.number:
+            raise MessageRejectedError(f"rejection of message {number}, which is not in flight")
+        self.release_lines(cursor)
         cursor.nacks += 1
-        cursor.not_before = now + min(NACK_MOST, NACK_FIRST * 2 ** (cursor.nacks - 1))
-        cursor.place, cursor.first, cursor.need = 0, True, []
+        cursor.not_before = now + min(MAX_NACK_DELAY_S, MIN_NACK_DELAY_S * 2 ** (cursor.nacks - 1))
+        cursor.next_slice, cursor.first_piece_pending, cursor.needed_slices = 0, True, []
         cursor.behind_since = now
-        out.note("table refused", f"{cursor.name}: {why[:200]}")
+        sender.log_event("table refused", f"{cursor.name}: {why[:200]}")
 
     # --- sending ---
 
-    def rank(self, now: float, c: Cursor) -> int:
-        if c.proxy is None:
+    def rank(self, now: float, cursor: Cursor) -> int:
+        """The subscriber's priority class."""
+        if cursor.proxy is None:
             return OBSERVER
-        if c.place is not None:
-            if not c.usable or c.need:
-                return BARE
-            waited = now - (c.behind_since if c.behind_since is not None else now)
-            return ORDINARY if waited > SPANS_MOST * self.span else STALE
-        return LEAVING if c.version < self.urgent else ORDINARY
-
-    def turn(self, now: float, out: Sender) -> float:
-        """Send what may go; the time of the next turn, infinity if nothing waits."""
-        if self.encoded_at != self.table.version:
+        if cursor.next_slice is not None:
+            if not cursor.has_table or cursor.needed_slices:
+                return NO_TABLE
+            waited = now - (cursor.behind_since if cursor.behind_since is not None else now)
+            return CHANGE if waited > MAX_STALE_SPANS * self.span else STALE_TABLE
+        return DRAINING if cursor.version < self.urgent_version else CHANGE
+
+    def send_due(self, now: float, sender: Sender) -> float:
+        """Send what the caps allow; return when to call again, infinity if nothing is waiting."""
+        if self.encoded_version != self.table.version:
             self.encoded.clear()
-            self.encoded_at = self.table.version
+            self.encoded_version = self.table.version
         due = float("inf")
         waiting: list[tuple[int, float, Cursor]] = []
-        for c in list(self.cursors.values()):
-            if c.flight and now - c.flight[0][1] > ACK_LATE:
-                out.end(c, f"no answer to message {c.flight[0][0]} for {ACK_LATE:g} s")
+        for cursor in list(self.cursors.values()):
+            if cursor.in_flight and now - cursor.in_flight[0][1] > ACK_TIMEOUT_S:
+                sender.end(cursor, f"no answer to message {cursor.in_flight[0][0]} for {ACK_TIMEOUT_S:g} s")
                 continue
-            if c.flight:
-                due = min(due, c.flight[0][1] + ACK_LATE + 0.01)
-            if c.place is None and c.version >= self.table.version:
-                c.behind_since = None
+            if cursor.in_flight:
+                due = min(due, cursor.in_flight[0][1] + ACK_TIMEOUT_S + 0.01)
+            if cursor.next_slice is None and cursor.version >= self.table.version:
+                cursor.behind_since = None
                 continue
-            if c.behind_since is None:
-                c.behind_since = now
-            if c.not_before > now:
-                due = min(due, c.not_before)
-            elif len(c.flight) < FLIGHT and c.writable():
-                waiting.append((self.rank(now, c), c.behind_since, c))
-        waiting.sort(key=lambda x: (x[0], x[1]))
-        pieces = {proxy: self.piece(proxy) for proxy in (True, False)}
-        for rank, _, c in waiting:
-            due = min(due, self.serve(now, rank, c, pieces[c.proxy is not None], out))
+            if cursor.behind_since is None:
+                cursor.behind_since = now
+            if cursor.not_before > now:
+                due = min(due, cursor.not_before)
+            elif len(cursor.in_flight) < MAX_IN_FLIGHT and cursor.is_writable():
+                waiting.append((self.rank(now, cursor), cursor.behind_since, cursor))
+        waiting.sort(key=lambda entry: (entry[0], entry[1]))
+        piece_lines = {proxy: self.max_piece_lines(proxy) for proxy in (True, False)}
+        for rank, _, cursor in waiting:
+            due = min(due, self.serve(now, rank, cursor, piece_lines[cursor.proxy is not None], sender))
         return due
 
-    def piece(self, proxy: bool) -> int:
-        """Lines of a snapshot's piece: each that takes one now has an even part of the channel. Guards against
-        pieces of what room is left just then: a few lines each, they use up the messages of a span."""
+    def max_piece_lines(self, proxy: bool) -> int:
+        """Lines in one piece of a snapshot: the channel is divided evenly among the snapshots in progress.
+
+        Pieces sized by the space that happens to be left would have a few lines each and use up a span's messages.
+        """
         if not self.settings.lines_waiting_most:
-            return PIECE_MOST
-        under_way = sum(c.place is not None and (c.proxy is not None) == proxy for c in self.cursors.values())
-        most = self.settings.lines_waiting_most * (PROXIES * SHARES[BARE] if proxy else 1 - PROXIES)
-        part = most / max(1, under_way) - self.settings.lines_per_message
-        return int(max(PIECE_LEAST, min(PIECE_MOST, part)))
-
-    def serve(self, now: float, rank: int, c: Cursor, piece: int, out: Sender) -> float:
-        """One message to one subscriber, if the caps allow; when to look again."""
-        proxy = c.proxy is not None
+            return MAX_PIECE_LINES
+        in_progress = sum(
+            cursor.next_slice is not None and (cursor.proxy is not None) == proxy for cursor in self.cursors.values()
+        )
+        max_lines = self.settings.lines_waiting_most * (PROXY_SHARE * SHARES[NO_TABLE] if proxy else 1 - PROXY_SHARE)
+        part = max_lines / max(1, in_progress) - self.settings.lines_per_message
+        return int(max(MIN_PIECE_LINES, min(MAX_PIECE_LINES, part)))
+
+    def serve(self, now: float, rank: int, cursor: Cursor, piece_lines: int, sender: Sender) -> float:
+        """Send one message to one subscriber if the caps allow; return when to try again."""
+        proxy = cursor.proxy is not None
         if proxy:
-            left = self.messages_left(now, c.proxy)  # type: ignore[arg-type]
-            if left < 1 or left < 2 and rank > LEAVING and self.settings.messages_most > 1:
-                account = self.accounts[c.proxy]  # type: ignore[index]
-                return account[0] + self.span
-        head = self.settings.lines_per_message
-        room = self.room(proxy, SHARES[rank]) - head
-        if c.place is not None and c.flight and not c.need:
-            return float("inf")  # the next piece goes when this one is there: it is as large as the channel allows
-        message, place, version = self.message(c, piece)
-        if message.lines > room and (rank > LEAVING or message.lines > self.room(proxy, 1.0) - head):
-            if self.waiting[proxy]:
-                return now + WAIT
-            # With nothing under way it would never fit: changes that many go as a snapshot, in pieces.
-            if message.lines + head > self.settings.lines_waiting_most * (PROXIES if proxy else 1 - PROXIES):
-                if c.place is not None:
-                    out.end(c, f"a message of {message.lines:.0f} lines, more than the channel may hold")
+            left = self.messages_left(now, cursor.proxy)  # type: ignore[arg-type]
+            if left < 1 or left < 2 and rank > DRAINING and self.settings.messages_most > 1:
+                times = self.sent_at[cursor.proxy]  # type: ignore[index]
+                return times[0] + self.span
+        header_lines = self.settings.lines_per_message
+        available = self.available_lines(proxy, SHARES[rank]) - header_lines
+        if cursor.next_slice is not None and cursor.in_flight and not cursor.needed_slices:
+            # A piece is as large as the channel allows, so the next one is sent once this one is acknowledged.
+            return float("inf")
+        message, next_slice, version = self.next_message(cursor, piece_lines)
+        if message.lines > available and (
+            rank > DRAINING or message.lines > self.available_lines(proxy, 1.0) - header_lines
+        ):
+            if self.unacked_lines[proxy]:
+                return now + FULL_CHANNEL_RETRY_S
+            # It would not fit even with nothing in flight: so many changes are sent as a snapshot, in pieces.
+            if message.lines + header_lines > self.settings.lines_waiting_most * (
+                PROXY_SHARE if proxy else 1 - PROXY_SHARE
+            ):
+                if cursor.next_slice is not None:
+                    sender.end(cursor, f"a message of {message.lines:.0f} lines, more than the channel may hold")
                     return float("inf")
-                c.place, c.first = 0, True
+                cursor.next_slice, cursor.first_piece_pending = 0, True
                 return now
-        c.number += 1
-        signed = token.written(self.key, c.signed, self.table.epoch, version, place)
-        out.send(
-            c, b'{"n":%d,"token":"%s",%s,"d":%s}\n' % (c.number, signed.encode(), message.head.encode(), message.body)
+        cursor.number += 1
+        signed = token.encode_token(self.key, cursor.token_subject, self.table.epoch, version, next_slice)
+        sender.send(
+            cursor,
+            b'{"n":%d,"token":"%s",%s,"d":%s}\n'
+            % (cursor.number, signed.encode(), message.head.encode(), message.body),
         )
-        lines = int(message.lines + head)
-        c.flight.append((c.number, now, lines, version, place is None))
-        self.waiting[proxy] += lines
+        lines = int(message.lines + header_lines)
+        cursor.in_flight.append((cursor.number, now, lines, version, next_slice is None))
+        self.unacked_lines[proxy] += lines
         if proxy:
-            self.accounts.setdefault(c.proxy, deque()).append(now)  # type: ignore[arg-type]
-        c.version, c.place, c.first = version, place, False
-        if place is None:
-            c.behind_since = None
+            self.sent_at.setdefault(cursor.proxy, deque()).append(now)  # type: ignore[arg-type]
+        cursor.version, cursor.next_slice, cursor.first_piece_pending = version, next_slice, False
+        if next_slice is None:
+            cursor.behind_since = None
             return float("inf")
         return now
 
-    def message(self, c: Cursor, most: int) -> tuple[Message, int | None, int]:
-        """What a subscriber is to hear next, the place after it, and the version that it is of."""
+    def next_message(self, cursor: Cursor, max_lines: int) -> tuple[Message, int | None, int]:
+        """The next message for a subscriber, the slice at which its snapshot continues after it, and its version."""
         table = self.table
-        if c.place is None:
-            key = (c.version, c.wanted, c.zone)
+        if cursor.next_slice is None:
+            key = (cursor.version, cursor.wanted, cursor.zone)
             if key not in self.encoded:
-                delta = self.narrow(table.since(c.version, c.wanted), c.zone)
+                delta = self.filter_by_zone(table.changes_since(cursor.version, cursor.wanted), cursor.zone)
                 self.encoded[key] = self.encode(delta), delta.size
             body, size = self.encoded[key]
-            return Message(f'"t":"change","from":{c.version},"to":{table.version}', body, size), None, table.version
-        if c.first:
-            shut, levels = table.general(-1)
-            changes: tuple[Part, ...] = ()
-            shut = {k: out for k, out in shut.items() if out}
+            return (
+                Message(f'"t":"change","from":{cursor.version},"to":{table.version}', body, size),
+                None,
+                table.version,
+            )
+        if cursor.first_piece_pending:
+            withdrawn, levels = table.global_changes_since(-1)
+            changes: tuple[SliceUpdate, ...] = ()
+            withdrawn = {k: is_withdrawn for k, is_withdrawn in withdrawn.items() if is_withdrawn}
         else:
-            delta = table.since(c.version, c.wanted, c.place)
-            changes, shut, levels = delta.parts, dict(delta.shut), dict(delta.levels)
-        needed = tuple(x for x in c.need if x >= c.place)
-        extra, c.need = tuple(table.slices[x].whole() for x in needed), []
-        live = table.live() if c.first else []
-        size = sum(p.size for p in (*changes, *extra)) + len(shut) + len(levels) + len(live)
-        parts, place = table.pieces(c.place, max(1, most - size), c.wanted)
-        key = (c.version if not c.first else None, c.place, place, c.wanted, c.zone, needed)
+            delta = table.changes_since(cursor.version, cursor.wanted, cursor.next_slice)
+            changes, withdrawn, levels = delta.parts, dict(delta.withdrawn), dict(delta.levels)
+        needed = tuple(x for x in cursor.needed_slices if x >= cursor.next_slice)
+        extra, cursor.needed_slices = tuple(table.slices[x].full_update() for x in needed), []
+        live = table.live_servers() if cursor.first_piece_pending else []
+        size = sum(p.size for p in (*changes, *extra)) + len(withdrawn) + len(levels) + len(live)
+        parts, next_slice = table.snapshot_piece(cursor.next_slice, max(1, max_lines - size), cursor.wanted)
+        key = (
+            cursor.version if not cursor.first_piece_pending else None,
+            cursor.next_slice,
+            next_slice,
+            cursor.wanted,
+            cursor.zone,
+            needed,
+        )
         if key not in self.encoded:
-            delta = self.narrow(Delta((*changes, *extra, *parts), shut, levels), c.zone)
+            delta = self.filter_by_zone(Delta((*changes, *extra, *parts), withdrawn, levels), cursor.zone)
             self.encoded[key] = self.encode(delta), delta.size
         body, size = self.encoded[key]
         head = (
-            f'"t":"piece","epoch":"{table.epoch}","at":{c.place},"next":{"null" if place is None else place},'
-            f'"to":{table.version}'
+            f'"t":"piece","epoch":"{table.epoch}","at":{cursor.next_slice},'
+            f'"next":{"null" if next_slice is None else next_slice},"to":{table.version}'
         )
-        if c.first:
+        if cursor.first_piece_pending:
             head += f',"live":{json.dumps(live)}'
             size += len(live)
-        return Message(head, body, size), place, table.version
+        return Message(head, body, size), next_slice, table.version
 
-    def narrow(self, delta: Delta, zone: str | None) -> Delta:
-        """Only lines to servers of a zone."""
+    def filter_by_zone(self, delta: Delta, zone: str | None) -> Delta:
+        """The delta with only lines of servers in a zone."""
         if zone is None:
             return delta
         return Delta(
@@ -420,6 +461,6 @@
                 p._replace(lines={k: w for k, w in p.lines.items() if self.zones.get(k, zone) == zone})
                 for p in delta.parts
             ),
-            delta.shut,
+            delta.withdrawn,
             delta.levels,
         )
--- a/knotwalk/pubsub/persistence.py
+++ b/knotwalk/pubsub/persistence.py
@@ -1,11 +1,12 @@
-"""Lasting storage of the published table: epoch, versions and lines outlive the process.
+"""Persistence of the published table: epoch, versions and lines survive a restart of the process.
 
-Owns one file a conductor, replaced whole, and the process that writes it, so that no disk holds the loop up. It must
-never let a version be told that a later life could tell again: versions are reserved on disk before they are used.
+Owns one file per conductor, which is replaced as a whole, and the process that writes it, so that a slow disk does not
+block the event loop. Versions are reserved on disk before they are used: otherwise a later incarnation could publish
+the same version with other content.
 
     python -m knotwalk.pubsub.persistence FILE
 
-reads states, each after its length, on descriptor 0, and answers with a byte.
+reads states, each preceded by its length, from descriptor 0 and answers each with one byte.
 """
 
 import fcntl
@@ -29,52 +30,52 @@
 
 MAGIC = b"KNOTKEEP\1"
 LENGTH = struct.Struct("<I")
-HEAD = struct.Struct("<9sII")  # magic, bytes, checksum
-RESERVE = 100_000  # versions reserved at a time: some hours of storms
-EVERY = 10.0  # seconds between states kept: what a restart sends again is what changed since
-AGAIN = 1.0  # seconds before a keeper that died is started again
-READ = 1 << 18
-PATIENCE = 1.0  # seconds that a start waits for the keeper of the life before, which ends with its last write
+HEADER = struct.Struct("<9sII")  # magic, bytes, checksum
+RESERVED_VERSIONS = 100_000  # reserved at a time: some hours of constant changes
+WRITE_INTERVAL_S = 10.0  # between writes; after a restart, changes since the last write are sent again
+RESTART_DELAY_S = 1.0  # before a writer process that died is started again
+CHUNK_BYTES = 1 << 18
+LOCK_TIMEOUT_S = 1.0  # wait at a start for the previous incarnation's writer, which ends after its last write
 
 
-class Unkept(Exception):
-    """A file that cannot be used; the text says why."""
+class TableFileError(Exception):
+    """A table file that cannot be used; the text gives the reason."""
 
 
-def packed(table: Table, ceiling: int, key: bytes) -> bytes:
+def encode_state(table: Table, ceiling: int, key: bytes) -> bytes:
     body = msgpack.packb({"table": table.snapshot(), "ceiling": ceiling, "key": key})
-    return HEAD.pack(MAGIC, len(body), zlib.crc32(body)) + body
+    return HEADER.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
-def unpacked(data: bytes) -> tuple[Table, bytes]:
-    """The table that goes on, and the key of its tokens; raises Unkept."""
-    if len(data) < HEAD.size:
-        raise Unkept("it ends within its head")
-    magic, size, check = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
+def decode_state(data: bytes) -> tuple[Table, bytes]:
+    """The table, which continues from the stored state, and the key of its tokens; raises TableFileError."""
+    if len(data) < HEADER.size:
+        raise TableFileError("truncated within its header")
+    magic, size, check = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
     if magic != MAGIC:
-        raise Unkept("no table of this version")
+        raise TableFileError("not a table file of this version")
     if len(body) != size or zlib.crc32(body) != check:
-        raise Unkept("damaged: its checksum differs")
+        raise TableFileError("damaged: wrong length or checksum")
     try:
-        told = msgpack.unpackb(body, strict_map_key=False)
-        return Table.restored(told["table"], int(told["ceiling"])), bytes(told["key"])
-    except (ValueError, KeyError, TypeError) as fault:
-        raise Unkept(str(fault)) from None
+        payload = msgpack.unpackb(body, strict_map_key=False)
+        return Table.from_snapshot(payload["table"], int(payload["ceiling"])), bytes(payload["key"])
+    except (ValueError, KeyError, TypeError) as error:
+        raise TableFileError(str(error)) from None
 
 
 def load(path: Path) -> tuple[Table, bytes] | None:
-    """What a file keeps, None if there is none; raises Unkept."""
+    """The table and key in a file, None if it does not exist; raises TableFileError."""
     try:
-        return unpacked(path.read_bytes())
+        return decode_state(path.read_bytes())
     except FileNotFoundError:
         return None
-    except OSError as fault:
-        raise Unkept(fault.strerror or str(fault)) from None
+    except OSError as error:
+        raise TableFileError(error.strerror or str(error)) from None
 
 
-def replace(path: Path, data: bytes) -> None:
-    """Put a file in another's place so that a crash leaves one or the other; raises OSError."""
+def replace_file(path: Path, data: bytes) -> None:
+    """Replace a file so that a crash leaves either the old or the new content; raises OSError."""
     new = path.with_suffix(".new")
     with new.open("wb") as file:
         file.write(data)
@@ -88,11 +89,14 @@
         os.close(folder)
 
 
-def locked(path: Path) -> int:
-    """A descriptor that holds a table's lock, here and in the keeper's process; raises Unkept while another life's
-    keeper has it. Guards against an old one that puts its state over the new one's, and tells versions meanwhile."""
+def acquire_lock(path: Path) -> int:
+    """A descriptor that holds a table file's lock, in this process and in the writer process, which inherits it.
+
+    Raises TableFileError while the writer of another incarnation holds the lock: it could overwrite the new state with
+    an old one, and publish versions meanwhile.
+    """
     fd = os.open(path.with_suffix(".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + LOCK_TIMEOUT_S
     while True:
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -100,49 +104,52 @@
         except OSError:
             if time.monotonic() > end:
                 os.close(fd)
-                raise Unkept("another process keeps it") from None
+                raise TableFileError("another process keeps it") from None
             time.sleep(0.02)
 
 
-class Keeper:
-    """The writer's process, from the conductor's side: one state under way, and none waits, since the next is newer."""
+class TableWriter:
+    """The conductor's side of the writer process.
+
+    One state is written at a time and none is queued, since the next one will be newer.
+    """
 
     def __init__(self, loop: Loop, path: Path, lock: int, table: Table, key: bytes, log: Log):
         self.loop, self.path, self.lock, self.table, self.key, self.log = loop, path, lock, table, key, log
-        self.given_up = False  # the epoch that the file keeps has ended: what follows is not kept
-        self.ceiling: float = table.version + RESERVE
-        self.offered = table.version + RESERVE  # versions below it are reserved; asked for
-        # At the start there is nobody to hold up: the first reservation is made before a version is told.
-        replace(path, packed(table, self.ceiling, key))
+        self.is_stopped = False  # the epoch in the file has ended; nothing more is written
+        self.ceiling: float = table.version + RESERVED_VERSIONS  # versions below it are reserved on disk
+        self.requested_ceiling = table.version + RESERVED_VERSIONS  # as of the last state sent to the writer
+        # The first reservation is written synchronously, before any version is published; no work is delayed yet.
+        replace_file(path, encode_state(table, self.ceiling, key))
         self.sock: socket.socket | None = None
         self.process: subprocess.Popen | None = None
-        self.going = b""
-        self.busy = False
-        self.kept = table.version
+        self.pending = b""  # bytes still to be sent to the writer
+        self.is_writing = False
+        self.sent_version = table.version
         self.start()
-        self.due()
+        self.write_periodically()
 
     def start(self) -> None:
-        if self.given_up:
+        if self.is_stopped:
             return
-        ours, theirs = socket.socketpair()
+        our_end, writer_end = socket.socketpair()
         try:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "knotwalk.pubsub.persistence", str(self.path)],
-                stdin=theirs.fileno(),
+                stdin=writer_end.fileno(),
                 stdout=subprocess.DEVNULL,
                 pass_fds=[self.lock],
             )
-        except OSError as fault:
-            ours.close()
-            self.log("keeping stands still", str(fault.strerror))
-            self.loop.after(AGAIN, self.start)
+        except OSError as error:
+            our_end.close()
+            self.log("keeping stands still", str(error.strerror))
+            self.loop.after(RESTART_DELAY_S, self.start)
             return
         finally:
-            theirs.close()
-        ours.setblocking(False)
-        self.sock, self.busy, self.going = ours, False, b""
-        self.loop.selector.register(ours, selectors.EVENT_READ, self)
+            writer_end.close()
+        our_end.setblocking(False)
+        self.sock, self.is_writing, self.pending = our_end, False, b""
+        self.loop.selector.register(our_end, selectors.EVENT_READ, self)
 
     def turn(self, events: int) -> None:
         assert self.sock is not None
@@ -160,40 +167,44 @@
             self.loop.selector.unregister(self.sock)
             self.sock.close()
             self.sock = None
-            self.log("keeping stands still", "its process ended")
-            self.loop.after(AGAIN, self.start)
+            self.log("keeping stands still", "the writer process ended")
+            self.loop.after(RESTART_DELAY_S, self.start)
             return
-        self.busy = False
+        self.is_writing = False
         if data[-1:] == b"+":
-            self.ceiling = self.offered
+            self.ceiling = self.requested_ceiling
         else:
-            self.log("keeping stands still", f"{self.path}: the disk takes nothing")
-
-    def due(self) -> None:
-        """Every EVERY: the table as it is, if it has changed."""
-        if self.table.version != self.kept:
-            self.offer()
-        self.loop.after(EVERY, self.due)
-
-    def watch(self, exhausted: Callable[[], None]) -> None:
-        """After each round: reserve in time; where no disk did, versions may run out, and the epoch with them."""
-        if self.table.version > self.ceiling - RESERVE // 2:
-            self.offer()
+            self.log("keeping stands still", f"{self.path}: the write failed")
+
+    def write_periodically(self) -> None:
+        """Write the table every WRITE_INTERVAL_S, if it has changed."""
+        if self.table.version != self.sent_version:
+            self.send_state()
+        self.loop.after(WRITE_INTERVAL_S, self.write_periodically)
+
+    def check_reservation(self, on_exhausted: Callable[[], None]) -> None:
+        """Called after each round: reserve more versions in time.
+
+        If the writer did not reserve any and the versions ran out, stop writing and call `on_exhausted`, which has to
+        start a new epoch.
+        """
+        if self.table.version > self.ceiling - RESERVED_VERSIONS // 2:
+            self.send_state()
         if self.table.version >= self.ceiling:
-            self.ceiling, self.given_up = float("inf"), True
-            exhausted()
+            self.ceiling, self.is_stopped = float("inf"), True
+            on_exhausted()
 
-    def offer(self) -> None:
-        if self.sock is None or self.busy or self.given_up:
+    def send_state(self) -> None:
+        if self.sock is None or self.is_writing or self.is_stopped:
             return
-        self.offered = self.table.version + RESERVE
-        data = packed(self.table, self.offered, self.key)
-        self.going, self.busy, self.kept = LENGTH.pack(len(data)) + data, True, self.table.version
+        self.requested_ceiling = self.table.version + RESERVED_VERSIONS
+        data = encode_state(self.table, self.requested_ceiling, self.key)
+        self.pending, self.is_writing, self.sent_version = LENGTH.pack(len(data)) + data, True, self.table.version
         self.flush()
 
     def close(self) -> None:
-        """The program ends: what is under way is still written."""
-        self.given_up = True
+        """Stop writing at the end of the program; a state that the writer has received is still written."""
+        self.is_stopped = True
         if self.sock:
             self.loop.selector.unregister(self.sock)
             self.sock.close()
@@ -203,36 +214,38 @@
     def flush(self) -> None:
         assert self.sock is not None
         try:
-            while self.going:
-                self.going = self.going[self.sock.send(self.going[:READ]) :]
+            while self.pending:
+                self.pending = self.pending[self.sock.send(self.pending[:CHUNK_BYTES]) :]
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
-            return  # its end is read at the next turn
-        self.loop.selector.modify(self.sock, selectors.EVENT_READ | (selectors.EVENT_WRITE if self.going else 0), self)
-
-
-def serve(sock: socket.socket, path: Path) -> int:
-    """Keep until the conductor's end closes."""
-    held = bytearray()
-    while data := sock.recv(READ):
-        held += data
-        while len(held) >= LENGTH.size and len(held) - LENGTH.size >= (size := LENGTH.unpack_from(held)[0]):
-            state = bytes(held[LENGTH.size : LENGTH.size + size])
-            del held[: LENGTH.size + size]
+            return  # the closed connection is noticed at the next loop turn
+        self.loop.selector.modify(
+            self.sock, selectors.EVENT_READ | (selectors.EVENT_WRITE if self.pending else 0), self
+        )
+
+
+def run_writer(sock: socket.socket, path: Path) -> int:
+    """Write states until the conductor closes its end; return the exit code."""
+    buffer = bytearray()
+    while data := sock.recv(CHUNK_BYTES):
+        buffer += data
+        while len(buffer) >= LENGTH.size and len(buffer) - LENGTH.size >= (size := LENGTH.unpack_from(buffer)[0]):
+            state = bytes(buffer[LENGTH.size : LENGTH.size + size])
+            del buffer[: LENGTH.size + size]
             try:
-                replace(path, state)
+                replace_file(path, state)
                 answer = b"+"
             except OSError:
                 answer = b"-"
             try:
                 sock.sendall(answer)
             except OSError:
-                return 0  # nobody is there to hear it
+                return 0  # the conductor is gone
     return 0
 
 
 if __name__ == "__main__":
-    for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-        signal.signal(number, signal.SIG_IGN)  # it ends when its conductor does
-    sys.exit(serve(socket.socket(fileno=0), Path(sys.argv[1])))
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
+        signal.signal(signal_number, signal.SIG_IGN)  # the writer ends when its conductor closes the socket
+    sys.exit(run_writer(socket.socket(fileno=0), Path(sys.argv[1])))
--- a/knotwalk/pubsub/publisher.py
+++ b/knotwalk/pubsub/publisher.py
@@ -1,6 +1,6 @@
-"""The publisher on the conductor's loop: subscribers' streams, and who is let in.
+"""The publisher on the conductor's event loop: subscribers' streams and access control.
 
-Owns the port, the streams and their bounds. What is sent to whom and when is the hub's to say; here nothing is decided.
+Owns the port, the streams and their limits. The hub decides what is sent to whom and when.
 """
 
 import hmac
@@ -13,59 +13,61 @@
 from knotwalk.net.log import Log
 from knotwalk.net.loop import Link, Loop, Timer
 from knotwalk.pubsub import wire
-from knotwalk.pubsub.hub import Cursor, Hub, Later, Refused
-from knotwalk.pubsub.tls import Secure
+from knotwalk.pubsub.hub import Cursor, Hub, MessageRejectedError, RetryLaterError
+from knotwalk.pubsub.tls import TlsPeer
 
-HELLO = 2.0  # seconds to say who one is: a TLS handshake and a hello
-UNREAD = 1 << 16  # bytes left unread past which a stream is sent nothing more: half of a link's bound
-UNREADY = 0.05  # seconds until another look whether the conductor knows what stands
-ENDED = 0.5  # seconds that a last word has to get out
+HELLO_TIMEOUT_S = 2.0  # for a TLS handshake and a hello
+MAX_UNSENT_BYTES = 1 << 16  # buffered bytes above which a stream is sent no more: half of a link's limit
+STATE_POLL_INTERVAL_S = 0.05  # until it is checked again whether the conductor has read the current state
+CLOSE_TIMEOUT_S = 0.5  # for the last message to be sent before the connection is closed
 
 
-class Misfit(Exception):
-    """Keys or certificates that cannot be used; the text says which and why."""
+class AccessConfigError(Exception):
+    """Secrets or certificates that cannot be used; the text says which and why."""
 
 
-class Entry(NamedTuple):
-    """Who may come in: a role and its secret."""
+class Credential(NamedTuple):
+    """A secret and the role that it admits."""
 
     role: str  # proxy or observer
     secret: str
 
 
-def secrets_of(text: str, file: str) -> list[Entry]:
-    """One a line: `proxy SECRET` or `observer SECRET`; # begins a comment. Raises Misfit.
+def parse_secrets(text: str, file: str) -> list[Credential]:
+    """Credentials, one per line: `proxy SECRET` or `observer SECRET`; # begins a comment. Raises AccessConfigError.
 
-    >>> secrets_of("# a\\nproxy 0123456789abcdef\\n", "f")
-    [Entry(role='proxy', secret='0123456789abcdef')]
+    >>> parse_secrets("# a\\nproxy 0123456789abcdef\\n", "f")
+    [Credential(role='proxy', secret='0123456789abcdef')]
     """
-    out = []
-    for k, row in enumerate(text.splitlines(), 1):
-        words = row.partition("#")[0].split()
+    credentials = []
+    for line_number, line in enumerate(text.splitlines(), 1):
+        words = line.partition("#")[0].split()
         if not words:
             continue
         if len(words) != 2 or words[0] not in ("proxy", "observer"):
-            raise Misfit(f"{file}:{k}: 'proxy SECRET' or 'observer SECRET' is wanted")
+            raise AccessConfigError(f"{file}:{line_number}: 'proxy SECRET' or 'observer SECRET' is expected")
         if len(words[1]) < 16:
-            raise Misfit(f"{file}:{k}: a secret of {len(words[1])} characters; 16 at least")
-        out.append(Entry(*words))
-    if not out:
-        raise Misfit(f"{file}: no secret in it, so nobody could come in")
-    return out
+            raise AccessConfigError(
+                f"{file}:{line_number}: a secret of {len(words[1])} characters; at least 16 are required"
+            )
+        credentials.append(Credential(*words))
+    if not credentials:
+        raise AccessConfigError(f"{file}: no secret in it, so that no subscriber could connect")
+    return credentials
 
 
 class Access:
-    """Who is let in, and under which certificate; read whole, and anew at a reload."""
+    """Secrets and certificates, read completely at the start and again at a reload."""
 
     def __init__(self, secrets: str = "", certificate: str = "", private_key: str = "", client_ca: str = ""):
         self.files = secrets, certificate, private_key, client_ca
-        self.entries: list[Entry] | None = None
+        self.credentials: list[Credential] | None = None  # None: no secret is required
         self.context: ssl.SSLContext | None = None
-        self.certified = bool(client_ca)
+        self.requires_certificate = bool(client_ca)
         try:
             if secrets:
                 with open(secrets, encoding="utf-8") as file:
-                    self.entries = secrets_of(file.read(1 << 20), secrets)
+                    self.credentials = parse_secrets(file.read(1 << 20), secrets)
             if certificate:
                 self.context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
                 self.context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -73,131 +75,140 @@
                 if client_ca:
                     self.context.load_verify_locations(client_ca)
                     self.context.verify_mode = ssl.CERT_REQUIRED
-        except ssl.SSLError as fault:
-            raise Misfit(f"{certificate}: {fault.reason or fault}") from None
-        except OSError as fault:
-            raise Misfit(f"{fault.filename or certificate}: {fault.strerror}") from None
+        except ssl.SSLError as error:
+            raise AccessConfigError(f"{certificate}: {error.reason or error}") from None
+        except OSError as error:
+            raise AccessConfigError(f"{error.filename or certificate}: {error.strerror}") from None
         except UnicodeDecodeError:
-            raise Misfit(f"{secrets}: not UTF-8") from None
+            raise AccessConfigError(f"{secrets}: not UTF-8") from None
 
-    def admits(self, hello: wire.Hello, names: set[str] | None) -> str:
-        """Why a hello is not let in; empty if it is. `names` are those of its certificate."""
-        if self.certified and (names is None or hello.name not in names):
+    def rejection_reason(self, hello: wire.Hello, names: set[str] | None) -> str:
+        """Why a hello is rejected, empty if it is accepted. `names` are those in the subscriber's certificate."""
+        if self.requires_certificate and (names is None or hello.name not in names):
             return "its certificate is of another name"
-        if self.entries is None:
+        if self.credentials is None:
             return ""
         role = "observer" if hello.proxy is None else "proxy"
-        given = (hello.secret or "").encode()
-        # Each is compared in full, whatever the others say: time tells nothing of them.
-        known = [hmac.compare_digest(given, x.secret.encode()) and x.role == role for x in self.entries]
-        return "" if any(known) else f"no key of a{'n' if role == 'observer' else ''} {role}"
+        secret = (hello.secret or "").encode()
+        # Compares with every secret, so that the time taken reveals nothing about them.
+        matches = [hmac.compare_digest(secret, x.secret.encode()) and x.role == role for x in self.credentials]
+        return "" if any(matches) else f"no key of a{'n' if role == 'observer' else ''} {role}"
 
 
-class Stream:
+class SubscriberStream:
     """One subscriber's connection."""
 
     def __init__(self, publisher: "Publisher"):
-        self.all = publisher
-        self.lines = wire.Lines(wire.FROM_CLIENT)
+        self.publisher = publisher
+        self.decoder = wire.LineDecoder(wire.MAX_SUBSCRIBER_LINE_BYTES)
         self.cursor: Cursor | None = None
-        self.secure: Secure | None = None
+        self.tls: TlsPeer | None = None
         self.link: Link | None = None
         self.timer: Timer | None = None
 
     def opened(self, link: Link) -> None:
         self.link = link
-        self.all.streams[self] = link
-        self.timer = self.all.loop.after(HELLO, self.silent)
-        if len(self.all.streams) > self.all.seats:
-            self.all.crowd_out()
+        self.publisher.streams[self] = link
+        self.timer = self.publisher.loop.after(HELLO_TIMEOUT_S, self.handle_hello_timeout)
+        if len(self.publisher.streams) > self.publisher.max_streams:
+            self.publisher.evict_stream()
 
-    def silent(self) -> None:
+    def handle_hello_timeout(self) -> None:
         if self.cursor is None and self.link is not None:
             self.link.end(Ending.STRANGER)
 
     def fed(self, link: Link, data: memoryview) -> None:
-        for told in self.lines.feed(data):
+        for message in self.decoder.feed(data):
             try:
                 if self.cursor is None:
-                    self.hello(link, told)
-                elif told["t"] == "ack":
-                    self.all.hub.ack(
-                        self.all.loop.now(), self.cursor, wire.whole_number(told.get("n")), wire.need_of(told), self.all
+                    self.handle_hello(link, message)
+                elif message["t"] == "ack":
+                    self.publisher.hub.handle_ack(
+                        self.publisher.loop.now(),
+                        self.cursor,
+                        wire.parse_count(message.get("n")),
+                        wire.parse_need(message),
+                        self.publisher,
                     )
-                elif told["t"] == "nack":
-                    self.all.hub.nack(
-                        self.all.loop.now(),
+                elif message["t"] == "nack":
+                    self.publisher.hub.handle_nack(
+                        self.publisher.loop.now(),
                         self.cursor,
-                        wire.whole_number(told.get("n")),
-                        str(told.get("why", "")),
-                        self.all,
+                        wire.parse_count(message.get("n")),
+                        str(message.get("why", "")),
+                        self.publisher,
                     )
                 else:
-                    raise Refused(f"no such message '{told['t'][:20]}'")
-            except (Refused, ValueError) as fault:
-                self.refuse(link, "error", str(fault))
+                    raise MessageRejectedError(f"unknown message type '{message['t'][:20]}'")
+            except (MessageRejectedError, ValueError) as error:
+                self.reject(link, "error", str(error))
             if link.over:
                 return
-        self.all.poke()
+        self.publisher.schedule_now()
 
-    def hello(self, link: Link, told: dict) -> None:
-        hello = wire.Hello(told)
-        why = self.all.access.admits(hello, self.secure.names() if self.secure else None)
+    def handle_hello(self, link: Link, message: dict) -> None:
+        hello = wire.Hello(message)
+        why = self.publisher.access.rejection_reason(hello, self.tls.certificate_names() if self.tls else None)
         if why:
-            raise Refused(why)
-        now = self.all.loop.now()
+            raise MessageRejectedError(why)
+        now = self.publisher.loop.now()
         try:
-            cursor = self.all.hub.hello(
-                now, hello.name, hello.proxy, hello.wanted, hello.of_zone, hello.token, hello.usable
+            cursor = self.publisher.hub.handle_hello(
+                now, hello.name, hello.proxy, hello.wanted, hello.server_zone, hello.token, hello.has_table
             )
-        except Later as later:
-            self.refuse(link, "later", str(later), after_ms=int(later.after * 1e3) + 1)
+        except RetryLaterError as error:
+            self.reject(link, "later", str(error), after_ms=int(error.delay_s * 1e3) + 1)
             return
-        cursor.writable = lambda: link.out.size < UNREAD
-        old = self.all.by_cursor.get(cursor.name)
+        cursor.is_writable = lambda: link.out.size < MAX_UNSENT_BYTES
+        old = self.publisher.streams_by_name.get(cursor.name)
         self.cursor = cursor
-        self.all.by_cursor[cursor.name] = self
+        self.publisher.streams_by_name[cursor.name] = self
         if old is not None and old.link is not None:
-            old.cursor = None  # its place is taken: it ends without a word to the module
+            old.cursor = None  # replaced by this stream: its end is not reported to the module
             old.link.end(Ending.CROWDED)
         if self.timer:
             self.timer.cancel()
-        link.write(wire.line("welcome", v=wire.VERSION, epoch=self.all.hub.table.epoch, born=self.all.born))
+        link.write(
+            wire.encode_message(
+                "welcome", v=wire.PROTOCOL_VERSION, epoch=self.publisher.hub.table.epoch, born=self.publisher.started_at
+            )
+        )
         if cursor.proxy is not None:
-            self.all.joined(cursor.proxy)
+            self.publisher.report_joined(cursor.proxy)
 
-    def refuse(self, link: Link, kind: str, why: str, **members: object) -> None:
-        """A last word, and the end."""
-        self.all.log(
-            f"subscriber {'put off' if kind == 'later' else 'refused'}",
+    def reject(self, link: Link, kind: str, why: str, **members: object) -> None:
+        """Send a last message with the reason and close the stream."""
+        self.publisher.log(
+            f"subscriber {'deferred' if kind == 'later' else 'refused'}",
             f"{self.cursor.name if self.cursor else ''} {why}",
         )
-        link.write(wire.line(kind, why=why, **members))
-        self.finish(link)
+        link.write(wire.encode_message(kind, why=why, **members))
+        self.close_after_flush(link)
 
-    def finish(self, link: Link) -> None:
+    def close_after_flush(self, link: Link) -> None:
+        """Close the link once its buffer is sent, or after a timeout."""
         if not link.over:
             if link.out.size:
-                self.all.loop.after(ENDED, lambda: link.end(Ending.LEFT))
-                self.lines = wire.Lines(0)  # whatever it says now ends it at once
+                self.publisher.loop.after(CLOSE_TIMEOUT_S, lambda: link.end(Ending.LEFT))
+                self.decoder = wire.LineDecoder(0)  # anything else that it sends ends it at once
             else:
                 link.end(Ending.LEFT)
 
     def ended(self, link: Link | None, ending: Ending) -> None:
-        self.all.streams.pop(self, None)
+        self.publisher.streams.pop(self, None)
         if self.timer:
             self.timer.cancel()
         cursor, self.cursor = self.cursor, None
         if cursor is not None:
-            self.all.hub.left(cursor)
-            if self.all.by_cursor.get(cursor.name) is self:
-                del self.all.by_cursor[cursor.name]
+            self.publisher.hub.remove(cursor)
+            if self.publisher.streams_by_name.get(cursor.name) is self:
+                del self.publisher.streams_by_name[cursor.name]
                 if cursor.proxy is not None:
-                    self.all.gone(cursor.proxy)
+                    self.publisher.report_left(cursor.proxy)
         if ending not in (Ending.CLOSED, Ending.LEFT, Ending.RESET):
-            self.all.log(
+            self.publisher.log(
                 "subscriber ended",
-                f"{cursor.name if cursor else 'a stranger'}: {ending.value} {link.fault if link else ''}",
+                f"{cursor.name if cursor else 'an unidentified client'}: {ending.value} {link.fault if link else ''}",
             )
 
 
@@ -209,99 +220,104 @@
         loop: Loop,
         hub: Hub,
         access: Access,
-        tell: Callable,
-        joined_elsewhere: Callable[[int], bool],
+        send_to_module: Callable,
+        is_connected_elsewhere: Callable[[int], bool],
         log: Log,
-        seats: int,
-        born: float,
-        stands: Callable[[], bool] = lambda: True,
+        max_streams: int,
+        started_at: float,
+        is_state_complete: Callable[[], bool] = lambda: True,
     ):
-        self.loop, self.hub, self.access, self.tell, self.log = loop, hub, access, tell, log
-        self.elsewhere, self.seats, self.born, self.stands = joined_elsewhere, seats, born, stands
-        self.streams: dict[Stream, Link] = {}  # the oldest first
-        self.by_cursor: dict[str, Stream] = {}
+        self.loop, self.hub, self.access, self.send_to_module, self.log = loop, hub, access, send_to_module, log
+        self.is_connected_elsewhere, self.max_streams = is_connected_elsewhere, max_streams
+        self.started_at, self.is_state_complete = started_at, is_state_complete
+        self.streams: dict[SubscriberStream, Link] = {}  # in the order of connection
+        self.streams_by_name: dict[str, SubscriberStream] = {}
         self.timer: Timer | None = None
-        self.due = float("inf")
+        self.due = float("inf")  # when the hub is called next
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
         return self.loop.listen(address, self.accept).sock.getsockname()
 
     def accept(self) -> Any:
-        stream = Stream(self)
+        stream = SubscriberStream(self)
         if self.access.context is None:
             return stream
-        stream.secure = Secure(stream, self.access.context, True)
-        return stream.secure
+        stream.tls = TlsPeer(stream, self.access.context, True)
+        return stream.tls
 
-    def crowd_out(self) -> None:
-        """A stranger goes first; a subscriber only if there are none."""
-        victim = next((s for s in self.streams if s.cursor is None), next(iter(self.streams)))
+    def evict_stream(self) -> None:
+        """Close the oldest stream without a hello, or the oldest of all if every stream has sent one."""
+        victim = next((stream for stream in self.streams if stream.cursor is None), next(iter(self.streams)))
         self.streams[victim].end(Ending.CROWDED)
 
     def reload(self, access: Access) -> None:
-        """Other keys and certificates from now on; streams that are up stay."""
+        """Use other secrets and certificates for new streams; open streams stay."""
         self.access = access
 
-    def anew(self) -> None:
-        """A new epoch: versions that no disk has reserved must not be told. Subscribers get a snapshot each."""
-        self.log("new epoch", "versions ran out before the disk reserved more")
+    def start_new_epoch(self) -> None:
+        """Start a new epoch, since versions that are not reserved on disk must not be published.
+
+        All streams are closed, and each subscriber gets a snapshot when it reconnects.
+        """
+        self.log("new epoch", "versions ran out before more were reserved on disk")
         self.hub.table.epoch = os.urandom(8).hex()
         self.hub.key = os.urandom(32)
         for link in list(self.streams.values()):
             link.end(Ending.LEFT)
 
-    def joined(self, proxy: int) -> None:
-        if not self.elsewhere(proxy):
-            self.tell("joined", proxy)
+    def report_joined(self, proxy: int) -> None:
+        if not self.is_connected_elsewhere(proxy):
+            self.send_to_module("joined", proxy)
 
-    def gone(self, proxy: int) -> None:
-        if not self.elsewhere(proxy):
-            self.tell("left", proxy)
+    def report_left(self, proxy: int) -> None:
+        if not self.is_connected_elsewhere(proxy):
+            self.send_to_module("left", proxy)
 
-    def round(self, now: float, inbox: Iterable, orders: Iterable) -> None:
-        """A round was decided: its orders are the subscribers' too."""
-        self.hub.ordered(now, inbox, orders)
-        self.poke()
+    def handle_round(self, now: float, inbox: Iterable, orders: Iterable) -> None:
+        """Publish what the module decided in a round."""
+        self.hub.apply_round(now, inbox, orders)
+        self.schedule_now()
 
-    def poke(self) -> None:
-        """Serve whoever may be served, once this turn's bytes and orders are in."""
-        self.wake(self.loop.now())
+    def schedule_now(self) -> None:
+        """Let the hub send once the input of the current loop turn is processed."""
+        self.schedule_at(self.loop.now())
 
-    def wake(self, at: float) -> None:
-        if at >= self.due:
+    def schedule_at(self, due: float) -> None:
+        if due >= self.due:
             return
         if self.timer:
             self.timer.cancel()
-        self.due = at
-        self.timer = self.loop.at(at, self.turn)
+        self.due = due
+        self.timer = self.loop.at(due, self.send_due)
 
-    def turn(self) -> None:
+    def send_due(self) -> None:
         self.due, self.timer = float("inf"), None
         now = self.loop.now()
-        if not self.stands():
-            # Not all that stands has been read: what is missing would be taken for gone (rule 1).
-            self.wake(now + UNREADY)
+        if not self.is_state_complete():
+            # The current state has not been read completely; what is missing would be taken for removed (rule 1).
+            self.schedule_at(now + STATE_POLL_INTERVAL_S)
             return
         self.hub.prune(now)
-        at = self.hub.turn(now, self)
-        if at < float("inf"):
-            self.wake(max(at, now + 0.002))  # at once means after what is readable: acknowledgements come first
+        due = self.hub.send_due(now, self)
+        if due < float("inf"):
+            # Not before 2 ms have passed, so that acknowledgements that have arrived are read first.
+            self.schedule_at(max(due, now + 0.002))
 
-    # --- as the hub's sender ---
+    # --- the hub's Sender ---
 
     def send(self, cursor: Cursor, message: bytes) -> None:
-        stream = self.by_cursor.get(cursor.name)
+        stream = self.streams_by_name.get(cursor.name)
         if stream is not None and stream.link is not None:
             stream.link.write(message)
 
     def end(self, cursor: Cursor, why: str) -> None:
-        stream = self.by_cursor.get(cursor.name)
+        stream = self.streams_by_name.get(cursor.name)
         if stream is not None and stream.link is not None:
-            stream.refuse(stream.link, "error", why)
-        self.hub.left(cursor)
+            stream.reject(stream.link, "error", why)
+        self.hub.remove(cursor)
 
-    def told(self, handler: str, *arguments: object) -> None:
-        self.tell(handler, *arguments)
+    def notify_module(self, handler: str, *arguments: object) -> None:
+        self.send_to_module(handler, *arguments)
 
-    def note(self, kind: str, text: str) -> None:
+    def log_event(self, kind: str, text: str) -> None:
         self.log(kind, text)
--- a/knotwalk/pubsub/subscriber.py
+++ b/knotwalk/pubsub/subscriber.py
@@ -1,7 +1,7 @@
-"""The subscriber's end: keeps a table by what a publisher says, and goes on alone with the last one.
+"""The subscriber's end: maintains a copy of the table from a publisher's messages, and keeps it when there is none.
 
-Pure: fed messages, it answers with messages. It must never apply a change twice or out of order, hold half a message,
-or throw away a line before a better one is there.
+Does no I/O: it is given messages and returns the answers to send. Invariants: no change is applied twice or out of
+order, a message is applied completely or not at all, and no line is discarded before a replacement has arrived.
 """
 
 from collections.abc import Mapping
@@ -11,17 +11,17 @@
 from knotwalk.pubsub import wire
 from knotwalk.pubsub.versions import Delta
 
-AGAIN_FIRST, AGAIN_MOST = 0.2, 20.0  # seconds before the next connection; doubles, jitter of half to one and a half
-STEADY = 5.0  # seconds for which a stream was heard that make it one of use, though it brought nothing
-FOLLOW = 10.0  # seconds of silence of a newer publisher after which an older one is followed again
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.2, 20.0  # before the next connection; doubles, times a jitter of 0.5 to 1.5
+STEADY_STREAM_S = 5.0  # a stream that lived this long resets the retry delay even if no message was applied
+FOLLOW_TIMEOUT_S = 10.0  # silence of a newer publisher after which an older one is followed again
 
 
-class Gap(Exception):
-    """A message that cannot follow what is held; the text says why."""
+class GapError(Exception):
+    """A message that does not follow from the version held; the text gives the reason."""
 
 
 class Subscriber:
-    """One subscriber's table over any number of streams."""
+    """One subscriber's copy of the table, maintained over successive streams."""
 
     def __init__(
         self,
@@ -30,165 +30,175 @@
         proxy: int | None = None,
         zone: str | None = None,
         wanted: list[int] | None = None,
-        of_zone: str | None = None,
+        server_zone: str | None = None,
         key: str | None = None,
     ):
-        self.name, self.proxy, self.zone, self.wanted, self.of_zone, self.key = name, proxy, zone, wanted, of_zone, key
+        self.name, self.proxy, self.zone = name, proxy, zone
+        self.wanted, self.server_zone, self.key = wanted, server_zone, key
         self.random = Random(seed)
-        self.tables: dict[int, dict[str, float]] = {}
-        self.slice_levels: dict[int, dict[int, tuple[float, int]]] = {}
-        self.levels: dict[int, tuple[float, int]] = {}
-        self.shut: set[str] = set()
+        self.slice_lines: dict[int, dict[str, float]] = {}  # weight by server, by slice
+        self.slice_levels: dict[int, dict[int, tuple[float, int]]] = {}  # (share, retry) by method, by slice
+        self.levels: dict[int, tuple[float, int]] = {}  # (share, retry) by method, for all slices
+        self.withdrawn: set[str] = set()  # servers
         self.epoch: str | None = None
         self.version = 0
-        self.place: int | None = 0  # what a snapshot under way brings next; None: the table is whole
-        self.whole = False  # whether it ever was
+        self.next_slice: int | None = 0  # the next slice of the snapshot in progress; None: the table is complete
+        self.was_complete = False  # whether the table has ever been complete
         self.token: str | None = None
-        self.seen: set[int] = set()  # slices that the snapshot under way has brought
-        self.live: frozenset[str] | None = None  # servers in use, while lines of an older table are held
-        self.number = 0  # of the last message on this stream
-        self.nacked = False  # a message was refused: the rest is void up to a new beginning
-        self.applied = 0  # messages, ever
+        self.received_slices: set[int] = set()  # slices received in the snapshot in progress
+        self.live_servers: frozenset[str] | None = None  # servers in use; set while lines of an older table are held
+        self.number = 0  # number of the last message on this stream
+        self.nacked = False  # a message was rejected: the following ones are ignored until a new snapshot begins
+        self.applied = 0  # number of messages applied on all streams
         self.applied_before, self.welcomed_at = 0, 0.0
-        self.tries = 0
-        self.born = float("-inf")  # of the publisher followed
+        self.attempts = 0
+        self.publisher_started_at = float("-inf")  # start time of the publisher that is followed
         self.heard_at = float("-inf")
 
     # --- streams ---
 
     def hello(self) -> bytes:
-        """The first message of a new stream."""
+        """Reset the stream's state and return its first message."""
         self.number, self.nacked = 0, False
-        members: dict[str, Any] = {"v": wire.VERSION, "name": self.name}
+        members: dict[str, Any] = {"v": wire.PROTOCOL_VERSION, "name": self.name}
         for name, value in (
             ("proxy", self.proxy),
             ("zone", self.zone),
             ("wants", self.wanted),
-            ("of_zone", self.of_zone),
+            ("of_zone", self.server_zone),
             ("token", self.token),
             ("key", self.key),
         ):
             if value is not None:
                 members[name] = value
-        if self.whole:
+        if self.was_complete:
             members["usable"] = True
-        return wire.line("hello", **members)
+        return wire.encode_message("hello", **members)
 
-    def again(self, now: float) -> float:
-        """Seconds until the next connection, after one that ended or never came up."""
-        if self.heard_at - self.welcomed_at > STEADY or self.applied > self.applied_before:
-            self.tries = 0  # the last stream was of use
+    def next_retry_delay(self, now: float) -> float:
+        """Seconds to wait before connecting again, after a connection that ended or was never established."""
+        if self.heard_at - self.welcomed_at > STEADY_STREAM_S or self.applied > self.applied_before:
+            self.attempts = 0  # the last stream was useful
         self.applied_before, self.welcomed_at = self.applied, now
-        wait = min(AGAIN_MOST, AGAIN_FIRST * 2 ** min(self.tries, 20))
-        self.tries += 1
-        return wait * self.random.uniform(0.5, 1.5)
+        delay = min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * 2 ** min(self.attempts, 20))
+        self.attempts += 1
+        return delay * self.random.uniform(0.5, 1.5)
 
-    def refused(self, why: str) -> None:
-        """The publisher would not have it. A token may be the reason: the next hello goes without."""
+    def handle_refusal(self, why: str) -> None:
+        """The publisher rejected the hello. The token may be the reason, so the next hello is sent without one."""
         self.token = None
 
-    def message(self, now: float, told: Mapping) -> list[bytes]:
-        """One message of the publisher; the answers. Raises ValueError for what is none, Gap never."""
-        kind = told["t"]
+    def handle_message(self, now: float, message: Mapping) -> list[bytes]:
+        """Apply a message from the publisher and return the answers. Raises ValueError if it is malformed."""
+        kind = message["t"]
         if kind == "welcome":
-            self.welcome(now, told)
+            self.handle_welcome(now, message)
             return []
         self.heard_at = now
         if kind not in ("change", "piece"):
             return []
-        n = wire.whole_number(told.get("n"))
-        if n != self.number + 1:
-            raise ValueError(f"message {n} after {self.number}")
-        self.number = n
-        if self.nacked and not ("live" in told and kind == "piece"):
-            return []  # sent before the publisher had heard of the refusal
+        number = wire.parse_count(message.get("n"))
+        if number != self.number + 1:
+            raise ValueError(f"message {number} after {self.number}")
+        self.number = number
+        if self.nacked and not ("live" in message and kind == "piece"):
+            return []  # sent before the publisher received the rejection
         self.nacked = False
-        delta = wire.decoded(told.get("d"))
+        delta = wire.decode_delta(message.get("d"))
         try:
-            need = self.piece(told, delta) if kind == "piece" else self.change(told, delta)
-        except Gap as fault:
+            need = self.apply_piece(message, delta) if kind == "piece" else self.apply_change(message, delta)
+        except GapError as error:
             self.nacked = True
-            return [wire.line("nack", n=n, why=str(fault))]
-        self.token = str(told["token"])
+            return [wire.encode_message("nack", n=number, why=str(error))]
+        self.token = str(message["token"])
         self.applied += 1
-        return [wire.line("ack", n=n, need=need) if need else wire.line("ack", n=n)]
-
-    def welcome(self, now: float, told: Mapping) -> None:
-        """Who is there. Guards against an old publisher that is not quite dead: the newest is followed while it is
-        heard of. Raises ValueError for one that is not followed."""
-        born = wire.weight(told.get("born"))
-        if born < self.born and now < self.heard_at + FOLLOW:
-            raise ValueError(f"a publisher of {born:.3f}, and one of {self.born:.3f} is followed")
-        if told.get("epoch") != self.epoch:
-            self.token = None  # of another epoch: it says nothing there
-        self.born, self.heard_at, self.welcomed_at = born, now, now
+        return [wire.encode_message("ack", n=number, need=need) if need else wire.encode_message("ack", n=number)]
+
+    def handle_welcome(self, now: float, message: Mapping) -> None:
+        """Start to follow the publisher, unless a newer one was heard from recently.
+
+        Guards against an old publisher that is still running. Raises ValueError for one that is not followed.
+        """
+        started_at = wire.parse_weight(message.get("born"))
+        if started_at < self.publisher_started_at and now < self.heard_at + FOLLOW_TIMEOUT_S:
+            raise ValueError(
+                f"publisher started at {started_at:.3f}; one started at {self.publisher_started_at:.3f} is followed"
+            )
+        if message.get("epoch") != self.epoch:
+            self.token = None  # issued in another epoch, where it is not valid
+        self.publisher_started_at, self.heard_at, self.welcomed_at = started_at, now, now
 
     # --- the table ---
 
-    def piece(self, told: Mapping, delta: Delta) -> list[int]:
-        """One piece of a snapshot; the slices left without a line that is known to be good."""
-        at, next_place = wire.whole_number(told.get("at")), told.get("next")
-        version = wire.whole_number(told.get("to"))
+    def apply_piece(self, message: Mapping, delta: Delta) -> list[int]:
+        """Apply one piece of a snapshot; return the slices of which no line leads to a server in use."""
+        at, next_slice = wire.parse_count(message.get("at")), message.get("next")
+        version = wire.parse_count(message.get("to"))
         need: list[int] = []
-        if "live" in told:
-            self.epoch, self.seen = str(told["epoch"]), set()
-            self.live = frozenset(map(str, told["live"]))
-            self.shut.clear()
+        if "live" in message:
+            self.epoch, self.received_slices = str(message["epoch"]), set()
+            self.live_servers = frozenset(map(str, message["live"]))
+            self.withdrawn.clear()
             self.levels.clear()
-        elif told.get("epoch") != self.epoch or at != self.place:
-            raise Gap(f"a piece at {at} of {told.get('epoch')}; {self.place} of {self.epoch} is wanted")
+        elif message.get("epoch") != self.epoch or at != self.next_slice:
+            raise GapError(
+                f"piece at slice {at} of epoch {message.get('epoch')}; expected slice {self.next_slice} of {self.epoch}"
+            )
         self.apply(delta)
-        self.seen.update(p.slice for p in delta.parts)
-        if "live" in told:
-            need = self.bury()
-        self.version, self.place = version, None if next_place is None else wire.whole_number(next_place)
-        if self.place is None:
-            for slice_id in [k for k in self.tables if k not in self.seen]:
-                del self.tables[slice_id]
+        self.received_slices.update(p.slice for p in delta.parts)
+        if "live" in message:
+            need = self.drop_dead_lines()
+        self.version, self.next_slice = version, None if next_slice is None else wire.parse_count(next_slice)
+        if self.next_slice is None:
+            for slice_id in [k for k in self.slice_lines if k not in self.received_slices]:
+                del self.slice_lines[slice_id]
                 self.slice_levels.pop(slice_id, None)
-            self.whole, self.live, self.seen = True, None, set()
+            self.was_complete, self.live_servers, self.received_slices = True, None, set()
         return need
 
-    def bury(self) -> list[int]:
-        """Take lines to servers out of use from what an older table left, but never a slice's last."""
-        assert self.live is not None
+    def drop_dead_lines(self) -> list[int]:
+        """Remove an older table's lines to servers no longer in use, and return the slices that have no other line.
+
+        Those slices keep their lines until the publisher sends new ones.
+        """
+        assert self.live_servers is not None
         need = []
-        for slice_id, lines in self.tables.items():
-            if slice_id in self.seen or not lines:
+        for slice_id, lines in self.slice_lines.items():
+            if slice_id in self.received_slices or not lines:
                 continue
-            alive = {k: w for k, w in lines.items() if k in self.live}
+            alive = {k: w for k, w in lines.items() if k in self.live_servers}
             if alive:
-                self.tables[slice_id] = alive
+                self.slice_lines[slice_id] = alive
             else:
                 need.append(slice_id)
         return need
 
-    def change(self, told: Mapping, delta: Delta) -> list[int]:
-        """What was set since the version that is held."""
-        if told.get("from") != self.version or self.place is not None:
-            raise Gap(
-                f"a change from {told.get('from')}; {self.version} is held"
-                + ("" if self.place is None else ", and not whole")
+    def apply_change(self, message: Mapping, delta: Delta) -> list[int]:
+        """Apply the changes since the version held."""
+        if message.get("from") != self.version or self.next_slice is not None:
+            raise GapError(
+                f"change from version {message.get('from')}; version {self.version} is held"
+                + ("" if self.next_slice is None else ", incomplete")
             )
         self.apply(delta)
-        self.version = wire.whole_number(told.get("to"))
+        self.version = wire.parse_count(message.get("to"))
         return []
 
     def apply(self, delta: Delta) -> None:
         for p in delta.parts:
-            lines = {} if p.whole else self.tables.get(p.slice, {})
+            lines = {} if p.is_full else self.slice_lines.get(p.slice, {})
             lines = {**lines, **p.lines}
-            self.tables[p.slice] = {k: w for k, w in lines.items() if w}
-            levels = {} if p.whole else self.slice_levels.get(p.slice, {})
+            self.slice_lines[p.slice] = {k: w for k, w in lines.items() if w}
+            levels = {} if p.is_full else self.slice_levels.get(p.slice, {})
             self.slice_levels[p.slice] = {**levels, **p.levels}
-        for server, out in delta.shut.items():
-            (self.shut.add if out else self.shut.discard)(server)
+        for server, is_withdrawn in delta.withdrawn.items():
+            (self.withdrawn.add if is_withdrawn else self.withdrawn.discard)(server)
         self.levels.update(delta.levels)
 
-    def lines(self, slice_id: int) -> dict[str, float]:
-        """What may be sent to for a slice."""
-        return {k: w for k, w in self.tables.get(slice_id, {}).items() if k not in self.shut}
+    def usable_lines(self, slice_id: int) -> dict[str, float]:
+        """Weights of the servers to which a slice's requests may be sent."""
+        return {k: w for k, w in self.slice_lines.get(slice_id, {}).items() if k not in self.withdrawn}
 
     def rows(self) -> list[tuple[int, str, float]]:
-        """All lines held."""
-        return [(k, server, w) for k, lines in self.tables.items() for server, w in lines.items()]
+        """All lines held, as (slice, server, weight)."""
+        return [(k, server, w) for k, lines in self.slice_lines.items() for server, w in lines.items()]
--- a/knotwalk/pubsub/tls.py
+++ b/knotwalk/pubsub/tls.py
@@ -1,7 +1,7 @@
-"""TLS on the loop: a peer that stands between a link and another peer.
+"""TLS on the event loop: a peer that sits between a link and another peer.
 
-Owns one connection's encryption, by the standard library's ssl over memory buffers. It must never pass a byte on before
-the handshake is over, or wait: whatever is missing comes with the next bytes.
+Encrypts one connection with the standard library's ssl over memory buffers. It passes no byte on before the handshake
+is complete, and it never blocks: what is missing is processed when more bytes arrive.
 """
 
 import ssl
@@ -10,87 +10,87 @@
 from knotwalk.net.ending import Ending
 from knotwalk.net.loop import Link, Peer, Unreadable
 
-READ = 1 << 14  # bytes of a TLS record
+READ_BYTES = 1 << 14  # the size of a TLS record
 
 
-class Plain:
-    """The link as the inner peer sees it."""
+class PlaintextLink:
+    """The link that the inner peer sees: what it writes is encrypted."""
 
-    def __init__(self, secure: "Secure", link: Link):
-        self.secure, self.link = secure, link
+    def __init__(self, tls: "TlsPeer", link: Link):
+        self.tls, self.link = tls, link
         self.timer = None
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.link, name)
 
     def write(self, data: bytes) -> None:
-        self.secure.write(data)
+        self.tls.write(data)
 
     def end(self, ending: Ending) -> None:
         self.link.end(ending)
 
 
-class Secure:
-    """A peer under TLS. `context` is of the moment: a later reload does not touch a stream that is up."""
+class TlsPeer:
+    """Wraps a peer in TLS. The context is fixed at the start; reloading keys does not affect an open stream."""
 
     def __init__(self, inner: Peer, context: ssl.SSLContext, server: bool, name: str | None = None):
         self.inner = inner
-        self.coming, self.going = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self.tls = context.wrap_bio(self.coming, self.going, server_side=server, server_hostname=name)
-        self.up = False
-        self.plain: Plain | None = None
+        self.incoming, self.outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
+        self.tls = context.wrap_bio(self.incoming, self.outgoing, server_side=server, server_hostname=name)
+        self.is_established = False
+        self.plaintext_link: PlaintextLink | None = None
 
     def opened(self, link: Link) -> None:
-        self.plain = Plain(self, link)
-        self.shake()
+        self.plaintext_link = PlaintextLink(self, link)
+        self.continue_handshake()
 
     def fed(self, link: Link, data: memoryview) -> None:
-        self.coming.write(data)
-        if not self.up:
-            self.shake()
-        while self.up and not link.over:
+        self.incoming.write(data)
+        if not self.is_established:
+            self.continue_handshake()
+        while self.is_established and not link.over:
             try:
-                plain = self.tls.read(READ)
+                decrypted = self.tls.read(READ_BYTES)
             except ssl.SSLWantReadError:
                 break
-            except ssl.SSLError as fault:
-                raise Unreadable(f"TLS: {fault.reason}") from None
-            if not plain:
+            except ssl.SSLError as error:
+                raise Unreadable(f"TLS: {error.reason}") from None
+            if not decrypted:
                 link.end(Ending.CLOSED)
                 break
-            self.inner.fed(self.plain, memoryview(plain))  # type: ignore[arg-type]
+            self.inner.fed(self.plaintext_link, memoryview(decrypted))  # type: ignore[arg-type]
 
-    def shake(self) -> None:
-        assert self.plain is not None
+    def continue_handshake(self) -> None:
+        assert self.plaintext_link is not None
         try:
             self.tls.do_handshake()
         except ssl.SSLWantReadError:
             self.flush()
             return
-        except ssl.SSLError as fault:
-            self.flush()  # the alert tells the other side why
-            raise Unreadable(f"TLS: {fault.reason}") from None
-        self.up = True
+        except ssl.SSLError as error:
+            self.flush()  # sends the alert that gives the other side the reason
+            raise Unreadable(f"TLS: {error.reason}") from None
+        self.is_established = True
         self.flush()
-        self.inner.opened(self.plain)  # type: ignore[arg-type]
+        self.inner.opened(self.plaintext_link)  # type: ignore[arg-type]
 
     def write(self, data: bytes) -> None:
-        if self.up:
+        if self.is_established:
             self.tls.write(data)
             self.flush()
 
     def flush(self) -> None:
-        assert self.plain is not None
-        if data := self.going.read():
-            self.plain.link.write(data)
+        assert self.plaintext_link is not None
+        if data := self.outgoing.read():
+            self.plaintext_link.link.write(data)
 
     def ended(self, link: Link | None, ending: Ending) -> None:
-        if self.plain is not None and self.plain.timer is not None:
-            self.plain.timer.cancel()
-        self.inner.ended(self.plain if self.up else None, ending)  # type: ignore[arg-type]
-
-    def names(self) -> set[str]:
-        """The names that the other side's certificate holds."""
-        told = self.tls.getpeercert() or {}
-        out = {value for row in told.get("subject", ()) for key, value in row if key == "commonName"}
-        return out | {value for kind, value in told.get("subjectAltName", ()) if kind == "DNS"}
+        if self.plaintext_link is not None and self.plaintext_link.timer is not None:
+            self.plaintext_link.timer.cancel()
+        self.inner.ended(self.plaintext_link if self.is_established else None, ending)  # type: ignore[arg-type]
+
+    def certificate_names(self) -> set[str]:
+        """The common name and DNS names in the other side's certificate."""
+        certificate = self.tls.getpeercert() or {}
+        names = {value for row in certificate.get("subject", ()) for key, value in row if key == "commonName"}
+        return names | {value for kind, value in certificate.get("subjectAltName", ()) if kind == "DNS"}
--- a/knotwalk/pubsub/versions.py
+++ b/knotwalk/pubsub/versions.py
@@ -1,7 +1,8 @@
-"""The published table and its versions: what changed since, at the cost of what changed.
+"""The published table, versioned: computes what changed since a version, at a cost proportional to the changes.
 
-Owns the newest state of every line, level and withdrawal, each with the version that set it. Pure. It must never hand
-out a change whose predecessors it has forgotten: a base below the floor is refused.
+Holds the newest state of every line (slice, server, weight), level (the admitted share of a method's requests, and its
+retry mode) and withdrawal of a server, each with the version that set it. Does no I/O and reads no clock. Changes since
+a version below the floor are never computed, because removals from before the floor have been discarded.
 """
 
 from bisect import bisect_left
@@ -9,38 +10,40 @@
 from collections.abc import Container, Iterator, Mapping
 from typing import NamedTuple
 
-RETAIN = 20_000  # removals kept for old bases: some hours of storms at the grown size, 2 MB
+# Removals kept so that subscribers with an old version can be sent changes: some hours of constant changes in a large
+# installation, about 2 MB.
+MAX_REMOVALS = 20_000
 
 
-GAPS = 64  # lives whose lost versions are told from others: a base from before them gets a snapshot
+MAX_LOST_RANGES = 64  # ranges of lost versions remembered; a subscriber from before the oldest gets a snapshot
 
 
 class Slice:
     """One slice's newest state: weight and version by server, (share, retry) and version by method.
 
-    A weight of 0 is a removal, kept until no base that is served can lack it.
+    A weight of 0 marks a removed line. It is kept as long as some subscriber's version may be older than the removal.
     """
 
     __slots__ = ("id", "version", "lines", "levels")
 
     def __init__(self, id: int):
         self.id = id
-        self.version = 0  # of its last change
+        self.version = 0  # the version of its last change
         self.lines: dict[str, tuple[float, int]] = {}
         self.levels: dict[int, tuple[float, int, int]] = {}
 
-    def whole(self) -> "Part":
-        """Its state, removals left out."""
-        return Part(
+    def full_update(self) -> "SliceUpdate":
+        """The slice's state without removed lines."""
+        return SliceUpdate(
             self.id,
             True,
             {k: w for k, (w, _) in self.lines.items() if w},
             {k: (share, retry) for k, (share, retry, _) in self.levels.items()},
         )
 
-    def since(self, version: int) -> "Part":
-        """What was set after a version."""
-        return Part(
+    def changes_since(self, version: int) -> "SliceUpdate":
+        """Lines and levels that were set after a version."""
+        return SliceUpdate(
             self.id,
             False,
             {k: w for k, (w, v) in self.lines.items() if v > version},
@@ -48,190 +51,197 @@
         )
 
 
-class Part(NamedTuple):
-    """What a message says of one slice: taken in whole or not at all."""
+class SliceUpdate(NamedTuple):
+    """The part of a message that concerns one slice; a subscriber applies all of it or nothing."""
 
     slice: int
-    whole: bool  # whether it replaces what was there
-    lines: Mapping[str, float]  # weight 0 removes
-    levels: Mapping[int, tuple[float, int]]
+    is_full: bool  # replaces the slice's lines and levels instead of updating them
+    lines: Mapping[str, float]  # weight by server; 0 removes the line
+    levels: Mapping[int, tuple[float, int]]  # (share, retry) by method
 
     @property
     def size(self) -> int:
-        """Lines that it counts for; emptying a slice is one."""
+        """Lines that it counts for under the caps; a slice without lines counts as one."""
         return max(1, len(self.lines) + len(self.levels))
 
 
 class Delta(NamedTuple):
-    """What a message says: slices, withdrawals, and levels for all slices."""
+    """The content of a message: updates of slices, withdrawals of servers, and levels for all slices."""
 
-    parts: tuple[Part, ...]
-    shut: Mapping[str, bool]
+    parts: tuple[SliceUpdate, ...]
+    withdrawn: Mapping[str, bool]  # by server: True withdraws it, False takes the withdrawal back
     levels: Mapping[int, tuple[float, int]]
 
     @property
     def size(self) -> int:
-        """Lines that it counts for, by rule 5."""
-        return sum(p.size for p in self.parts) + len(self.shut) + len(self.levels)
+        """Lines that it counts for under the caps (rule 5)."""
+        return sum(p.size for p in self.parts) + len(self.withdrawn) + len(self.levels)
 
 
 class Table:
-    """What subscribers should hold.
+    """The table that every subscriber should end up with.
 
     >>> table = Table("e")
-    >>> table.line(7, "a", 1.0); table.line(7, "b", 1.0); table.line(7, "a", 0.0)
-    >>> table.version, table.since(1).parts[0].lines == {"b": 1.0, "a": 0.0}
+    >>> table.set_line(7, "a", 1.0); table.set_line(7, "b", 1.0); table.set_line(7, "a", 0.0)
+    >>> table.version, table.changes_since(1).parts[0].lines == {"b": 1.0, "a": 0.0}
     (3, True)
     """
 
-    def __init__(self, epoch: str, version: int = 0, retain: int = RETAIN):
-        self.epoch, self.version, self.floor, self.retain = epoch, version, version, retain
-        self.slices: OrderedDict[int, Slice] = OrderedDict()  # the one changed last at the end
-        self.ids: list[int] = []  # in order, for snapshots; see places
-        self.sorted = True
-        self.shut: OrderedDict[str, tuple[bool, int]] = OrderedDict()
-        self.levels: dict[int, tuple[float, int, int]] = {}
-        self.removed: deque[tuple[int, int | None, str]] = deque()  # version, slice or None, server
-        self.used: dict[str, int] = {}  # lines by server
-        self.gaps: list[tuple[int, int]] = []  # versions between two were perhaps told by an earlier life
+    def __init__(self, epoch: str, version: int = 0, max_removals: int = MAX_REMOVALS):
+        self.epoch, self.version, self.floor, self.max_removals = epoch, version, version, max_removals
+        self.slices: OrderedDict[int, Slice] = OrderedDict()  # in the order of their last change, the newest last
+        self.ids: list[int] = []  # ids of all slices; see sorted_ids
+        self.is_sorted = True
+        self.withdrawn: OrderedDict[str, tuple[bool, int]] = OrderedDict()
+        self.levels: dict[int, tuple[float, int, int]] = {}  # (share, retry, version) by method, for all slices
+        self.removals: deque[tuple[int, int | None, str]] = deque()  # (version, slice or None for a withdrawal, server)
+        self.line_counts: dict[str, int] = {}  # number of lines by server
+        # An earlier incarnation may have published versions strictly between these bounds; their content is lost.
+        self.lost_ranges: list[tuple[int, int]] = []
 
     # --- changes ---
 
     def touch(self, id: int) -> Slice:
+        """Start a new version and mark the slice as changed in it."""
         self.version += 1
-        s = self.slices.get(id)
-        if s is None:
-            s = self.slices[id] = Slice(id)
+        state = self.slices.get(id)
+        if state is None:
+            state = self.slices[id] = Slice(id)
             self.ids.append(id)
-            self.sorted = False
+            self.is_sorted = False
         else:
             self.slices.move_to_end(id)
-        s.version = self.version
-        return s
+        state.version = self.version
+        return state
 
-    def line(self, slice_id: int, server: str, weight: float) -> None:
-        """Set one line; weight 0 removes it. What stands already is no change."""
-        s = self.slices.get(slice_id)
-        old = s.lines.get(server, (0.0, 0))[0] if s else 0.0
+    def set_line(self, slice_id: int, server: str, weight: float) -> None:
+        """Set one line; weight 0 removes it. Setting the current weight again makes no new version."""
+        state = self.slices.get(slice_id)
+        old = state.lines.get(server, (0.0, 0))[0] if state else 0.0
         if old == weight:
             return
-        s = self.touch(slice_id)
-        s.lines[server] = weight, self.version
+        state = self.touch(slice_id)
+        state.lines[server] = weight, self.version
         if not old:
-            self.used[server] = self.used.get(server, 0) + 1
+            self.line_counts[server] = self.line_counts.get(server, 0) + 1
         if not weight:
-            self.used[server] -= 1
-            if not self.used[server]:
-                del self.used[server]
-            self.forget(slice_id, server)
+            self.line_counts[server] -= 1
+            if not self.line_counts[server]:
+                del self.line_counts[server]
+            self.record_removal(slice_id, server)
 
-    def level(self, slice_id: int | None, method: int, share: float, retry: int) -> None:
+    def set_level(self, slice_id: int | None, method: int, share: float, retry: int) -> None:
         if slice_id is None:
             if self.levels.get(method, (None, None))[:2] != (share, retry):
                 self.version += 1
                 self.levels[method] = share, retry, self.version
             return
-        s = self.slices.get(slice_id)
-        if s is None or s.levels.get(method, (None, None))[:2] != (share, retry):
-            s = self.touch(slice_id)
-            s.levels[method] = share, retry, self.version
+        state = self.slices.get(slice_id)
+        if state is None or state.levels.get(method, (None, None))[:2] != (share, retry):
+            state = self.touch(slice_id)
+            state.levels[method] = share, retry, self.version
 
-    def withdraw(self, server: str, shut: bool) -> None:
-        if self.shut.get(server, (False, 0))[0] == shut:
+    def set_withdrawn(self, server: str, withdrawn: bool) -> None:
+        if self.withdrawn.get(server, (False, 0))[0] == withdrawn:
             return
         self.version += 1
-        self.shut[server] = shut, self.version
-        self.shut.move_to_end(server)
-        if not shut:
-            self.forget(None, server)
-
-    def replace(self, slice_id: int, lines: Mapping[str, float]) -> None:
-        """Make a slice's lines these: only what differs becomes a change."""
-        s = self.slices.get(slice_id)
-        for server in [k for k, (w, _) in s.lines.items() if w and k not in lines] if s else ():
-            self.line(slice_id, server, 0.0)
+        self.withdrawn[server] = withdrawn, self.version
+        self.withdrawn.move_to_end(server)
+        if not withdrawn:
+            self.record_removal(None, server)
+
+    def replace_lines(self, slice_id: int, lines: Mapping[str, float]) -> None:
+        """Replace all lines of a slice; only lines that differ make new versions."""
+        state = self.slices.get(slice_id)
+        for server in [k for k, (w, _) in state.lines.items() if w and k not in lines] if state else ():
+            self.set_line(slice_id, server, 0.0)
         for server, weight in lines.items():
-            self.line(slice_id, server, weight)
+            self.set_line(slice_id, server, weight)
 
-    def forget(self, slice_id: int | None, server: str) -> None:
-        """A removal need not be kept for ever: past `retain`, the oldest go, and with them the bases below."""
-        self.removed.append((self.version, slice_id, server))
-        while len(self.removed) > self.retain:
-            version, id, name = self.removed.popleft()
+    def record_removal(self, slice_id: int | None, server: str) -> None:
+        """Remember the removal just made, and discard the oldest ones beyond `max_removals`.
+
+        Discarding one raises the floor to its version: subscribers below it can no longer be sent changes.
+        """
+        self.removals.append((self.version, slice_id, server))
+        while len(self.removals) > self.max_removals:
+            version, id, name = self.removals.popleft()
             self.floor = version
-            held: dict | None = self.shut if id is None else self.slices[id].lines
+            held: dict | None = self.withdrawn if id is None else self.slices[id].lines
             if held is not None and name in held and held[name][1] == version:
                 del held[name]
 
-    # --- what a subscriber lacks ---
+    # --- changes since a version ---
 
-    def places(self) -> list[int]:
-        """The slices in the order of snapshots."""
-        if not self.sorted:
+    def sorted_ids(self) -> list[int]:
+        """The ids of all slices in ascending order, in which snapshots send them."""
+        if not self.is_sorted:
             self.ids.sort()
-            self.sorted = True
+            self.is_sorted = True
         return self.ids
 
-    def known(self, version: int) -> bool:
-        """Whether changes since a version can be told."""
+    def is_retained(self, version: int) -> bool:
+        """Whether all changes since a version are still held."""
         return self.floor <= version <= self.version
 
-    def since(self, version: int, wanted: Container[int] | None = None, below: int | None = None) -> Delta:
-        """All that was set after a version, of the slices wanted and with an id below a place.
+    def changes_since(self, version: int, wanted: Container[int] | None = None, below: int | None = None) -> Delta:
+        """All that was set after a version, in the slices wanted (None: all) and with an id under `below` (None: all).
 
-        Costs what changed: slices lie in the order of their last change.
+        The cost is proportional to the slices changed, since they are kept in the order of their last change.
         """
-        assert version >= self.floor, "a base too old"
+        assert version >= self.floor, "version is below the floor"
         parts = []
-        for s in reversed(self.slices.values()):
-            if s.version <= version:
+        for state in reversed(self.slices.values()):
+            if state.version <= version:
                 break
-            if (below is None or s.id < below) and (wanted is None or s.id in wanted):
-                parts.append(s.since(version))
-        return Delta(tuple(parts), *self.general(version))
+            if (below is None or state.id < below) and (wanted is None or state.id in wanted):
+                parts.append(state.changes_since(version))
+        return Delta(tuple(parts), *self.global_changes_since(version))
 
-    def general(self, version: int) -> tuple[dict[str, bool], dict[int, tuple[float, int]]]:
+    def global_changes_since(self, version: int) -> tuple[dict[str, bool], dict[int, tuple[float, int]]]:
         """Withdrawals and levels for all slices that were set after a version."""
-        shut = {}
-        for server, (out, v) in reversed(self.shut.items()):
+        withdrawn = {}
+        for server, (is_withdrawn, v) in reversed(self.withdrawn.items()):
             if v <= version:
                 break
-            shut[server] = out
-        return shut, {k: (share, retry) for k, (share, retry, v) in self.levels.items() if v > version}
-
-    def pieces(
-        self, place: int, most: int, wanted: Container[int] | None = None
-    ) -> tuple[tuple[Part, ...], int | None]:
-        """Whole slices from a place on, up to so many lines but one slice at least; and the next place, None at
-        the end."""
-        ids, parts, size = self.places(), [], 0
-        for k in range(self.at(place), len(ids)):
-            if wanted is not None and ids[k] not in wanted:
+            withdrawn[server] = is_withdrawn
+        return withdrawn, {k: (share, retry) for k, (share, retry, v) in self.levels.items() if v > version}
+
+    def snapshot_piece(
+        self, first_id: int, max_lines: int, wanted: Container[int] | None = None
+    ) -> tuple[tuple[SliceUpdate, ...], int | None]:
+        """Whole slices with ids from `first_id` on, and the id at which the next piece begins (None after the last).
+
+        Contains at least one slice, even if that has more than `max_lines` lines.
+        """
+        ids, parts, size = self.sorted_ids(), [], 0
+        for position in range(self.index_of(first_id), len(ids)):
+            if wanted is not None and ids[position] not in wanted:
                 continue
-            part = self.slices[ids[k]].whole()
-            if parts and size + part.size > most:
-                return tuple(parts), ids[k]
+            part = self.slices[ids[position]].full_update()
+            if parts and size + part.size > max_lines:
+                return tuple(parts), ids[position]
             parts.append(part)
             size += part.size
         return tuple(parts), None
 
-    def at(self, place: int) -> int:
-        """Where in the order of snapshots a place lies."""
-        return bisect_left(self.places(), place)
+    def index_of(self, slice_id: int) -> int:
+        """The position in the order of snapshots of the first slice with at least this id."""
+        return bisect_left(self.sorted_ids(), slice_id)
 
-    def live(self) -> list[str]:
-        """The servers that some line names and that are not withdrawn: the rest is not to be sent to."""
-        return [x for x in self.used if not self.shut.get(x, (False, 0))[0]]
+    def live_servers(self) -> list[str]:
+        """The servers that have a line and are not withdrawn; no other server may be sent requests."""
+        return [x for x in self.line_counts if not self.withdrawn.get(x, (False, 0))[0]]
 
     def rows(self) -> Iterator[tuple[int, str, float]]:
-        """All lines that stand."""
-        for id, s in self.slices.items():
-            yield from ((id, server, w) for server, (w, _) in s.lines.items() if w)
+        """All lines as (slice, server, weight), without removed ones."""
+        for id, state in self.slices.items():
+            yield from ((id, server, w) for server, (w, _) in state.lines.items() if w)
 
-    # --- as a checkpoint ---
+    # --- checkpoints ---
 
     def snapshot(self) -> dict:
-        """All of it as plain values."""
+        """The whole table as plain values for storage."""
         return {
             "format": 1,
             "epoch": self.epoch,
@@ -239,55 +249,57 @@
             "floor": self.floor,
             "slices": [
                 [
-                    s.id,
-                    s.version,
-                    [[k, w, v] for k, (w, v) in s.lines.items()],
-                    [[k, *row] for k, row in s.levels.items()],
+                    state.id,
+                    state.version,
+                    [[k, w, v] for k, (w, v) in state.lines.items()],
+                    [[k, *row] for k, row in state.levels.items()],
                 ]
-                for s in self.slices.values()
+                for state in self.slices.values()
             ],
-            "shut": [[k, out, v] for k, (out, v) in self.shut.items()],
+            "shut": [[k, is_withdrawn, v] for k, (is_withdrawn, v) in self.withdrawn.items()],
             "levels": [[k, *row] for k, row in self.levels.items()],
-            "removed": [list(x) for x in self.removed],
-            "gaps": [list(x) for x in self.gaps],
+            "removed": [list(x) for x in self.removals],
+            "gaps": [list(x) for x in self.lost_ranges],
         }
 
     @classmethod
-    def restored(cls, told: Mapping, ceiling: int, retain: int = RETAIN) -> "Table":
-        """A table that goes on from a checkpoint. Versions after it and below `ceiling` may have been told: none of
-        them is given again, and a base among them is unknown.
+    def from_snapshot(cls, snapshot: Mapping, ceiling: int, max_removals: int = MAX_REMOVALS) -> "Table":
+        """A table that continues from a checkpoint.
 
-        Raises ValueError for what is no checkpoint of this format.
+        Versions after the checkpoint and below `ceiling` may have been published and are lost: none of them is used
+        again, and a subscriber at one of them cannot be sent changes. Raises ValueError if the snapshot is not of this
+        format.
         """
         try:
-            if told["format"] != 1:
-                raise ValueError(f"a table of format {told['format']}; this version reads 1")
-            table = cls(str(told["epoch"]), int(told["version"]), retain)
-            table.floor = int(told["floor"])
-            for id, version, lines, levels in told["slices"]:
-                s = table.slices[id] = Slice(id)
-                s.version = version
-                s.lines = {k: (w, v) for k, w, v in lines}
-                s.levels = {k: (share, retry, v) for k, share, retry, v in levels}
+            if snapshot["format"] != 1:
+                raise ValueError(f"a table of format {snapshot['format']}; this version reads 1")
+            table = cls(str(snapshot["epoch"]), int(snapshot["version"]), max_removals)
+            table.floor = int(snapshot["floor"])
+            for id, version, lines, levels in snapshot["slices"]:
+                state = table.slices[id] = Slice(id)
+                state.version = version
+                state.lines = {k: (w, v) for k, w, v in lines}
+                state.levels = {k: (share, retry, v) for k, share, retry, v in levels}
                 table.ids.append(id)
-                for k, w, _ in lines:
-                    if w:
-                        table.used[k] = table.used.get(k, 0) + 1
-            table.sorted = False
-            table.shut = OrderedDict((k, (out, v)) for k, out, v in told["shut"])
-            table.levels = {k: (share, retry, v) for k, share, retry, v in told["levels"]}
-            table.gaps = [(a, b) for a, b in told["gaps"]]
-            table.removed.extend((v, id, k) for v, id, k in told["removed"])
+                for server, weight, _ in lines:
+                    if weight:
+                        table.line_counts[server] = table.line_counts.get(server, 0) + 1
+            table.is_sorted = False
+            table.withdrawn = OrderedDict((k, (is_withdrawn, v)) for k, is_withdrawn, v in snapshot["shut"])
+            table.levels = {k: (share, retry, v) for k, share, retry, v in snapshot["levels"]}
+            table.lost_ranges = [(a, b) for a, b in snapshot["gaps"]]
+            table.removals.extend((v, id, k) for v, id, k in snapshot["removed"])
         except (KeyError, TypeError, IndexError, AttributeError) as fault:
-            raise ValueError(f"no checkpoint of a table: {fault!r}") from None
+            raise ValueError(f"not a checkpoint of a table: {fault!r}") from None
         if ceiling > table.version:
-            table.gaps.append((table.version, ceiling))
+            table.lost_ranges.append((table.version, ceiling))
             table.version = ceiling
-        # A subscriber may have missed whole lives, so a gap stays one as long as a base below it is served.
-        while len(table.gaps) > GAPS:
-            table.floor = max(table.floor, table.gaps.pop(0)[1])
+        # A subscriber may have missed whole incarnations, so a range counts as lost as long as versions below it are
+        # retained.
+        while len(table.lost_ranges) > MAX_LOST_RANGES:
+            table.floor = max(table.floor, table.lost_ranges.pop(0)[1])
         return table
 
-    def holds(self, version: int) -> bool:
-        """Whether this table was at a version, and changes since can be told."""
-        return self.known(version) and not any(a < version < b for a, b in self.gaps)
+    def can_resume_from(self, version: int) -> bool:
+        """Whether this table was at a version and holds all changes since."""
+        return self.is_retained(version) and not any(a < version < b for a, b in self.lost_ranges)
--- a/tests/standins/edges.py
+++ b/tests/standins/edges.py
@@ -30,7 +30,7 @@
 
     def __init__(self, settings, table, access=None, seats=200, key=b"k" * 32):
         self.loop, self.told, self.lines = Loop(), [], []
-        self.hub = Hub(table, settings, key, wire.encoded, 1)
+        self.hub = Hub(table, settings, key, wire.encode_delta, 1)
         self.publisher = publisher.Publisher(
             self.loop,
             self.hub,
@@ -61,7 +61,7 @@
         return [self.edge(f"p{k}", k, k) for k in range(count)]
 
     def order(self, *orders, inbox=()):
-        self.publisher.round(self.loop.now(), inbox, orders)
+        self.publisher.handle_round(self.loop.now(), inbox, orders)
 
     def turn(self, seconds=0.0):
         end = time.monotonic() + seconds
@@ -80,7 +80,8 @@
     def alike(self, edges=None):
         want = sorted(self.hub.table.rows())
         return all(
-            e.subscriber.place is None and e.link and sorted(e.subscriber.rows()) == want for e in edges or self.edges
+            e.subscriber.next_slice is None and e.link and sorted(e.subscriber.rows()) == want
+            for e in edges or self.edges
         )
 
 
--- a/tests/standins/hubs.py
+++ b/tests/standins/hubs.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from knotwalk.pubsub import wire
-from knotwalk.pubsub.hub import Hub, Later, Refused
+from knotwalk.pubsub.hub import Hub, MessageRejectedError, RetryLaterError
 from knotwalk.pubsub.subscriber import Subscriber
 from knotwalk.pubsub.versions import Table
 from knotwalk.rules import Limits, RuleChecker
@@ -28,7 +28,7 @@
     def __init__(self, settings=SMALL, table=None, seed=1, born=1.0):
         self.now, self.settings, self.random = 1000.0, settings, Random(seed)
         self.table = table or Table("e1")
-        self.hub = Hub(self.table, settings, KEY, wire.encoded, seed)
+        self.hub = Hub(self.table, settings, KEY, wire.encode_delta, seed)
         self.born = born
         self.pipes = {}  # by the subscriber's name
         self.inbox, self.notes, self.ended = [], [], []
@@ -53,10 +53,10 @@
         self.ended.append((cursor.name, why))
         self.cut(cursor.name)
 
-    def told(self, handler, *arguments):
+    def notify_module(self, handler, *arguments):
         self.inbox.append((handler, arguments))
 
-    def note(self, kind, text):
+    def log_event(self, kind, text):
         self.notes.append((kind, text))
 
     # --- streams ---
@@ -65,23 +65,23 @@
         """A new stream; what the publisher says to its hello."""
         hello = wire.Hello(json.loads(subscriber.hello()))
         try:
-            cursor = self.hub.hello(
-                self.now, hello.name, hello.proxy, hello.wanted, hello.of_zone, hello.token, hello.usable
+            cursor = self.hub.handle_hello(
+                self.now, hello.name, hello.proxy, hello.wanted, hello.server_zone, hello.token, hello.has_table
             )
-        except (Later, Refused) as fault:
-            subscriber.refused(str(fault)) if isinstance(fault, Refused) else None
+        except (RetryLaterError, MessageRejectedError) as fault:
+            subscriber.handle_refusal(str(fault)) if isinstance(fault, MessageRejectedError) else None
             return fault
         self.pipes[subscriber.name] = Pipe(cursor, subscriber)
         if cursor.proxy is not None:
             self.rules.feed(self.now, [("joined", (cursor.proxy,))], [])
-        subscriber.message(self.now, {"t": "welcome", "epoch": self.table.epoch, "born": self.born})
+        subscriber.handle_message(self.now, {"t": "welcome", "epoch": self.table.epoch, "born": self.born})
         return cursor
 
     def cut(self, name):
         """A stream ends; what was on its way is lost."""
         pipe = self.pipes.pop(name, None)
         if pipe is not None:
-            self.hub.left(pipe.cursor)
+            self.hub.remove(pipe.cursor)
             if pipe.cursor.proxy is not None:
                 # Its account goes on over streams: the rules' proxy stays, only what was on its way is void.
                 for _, _, _, to_come in self.rules.in_flight:
@@ -92,28 +92,28 @@
         pipe = self.pipes.get(name)
         while pipe is not None and pipe.down and count:
             count -= 1
-            pipe.up += pipe.subscriber.message(self.now, json.loads(pipe.down.pop(0)))
+            pipe.up += pipe.subscriber.handle_message(self.now, json.loads(pipe.down.pop(0)))
         while pipe is not None and pipe.up:
             self.answer(pipe, json.loads(pipe.up.pop(0)))
 
     def answer(self, pipe, told):
         if told["t"] == "ack":
-            self.hub.ack(self.now, pipe.cursor, told["n"], wire.need_of(told), self)
+            self.hub.handle_ack(self.now, pipe.cursor, told["n"], wire.parse_need(told), self)
             if (number := self.flight.pop((pipe.cursor, told["n"]), None)) is not None:
                 self.rules.record_applied(pipe.cursor.proxy, number)
         else:
-            self.hub.nack(self.now, pipe.cursor, told["n"], told["why"], self)
+            self.hub.handle_nack(self.now, pipe.cursor, told["n"], told["why"], self)
             for _, _, _, to_come in self.rules.in_flight:
                 to_come.discard(pipe.cursor.proxy)
 
     # --- time ---
 
     def order(self, *orders, inbox=()):
-        self.hub.ordered(self.now, inbox, orders)
+        self.hub.apply_round(self.now, inbox, orders)
         self.rules.feed(self.now, inbox, orders)
 
     def turn(self):
-        return self.hub.turn(self.now, self)
+        return self.hub.send_due(self.now, self)
 
     def quiet(self, seconds=120.0, step=0.05):
         """Go on until nothing is under way; the seconds that it took."""
@@ -154,7 +154,7 @@
     """A table."""
     table = Table(epoch)
     for k in range(slices):
-        table.line(k, f"s{k % servers}", 1.0)
+        table.set_line(k, f"s{k % servers}", 1.0)
     return table
 
 
@@ -165,4 +165,4 @@
 def alike(world, subscribers):
     """Whether all hold the publisher's table."""
     want = sorted(world.table.rows())
-    return all(s.place is None and sorted(s.rows()) == want for s in subscribers)
+    return all(s.next_slice is None and sorted(s.rows()) == want for s in subscribers)
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -37,7 +37,7 @@
         site.until(site.alike)
     assert all(most_within(e.came, 1.0) <= 6 for e in edges)
     assert all(e.subscriber.applied == len(e.came) for e in edges)
-    site.until(lambda: site.hub.waiting == {True: 0, False: 0})
+    site.until(lambda: site.hub.unacked_lines == {True: 0, False: 0})
     assert [x for x in site.told if x[0] == "joined"].count(("joined", 7)) >= 2
 
 
@@ -88,11 +88,11 @@
     ):
         sock.sendall(data)
     slow = socket.create_connection(site.address)
-    slow.sendall(wire.line("hello", v=1, name="slow", proxy=99))
+    slow.sendall(wire.encode_message("hello", v=1, name="slow", proxy=99))
     site.until(lambda: "slow" in site.hub.cursors)
     for _ in range(30):  # floods of hellos of one name
         sock = socket.create_connection(site.address)
-        sock.sendall(wire.line("hello", v=1, name="flood", proxy=98))
+        sock.sendall(wire.encode_message("hello", v=1, name="flood", proxy=98))
         silent.append(sock)
     begun = time.monotonic()
     for k in range(20):
@@ -152,38 +152,38 @@
     assert not any(e.came for e in bad)
     for text, message in (("proxy short\n", ":1: a secret of 5"), ("admin x\n", ":1: 'proxy SECRET'"), ("# \n", "no")):
         path.write_text(text)
-        with pytest.raises(publisher.Misfit, match=message):
+        with pytest.raises(publisher.AccessConfigError, match=message):
             publisher.Access(str(path))
-    with pytest.raises(publisher.Misfit, match="No such file"):
+    with pytest.raises(publisher.AccessConfigError, match="No such file"):
         publisher.Access(str(tmp_path / "none"))
 
 
 def test_a_kept_file_that_is_damaged_is_refused_in_words_at_any_byte(tmp_path):
-    data = persistence.packed(filled(20), 500, b"key")
-    table, key = persistence.unpacked(data)
+    data = persistence.encode_state(filled(20), 500, b"key")
+    table, key = persistence.decode_state(data)
     assert (table.version, table.epoch, key) == (500, "e1", b"key")
     assert sorted(table.rows()) == sorted(filled(20).rows())
     chance = Random(1)
     for _ in range(200):
         at = chance.randrange(len(data))
         for spoilt in (data[:at], data[:at] + bytes([data[at] ^ 1 << chance.randrange(8)]) + data[at + 1 :]):
-            with pytest.raises(persistence.Unkept):
-                persistence.unpacked(spoilt)
+            with pytest.raises(persistence.TableFileError):
+                persistence.decode_state(spoilt)
 
 
 def test_a_keeper_killed_at_random_leaves_a_whole_file_and_versions_that_are_never_told_twice(tmp_path, monkeypatch):
-    monkeypatch.setattr(persistence, "RESERVE", 50)
-    monkeypatch.setattr(persistence, "AGAIN", 0.01)
+    monkeypatch.setattr(persistence, "RESERVED_VERSIONS", 50)
+    monkeypatch.setattr(persistence, "RESTART_DELAY_S", 0.01)
     loop, lines, chance = Loop(), [], Random(3)
     path, table, told = tmp_path / "n0.kwt", filled(100), 0
     for life in range(4):
         exhausted = []
-        keeper = persistence.Keeper(
-            loop, path, persistence.locked(path), table, b"key", lambda kind, text="": lines.append(kind)
+        keeper = persistence.TableWriter(
+            loop, path, persistence.acquire_lock(path), table, b"key", lambda kind, text="": lines.append(kind)
         )
         for k in range(60):
-            table.line(k, f"s{life}-{k}", 1.0)
-            keeper.watch(lambda: exhausted.append(table.version))
+            table.set_line(k, f"s{life}-{k}", 1.0)
+            keeper.check_reservation(lambda: exhausted.append(table.version))
             if exhausted:
                 break
             told = max(told, table.version)
@@ -195,14 +195,14 @@
                 loop.turn()
         keeper.close()
         loop.timers.clear()
-        os.close(persistence.locked(path))  # its process has ended
+        os.close(persistence.acquire_lock(path))  # its process has ended
         table, _ = persistence.load(path)
         assert table.version >= told
     assert "keeping stands still" in lines
-    held = persistence.locked(path)
-    monkeypatch.setattr(persistence, "PATIENCE", 0.05)
-    with pytest.raises(persistence.Unkept, match="another process keeps it"):
-        persistence.locked(path)
+    held = persistence.acquire_lock(path)
+    monkeypatch.setattr(persistence, "LOCK_TIMEOUT_S", 0.05)
+    with pytest.raises(persistence.TableFileError, match="another process keeps it"):
+        persistence.acquire_lock(path)
     os.close(held)
 
 
@@ -251,7 +251,9 @@
     edges = [site.edge(f"p{k}", k, k) for k in range(6)]
 
     def alike():
-        return all(e.link and e.subscriber.place is None and e.subscriber.tables == stand.slices for e in edges)
+        return all(
+            e.link and e.subscriber.next_slice is None and e.subscriber.slice_lines == stand.slices for e in edges
+        )
 
     stand.until(alike)
     epochs = {e.subscriber.epoch for e in edges}
@@ -284,17 +286,17 @@
     edges, midst = [site.edge(f"p{k}", k, k) for k in range(20)], 0
     for k in range(4):
         if k == 0:  # surely in the midst; later at random, when what is left of it goes on
-            stand.until(lambda: any((e.subscriber.place or 0) > 0 for e in edges))
+            stand.until(lambda: any((e.subscriber.next_slice or 0) > 0 for e in edges))
         else:
             stand.until(lambda: any(e.link for e in edges))
             end = time.monotonic() + chance.uniform(0, 0.3)
             stand.until(lambda: time.monotonic() > end)
         stand.program.kill()
         stand.program.wait(PATIENCE)
-        midst += sum(0 < (e.subscriber.place or 0) for e in edges)
+        midst += sum(0 < (e.subscriber.next_slice or 0) for e in edges)
         publishing(stand, tmp_path, keep=str(tmp_path / "kept"), listen=port)
-    stand.until(lambda: all(e.link and e.subscriber.place is None for e in edges))
-    assert all(e.subscriber.tables == stand.slices for e in edges) and midst > 0
+    stand.until(lambda: all(e.link and e.subscriber.next_slice is None for e in edges))
+    assert all(e.subscriber.slice_lines == stand.slices for e in edges) and midst > 0
     assert all(e.subscriber.applied == len(e.came) for e in edges) and stand.stop() == 0
 
 
--- a/tests/test_pubsub.py
+++ b/tests/test_pubsub.py
@@ -9,7 +9,7 @@
 from standins.hubs import KEY, SMALL, World, alike, filled, proxies
 
 from knotwalk.pubsub import token, wire
-from knotwalk.pubsub.hub import Later, Refused
+from knotwalk.pubsub.hub import MessageRejectedError, RetryLaterError
 from knotwalk.pubsub.subscriber import Subscriber
 from knotwalk.pubsub.versions import Table
 
@@ -18,12 +18,12 @@
     table, chance, states = Table("e"), Random(1), [{}]
     for _ in range(400):
         before = table.version
-        table.line(chance.randrange(20), f"s{chance.randrange(4)}", float(chance.choice([0, 1, 2])))
+        table.set_line(chance.randrange(20), f"s{chance.randrange(4)}", float(chance.choice([0, 1, 2])))
         if table.version > before:
             states.append({(k, s): w for k, s, w in table.rows()})
     for version in range(0, table.version, 7):
         held = dict(states[version])
-        delta = table.since(version)
+        delta = table.changes_since(version)
         for p in delta.parts:
             for server, w in p.lines.items():
                 held.pop((p.slice, server), None)
@@ -33,26 +33,31 @@
 
 
 def test_a_base_below_the_retained_removals_is_unknown():
-    table = Table("e", retain=10)
+    table = Table("e", max_removals=10)
     for k in range(30):
-        table.line(k, "a", 1.0)
-        table.line(k, "a", 0.0)
-    assert not table.known(5) and table.known(table.floor) and table.floor == 40
+        table.set_line(k, "a", 1.0)
+        table.set_line(k, "a", 0.0)
+    assert not table.is_retained(5) and table.is_retained(table.floor) and table.floor == 40
     assert sum(len(s.lines) for s in table.slices.values()) == 10
 
 
 def test_a_restored_table_goes_on_past_its_ceiling_and_knows_what_it_lost():
     table = filled(20)
     kept = json.loads(json.dumps(table.snapshot()))
-    table.line(1, "x", 1.0)  # told, and lost
-    back = Table.restored(kept, 1000)
-    assert back.version == 1000 and back.holds(20) and not back.holds(21) and back.holds(1000)
-    back.line(2, "y", 1.0)
-    assert [p.slice for p in back.since(20).parts] == [2]
+    table.set_line(1, "x", 1.0)  # told, and lost
+    back = Table.from_snapshot(kept, 1000)
+    assert (
+        back.version == 1000
+        and back.can_resume_from(20)
+        and not back.can_resume_from(21)
+        and back.can_resume_from(1000)
+    )
+    back.set_line(2, "y", 1.0)
+    assert [p.slice for p in back.changes_since(20).parts] == [2]
     with pytest.raises(ValueError, match="format 7; this version reads 1"):
-        Table.restored({**kept, "format": 7}, 1000)
+        Table.from_snapshot({**kept, "format": 7}, 1000)
     with pytest.raises(ValueError):
-        Table.restored({"format": 1}, 1000)
+        Table.from_snapshot({"format": 1}, 1000)
 
 
 @pytest.mark.parametrize(
@@ -63,27 +68,32 @@
         lambda t: t + "0",
         lambda t: "x" * 4000,
         lambda t: 7,
-        lambda t: token.written(b"other key, of another one", "p1", "e1", 4, None),
+        lambda t: token.encode_token(b"other key, of another one", "p1", "e1", 4, None),
     ],
 )
 def test_a_token_that_is_forged_or_anothers_is_none(spoil):
-    text = token.written(KEY, "p1", "e1", 4, None)
-    assert token.read(KEY, "p1", text) == token.Token("e1", 4, None)
-    assert token.read(KEY, "p1", spoil(text)) is None and token.read(KEY, "p2", text) is None
+    text = token.encode_token(KEY, "p1", "e1", 4, None)
+    assert token.decode_token(KEY, "p1", text) == token.Token("e1", 4, None)
+    assert token.decode_token(KEY, "p1", spoil(text)) is None and token.decode_token(KEY, "p2", text) is None
 
 
 def test_versions_that_an_earlier_life_lost_stay_unknown_in_all_later_ones():
     """Guards against a subscriber that missed a life, whose base the next one took for one of its own."""
     table, kept = filled(5), filled(5).snapshot()
-    table.line(1, "x", 1.0)
+    table.set_line(1, "x", 1.0)
     for life in range(1, 4):
-        back = Table.restored(kept, 1000 * life)
-        assert not back.holds(6) and back.holds(5) and not back.holds(1000 * life - 1)
+        back = Table.from_snapshot(kept, 1000 * life)
+        assert not back.can_resume_from(6) and back.can_resume_from(5) and not back.can_resume_from(1000 * life - 1)
         kept = back.snapshot()
     for life in range(4, 80):
-        kept = Table.restored(kept, 1000 * life).snapshot()
-    back = Table.restored(kept, 90_000)
-    assert not back.holds(5) and not back.holds(6) and back.holds(79_000) and len(back.gaps) == 64
+        kept = Table.from_snapshot(kept, 1000 * life).snapshot()
+    back = Table.from_snapshot(kept, 90_000)
+    assert (
+        not back.can_resume_from(5)
+        and not back.can_resume_from(6)
+        and back.can_resume_from(79_000)
+        and len(back.lost_ranges) == 64
+    )
 
 
 def joined(count=3, slices=60, seed=0, **changes):
@@ -105,16 +115,18 @@
         ("receipt", (77,)),
     )
     world.quiet()
-    assert alike(world, subscribers) and world.caps_kept() and world.hub.waiting == {True: 0, False: 0}
+    assert alike(world, subscribers) and world.caps_kept() and world.hub.unacked_lines == {True: 0, False: 0}
     s = subscribers[0]
-    assert s.lines(3) == {"s3": 1.0, "s9": 2.0} and s.lines(4) == {} and s.slice_levels[3] == {1: (0.5, 1)}
+    assert (
+        s.usable_lines(3) == {"s3": 1.0, "s9": 2.0} and s.usable_lines(4) == {} and s.slice_levels[3] == {1: (0.5, 1)}
+    )
     assert sorted(x for x in world.inbox if x[0] == "applied") == [("applied", (k, 77)) for k in range(3)]
 
 
 def test_a_snapshot_larger_than_the_cap_allows_goes_in_pieces_while_the_table_changes_and_servers_drain():
     world, (s,) = joined(1, slices=3000, lines_waiting_most=400.0, messages_most=4)
     chance, seen = Random(2), []
-    while s.place is not None:
+    while s.next_slice is not None:
         world.turn()
         world.deliver("p0")
         k = chance.randrange(3000)
@@ -123,10 +135,10 @@
             drained = [("s3", "z", "draining", 1, 0)]
             world.order(("withdraw", ("s3", True)), inbox=[("listed", (False, False, drained))])
         # Whatever of the table is there is as it stood at one time: whole slices with lines of today.
-        seen.append(len(s.tables))
-        assert all(lines for lines in s.tables.values())
+        seen.append(len(s.slice_lines))
+        assert all(lines for lines in s.slice_lines.values())
         world.now += 0.1
-    assert len(s.shut) == 1 and s.applied > 8
+    assert len(s.withdrawn) == 1 and s.applied > 8
     world.quiet()
     assert alike(world, [s]) and world.caps_kept()
 
@@ -139,7 +151,7 @@
             world.now += 0.1
             world.turn()
         world.deliver("p0")
-    place, held = s.place, len(s.tables)
+    place, held = s.next_slice, len(s.slice_lines)
     assert 0 < place < 700 and held == place
     world.cut("p0")
     world.order(("line", (0, "later", 1.0)), ("line", (699, "later", 1.0)))
@@ -159,7 +171,7 @@
     world, (s,) = joined(1, slices=700, lines_waiting_most=120.0)
     while s.applied < pieces:
         world.run(0.1)
-    assert s.place is not None
+    assert s.next_slice is not None
     world.cut("p0")
     other = World(world.settings, filled(650, servers=7, epoch="e2"))
     other.join(s)
@@ -174,18 +186,18 @@
     world.cut("p0")
     world.table.floor = world.table.version + 1  # everything that it has is too old by now
     world.order(("line", (1, "b", 1.0)))
-    assert world.join(s).first
+    assert world.join(s).first_piece_pending
     world.quiet()
     assert alike(world, [s])
     elsewhere = World(SMALL, filled(60, epoch="e2"), seed=5)
     world.cut("p0")
-    assert elsewhere.join(s).first
+    assert elsewhere.join(s).first_piece_pending
     elsewhere.quiet()
     assert alike(elsewhere, [s])
-    s.token = token.written(KEY, "p0\0\0", "e2", 10**6, None)
-    assert isinstance(elsewhere.join(s), Refused) and s.token is None
+    s.token = token.encode_token(KEY, "p0\0\0", "e2", 10**6, None)
+    assert isinstance(elsewhere.join(s), MessageRejectedError) and s.token is None
     s.token = old[:-1] + ("0" if old[-1] != "0" else "1")
-    assert isinstance(elsewhere.join(s), Refused)
+    assert isinstance(elsewhere.join(s), MessageRejectedError)
 
 
 def test_an_old_table_loses_lines_to_servers_out_of_use_at_once_but_never_a_slices_last():
@@ -194,16 +206,16 @@
     world.cut("p0")
     later = World(world.settings, Table("e2"))
     for k in range(300):
-        later.table.line(k, f"t{k % 10}" if k % 3 == 0 else f"s{k % 10}", 1.0)
-    s.tables[1]["gone"] = 1.0
-    s.tables[299] = {"gone": 1.0}
+        later.table.set_line(k, f"t{k % 10}" if k % 3 == 0 else f"s{k % 10}", 1.0)
+    s.slice_lines[1]["gone"] = 1.0
+    s.slice_lines[299] = {"gone": 1.0}
     later.join(s)
     later.turn()
     later.deliver("p0", 1)
-    assert s.tables[1] == {"s1": 1.0} and s.tables[299] == {"gone": 1.0} and s.place is not None
+    assert s.slice_lines[1] == {"s1": 1.0} and s.slice_lines[299] == {"gone": 1.0} and s.next_slice is not None
     later.turn()
     later.deliver("p0")
-    assert s.tables[299] == {"s9": 1.0}  # asked for out of turn
+    assert s.slice_lines[299] == {"s9": 1.0}  # asked for out of turn
     later.quiet()
     assert alike(later, [s])
 
@@ -226,7 +238,7 @@
     world.order(("line", (2, "s7", 1.0)))
     assert world.hub.rank(world.now, world.pipes["p0"].cursor) == 2
     full = world.settings.lines_waiting_most
-    world.hub.waiting[False] = full  # observers that answer nothing
+    world.hub.unacked_lines[False] = full  # observers that answer nothing
     world.turn()
     assert world.pipes["p0"].down and world.pipes["p1"].down and not world.pipes["w"].down
 
@@ -260,7 +272,7 @@
 
 def test_what_another_front_sent_counts():
     world, (s,) = joined(1, messages_most=4)
-    world.hub.charge(world.now, [0, 0, 0])
+    world.hub.charge_messages(world.now, [0, 0, 0])
     world.join(s)
     world.run(1.0)
     assert len(world.sent[0]) == 1 and world.hub.messages_left(world.now, 0) == 0
@@ -306,9 +318,9 @@
 def test_an_answer_to_what_was_never_sent_is_refused(told):
     world, _ = joined(1)
     world.quiet()
-    with pytest.raises((Refused, ValueError)):
-        n = wire.whole_number(told.get("n"))
-        wire.need_of(told)
+    with pytest.raises((MessageRejectedError, ValueError)):
+        n = wire.parse_count(told.get("n"))
+        wire.parse_need(told)
         world.answer(world.pipes["p0"], {"why": "", **told, "n": n})
 
 
@@ -316,7 +328,7 @@
     world = World(SMALL._replace(lines_rate=2000.0), filled(400))
     subscribers = proxies(40)
     for s in subscribers:
-        s.whole, s.tables = True, {1: {"s1": 1.0}}
+        s.was_complete, s.slice_lines = True, {1: {"s1": 1.0}}
     later = [(0.0, s) for s in subscribers]
     told = 0
     while later:
@@ -324,10 +336,10 @@
         at, s = later.pop(0)
         world.now = max(world.now, 1000.0 + at)
         answer = world.join(s)
-        if isinstance(answer, Later):
+        if isinstance(answer, RetryLaterError):
             told += 1
-            assert answer.after > 0
-            later.append((world.now - 1000.0 + answer.after, s))
+            assert answer.delay_s > 0
+            later.append((world.now - 1000.0 + answer.delay_s, s))
         if at:  # the first come all at once
             world.run(0.05)
     world.quiet()
@@ -336,25 +348,25 @@
 
 def test_the_newest_publisher_is_followed_while_it_is_heard_of():
     s = Subscriber("p", 1, proxy=1)
-    s.message(10.0, {"t": "welcome", "epoch": "new", "born": 100.0})
+    s.handle_message(10.0, {"t": "welcome", "epoch": "new", "born": 100.0})
     with pytest.raises(ValueError, match="is followed"):
-        s.message(12.0, {"t": "welcome", "epoch": "old", "born": 50.0})
-    s.message(30.0, {"t": "welcome", "epoch": "old", "born": 50.0})
-    assert s.born == 50.0
+        s.handle_message(12.0, {"t": "welcome", "epoch": "old", "born": 50.0})
+    s.handle_message(30.0, {"t": "welcome", "epoch": "old", "born": 50.0})
+    assert s.publisher_started_at == 50.0
 
 
 def test_only_some_slices_or_a_zone_may_be_wanted_but_not_by_a_proxy():
     world = World(SMALL, filled(20))
-    world.hub.listed([(f"s{k}", "east" if k % 2 else "west", "ready", 1, 0) for k in range(10)])
-    some, east = Subscriber("a", 1, wanted=[3, 4]), Subscriber("b", 1, of_zone="east")
+    world.hub.update_servers([(f"s{k}", "east" if k % 2 else "west", "ready", 1, 0) for k in range(10)])
+    some, east = Subscriber("a", 1, wanted=[3, 4]), Subscriber("b", 1, server_zone="east")
     for s in (some, east):
         world.join(s)
     world.quiet()
     world.order(("line", (4, "s1", 1.0)), ("line", (5, "s2", 1.0)))
     world.quiet()
-    assert some.tables == {3: {"s3": 1.0}, 4: {"s4": 1.0, "s1": 1.0}}
-    assert east.tables[4] == {"s1": 1.0} and east.tables[5] == {"s5": 1.0}
-    assert isinstance(world.join(Subscriber("c", 1, proxy=1, wanted=[3])), Refused)
+    assert some.slice_lines == {3: {"s3": 1.0}, 4: {"s4": 1.0, "s1": 1.0}}
+    assert east.slice_lines[4] == {"s1": 1.0} and east.slice_lines[5] == {"s5": 1.0}
+    assert isinstance(world.join(Subscriber("c", 1, proxy=1, wanted=[3])), MessageRejectedError)
 
 
 @pytest.mark.parametrize(
@@ -405,7 +417,7 @@
         """A stream ends: some of what was on its way arrives, its answers do not."""
         pipe = self.world.pipes.get(f"p{k}")
         for message in pipe.down[:hears] if pipe else ():
-            pipe.subscriber.message(self.world.now, json.loads(message))
+            pipe.subscriber.handle_message(self.world.now, json.loads(message))
         self.world.cut(f"p{k}")
 
     @rule(k=st.integers(0, 3))
@@ -425,14 +437,14 @@
         rows = list(old.table.rows())
         self.epochs += 1
         if self.kept:
-            table = Table.restored(json.loads(json.dumps(self.saved)), old.table.version + 1)
+            table = Table.from_snapshot(json.loads(json.dumps(self.saved)), old.table.version + 1)
         else:
             table = Table(f"e{self.epochs}")
         want: dict = {}
         for k, server, w in rows:
             want.setdefault(k, {})[server] = w
         for k, lines in want.items():
-            table.replace(k, lines)
+            table.replace_lines(k, lines)
         world = World(old.settings, table, born=old.born + 1)
         world.now, world.sent = old.now + 12.0, {}
         world.hub.key = old.hub.key
@@ -448,8 +460,8 @@
         if hasattr(self, "world"):
             assert self.world.caps_kept()
             for s in self.subscribers:
-                if s.whole:
-                    assert all(s.tables.values())
+                if s.was_complete:
+                    assert all(s.slice_lines.values())
 
     def teardown(self):
         if hasattr(self, "world"):
@@ -461,8 +473,8 @@
             self.world.quiet(300.0)
             assert alike(self.world, self.subscribers), [sorted(s.rows()) for s in self.subscribers]
             assert self.world.caps_kept()
-            shut = {k for k, (out, _) in self.world.table.shut.items() if out}
-            assert all(s.shut == shut for s in self.subscribers)
+            shut = {k for k, (out, _) in self.world.table.withdrawn.items() if out}
+            assert all(s.withdrawn == shut for s in self.subscribers)
 
 
 TestStreams = Streams.TestCase
