--- a/tests/test_pubsub.py
+++ b/tests/test_pubsub.py
@@ -1,4 +1,4 @@
-"""Versions, tokens, hub and subscriber, without sockets."""
+"""Tests of versions, tokens, hub and subscriber without sockets."""
 
 import json
 from random import Random
@@ -14,11 +14,11 @@
 from knotwalk.pubsub.versions import Table
 
 
-def test_all_since_a_version_is_what_changed_and_nothing_else():
-    table, chance, states = Table("e"), Random(1), [{}]
+def test_changes_since_a_version_are_complete_and_minimal():
+    table, rng, states = Table("e"), Random(1), [{}]
     for _ in range(400):
         before = table.version
-        table.set_line(chance.randrange(20), f"s{chance.randrange(4)}", float(chance.choice([0, 1, 2])))
+        table.set_line(rng.randrange(20), f"s{rng.randrange(4)}", float(rng.choice([0, 1, 2])))
         if table.version > before:
             states.append({(k, s): w for k, s, w in table.rows()})
     for version in range(0, table.version, 7):
@@ -32,7 +32,7 @@
         assert held == states[-1] and delta.size <= table.version - version
 
 
-def test_a_base_below_the_retained_removals_is_unknown():
+def test_a_version_below_the_discarded_removals_is_not_retained():
     table = Table("e", max_removals=10)
     for k in range(30):
         table.set_line(k, "a", 1.0)
@@ -41,10 +41,10 @@
     assert sum(len(s.lines) for s in table.slices.values()) == 10
 
 
-def test_a_restored_table_goes_on_past_its_ceiling_and_knows_what_it_lost():
+def test_a_restored_table_continues_at_its_ceiling_and_knows_the_lost_versions():
     table = filled(20)
     kept = json.loads(json.dumps(table.snapshot()))
-    table.set_line(1, "x", 1.0)  # told, and lost
+    table.set_line(1, "x", 1.0)  # published after the checkpoint, so lost
     back = Table.from_snapshot(kept, 1000)
     assert (
         back.version == 1000
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         lambda t: t[:-1],
         lambda t: t.replace("e1", "e2"),
@@ -71,22 +71,27 @@
         lambda t: token.encode_token(b"other key, of another one", "p1", "e1", 4, None),
     ],
 )
-def test_a_token_that_is_forged_or_anothers_is_none(spoil):
+def test_a_token_that_is_forged_or_of_another_subscriber_is_rejected(corrupt):
     text = token.encode_token(KEY, "p1", "e1", 4, None)
     assert token.decode_token(KEY, "p1", text) == token.Token("e1", 4, None)
-    assert token.decode_token(KEY, "p1", spoil(text)) is None and token.decode_token(KEY, "p2", text) is None
+    assert token.decode_token(KEY, "p1", corrupt(text)) is None and token.decode_token(KEY, "p2", text) is None
 
 
-def test_versions_that_an_earlier_life_lost_stay_unknown_in_all_later_ones():
-    """Guards against a subscriber that missed a life, whose base the next one took for one of its own."""
+def test_versions_lost_by_an_earlier_incarnation_stay_lost_in_all_later_ones():
+    """Guards against resuming a subscriber that missed an incarnation.
+
+    The next incarnation took the subscriber's version for one of its own, and sent changes that did not follow.
+    """
     table, kept = filled(5), filled(5).snapshot()
     table.set_line(1, "x", 1.0)
-    for life in range(1, 4):
-        back = Table.from_snapshot(kept, 1000 * life)
-        assert not back.can_resume_from(6) and back.can_resume_from(5) and not back.can_resume_from(1000 * life - 1)
+    for incarnation in range(1, 4):
+        back = Table.from_snapshot(kept, 1000 * incarnation)
+        assert (
+            not back.can_resume_from(6) and back.can_resume_from(5) and not back.can_resume_from(1000 * incarnation - 1)
+        )
         kept = back.snapshot()
-    for life in range(4, 80):
-        kept = Table.from_snapshot(kept, 1000 * life).snapshot()
+    for incarnation in range(4, 80):
+        kept = Table.from_snapshot(kept, 1000 * incarnation).snapshot()
     back = Table.from_snapshot(kept, 90_000)
     assert (
         not back.can_resume_from(5)
@@ -96,7 +101,7 @@
     )
 
 
-def joined(count=3, slices=60, seed=0, **changes):
+def world_with_proxies(count=3, slices=60, seed=0, **changes):
     world = World(SMALL._replace(**changes), filled(slices))
     subscribers = proxies(count, seed)
     for s in subscribers:
@@ -104,8 +109,8 @@
     return world, subscribers
 
 
-def test_snapshot_then_changes_reach_all_alike():
-    world, subscribers = joined()
+def test_all_subscribers_receive_a_snapshot_and_then_the_changes():
+    world, subscribers = world_with_proxies()
     world.quiet()
     world.order(
         ("line", (3, "s9", 2.0)),
@@ -123,18 +128,18 @@
     assert sorted(x for x in world.inbox if x[0] == "applied") == [("applied", (k, 77)) for k in range(3)]
 
 
-def test_a_snapshot_larger_than_the_cap_allows_goes_in_pieces_while_the_table_changes_and_servers_drain():
-    world, (s,) = joined(1, slices=3000, lines_waiting_most=400.0, messages_most=4)
-    chance, seen = Random(2), []
+def test_a_snapshot_above_the_cap_is_sent_in_pieces_while_the_table_changes_and_servers_drain():
+    world, (s,) = world_with_proxies(1, slices=3000, lines_waiting_most=400.0, messages_most=4)
+    rng, seen = Random(2), []
     while s.next_slice is not None:
         world.turn()
         world.deliver("p0")
-        k = chance.randrange(3000)
+        k = rng.randrange(3000)
         world.order(("line", (k, "new", 1.0)), ("line", (k, f"s{k % 10}", 0.0)))
         if len(seen) == 100:
             drained = [("s3", "z", "draining", 1, 0)]
             world.order(("withdraw", ("s3", True)), inbox=[("listed", (False, False, drained))])
-        # Whatever of the table is there is as it stood at one time: whole slices with lines of today.
+        # The subscriber holds complete slices only, each with a line.
         seen.append(len(s.slice_lines))
         assert all(lines for lines in s.slice_lines.values())
         world.now += 0.1
@@ -144,15 +149,15 @@
 
 
 @pytest.mark.parametrize("pieces", range(1, 8))
-def test_a_subscriber_that_reconnects_in_the_midst_goes_on_where_it_was(pieces):
-    world, (s,) = joined(1, slices=700, lines_waiting_most=120.0)
+def test_a_subscriber_that_reconnects_during_a_snapshot_resumes_it(pieces):
+    world, (s,) = world_with_proxies(1, slices=700, lines_waiting_most=120.0)
     for _ in range(pieces):
         while not world.pipes["p0"].down:
             world.now += 0.1
             world.turn()
         world.deliver("p0")
-    place, held = s.next_slice, len(s.slice_lines)
-    assert 0 < place < 700 and held == place
+    next_slice, slice_count = s.next_slice, len(s.slice_lines)
+    assert 0 < next_slice < 700 and slice_count == next_slice
     world.cut("p0")
     world.order(("line", (0, "later", 1.0)), ("line", (699, "later", 1.0)))
     world.join(s)
@@ -163,12 +168,12 @@
     fresh = proxies(1)
     other.join(fresh[0])
     other.quiet()
-    assert world.bytes - before < other.bytes * (700 - place) / 700 * 1.3 + 2000
+    assert world.bytes - before < other.bytes * (700 - next_slice) / 700 * 1.3 + 2000
 
 
 @pytest.mark.parametrize("pieces", [1, 3])
-def test_one_that_reconnects_in_the_midst_to_another_conductor_ends_on_its_table(pieces):
-    world, (s,) = joined(1, slices=700, lines_waiting_most=120.0)
+def test_a_subscriber_that_reconnects_to_another_conductor_during_a_snapshot_gets_its_table(pieces):
+    world, (s,) = world_with_proxies(1, slices=700, lines_waiting_most=120.0)
     while s.applied < pieces:
         world.run(0.1)
     assert s.next_slice is not None
@@ -179,12 +184,12 @@
     assert alike(other, [s]) and other.caps_kept()
 
 
-def test_a_stale_token_another_conductors_or_one_of_the_future_is_answered_as_it_should():
-    world, (s,) = joined(1)
+def test_tokens_that_are_stale_of_another_conductor_or_of_a_future_version():
+    world, (s,) = world_with_proxies(1)
     world.quiet()
     old = s.token
     world.cut("p0")
-    world.table.floor = world.table.version + 1  # everything that it has is too old by now
+    world.table.floor = world.table.version + 1  # the subscriber's version is now below the floor
     world.order(("line", (1, "b", 1.0)))
     assert world.join(s).first_piece_pending
     world.quiet()
@@ -200,28 +205,28 @@
     assert isinstance(elsewhere.join(s), MessageRejectedError)
 
 
-def test_an_old_table_loses_lines_to_servers_out_of_use_at_once_but_never_a_slices_last():
-    world, (s,) = joined(1, slices=300, lines_waiting_most=120.0)
+def test_lines_to_unused_servers_are_dropped_at_once_except_the_last_of_a_slice():
+    world, (s,) = world_with_proxies(1, slices=300, lines_waiting_most=120.0)
     world.quiet()
     world.cut("p0")
-    later = World(world.settings, Table("e2"))
+    newer = World(world.settings, Table("e2"))
     for k in range(300):
-        later.table.set_line(k, f"t{k % 10}" if k % 3 == 0 else f"s{k % 10}", 1.0)
+        newer.table.set_line(k, f"t{k % 10}" if k % 3 == 0 else f"s{k % 10}", 1.0)
     s.slice_lines[1]["gone"] = 1.0
     s.slice_lines[299] = {"gone": 1.0}
-    later.join(s)
-    later.turn()
-    later.deliver("p0", 1)
+    newer.join(s)
+    newer.turn()
+    newer.deliver("p0", 1)
     assert s.slice_lines[1] == {"s1": 1.0} and s.slice_lines[299] == {"gone": 1.0} and s.next_slice is not None
-    later.turn()
-    later.deliver("p0")
-    assert s.slice_lines[299] == {"s9": 1.0}  # asked for out of turn
-    later.quiet()
-    assert alike(later, [s])
+    newer.turn()
+    newer.deliver("p0")
+    assert s.slice_lines[299] == {"s9": 1.0}  # sent out of turn on request
+    newer.quiet()
+    assert alike(newer, [s])
 
 
-def test_proxies_without_a_table_go_first_then_drains_then_changes_and_observers_delay_nobody():
-    world, (a, b) = joined(2, slices=100)
+def test_priority_is_no_table_then_drains_then_changes_and_observers_delay_no_proxy():
+    world, (a, b) = world_with_proxies(2, slices=100)
     watcher = Subscriber("w", 9)
     world.join(watcher)
     world.quiet()
@@ -238,14 +243,14 @@
     world.order(("line", (2, "s7", 1.0)))
     assert world.hub.rank(world.now, world.pipes["p0"].cursor) == 2
     full = world.settings.lines_waiting_most
-    world.hub.unacked_lines[False] = full  # observers that answer nothing
+    world.hub.unacked_lines[False] = full  # observers that acknowledge nothing
     world.turn()
     assert world.pipes["p0"].down and world.pipes["p1"].down and not world.pipes["w"].down
 
 
-def test_changes_too_many_for_a_message_go_in_pieces_and_a_message_that_never_fits_ends_the_stream():
-    """Guards against a subscriber that waits for ever for a message larger than the channel."""
-    world, (s,) = joined(1, slices=300, lines_waiting_most=120.0)
+def test_too_many_changes_are_sent_in_pieces_and_a_slice_above_the_cap_ends_the_stream():
+    """Guards against a subscriber that waits forever for a message larger than the channel."""
+    world, (s,) = world_with_proxies(1, slices=300, lines_waiting_most=120.0)
     world.quiet()
     world.order(*(("line", (k, "x", 1.0)) for k in range(300)))
     world.quiet()
@@ -255,8 +260,8 @@
     assert any("more than the channel may hold" in why for _, why in world.ended) and world.caps_kept()
 
 
-def test_the_last_message_of_a_span_is_kept_for_what_cannot_wait():
-    world, (s,) = joined(1, messages_most=4)
+def test_the_last_message_of_a_span_is_reserved_for_urgent_changes():
+    world, (s,) = world_with_proxies(1, messages_most=4)
     world.quiet()
     for k in range(9):
         world.order(("line", (k, "x", 1.0)))
@@ -270,16 +275,16 @@
     assert alike(world, [s]) and world.caps_kept()
 
 
-def test_what_another_front_sent_counts():
-    world, (s,) = joined(1, messages_most=4)
+def test_messages_sent_on_another_channel_count():
+    world, (s,) = world_with_proxies(1, messages_most=4)
     world.hub.charge_messages(world.now, [0, 0, 0])
     world.join(s)
     world.run(1.0)
     assert len(world.sent[0]) == 1 and world.hub.messages_left(world.now, 0) == 0
 
 
-def test_one_that_does_not_answer_gets_no_more_and_is_let_go():
-    world, (a, b) = joined(2)
+def test_a_subscriber_that_does_not_acknowledge_is_disconnected():
+    world, (a, b) = world_with_proxies(2)
     world.quiet()
     for k in range(50):
         world.order(("line", (k, "x", 1.0)))
@@ -291,13 +296,13 @@
     assert [n for n, why in world.ended if "no answer" in why] == ["p1"] and alike(world, [a])
 
 
-def test_a_refused_change_leaves_the_table_and_comes_again_whole():
-    world, (a, b) = joined(2)
+def test_a_rejected_change_leaves_the_table_and_is_followed_by_a_snapshot():
+    world, (a, b) = world_with_proxies(2)
     world.quiet()
     world.order(("line", (1, "x", 1.0)))
     world.turn()
     held = b.rows()
-    b.version -= 1  # it has lost count
+    b.version -= 1  # it no longer holds the version that the change follows
     world.deliver("p1")
     assert b.rows() == held and world.notes[0][0] == "table refused"
     world.quiet()
@@ -305,7 +310,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "message",
     [
         {"t": "ack", "n": 99},
         {"t": "ack", "n": -1},
@@ -315,38 +320,38 @@
         {"t": "ack", "n": 1, "need": "all"},
     ],
 )
-def test_an_answer_to_what_was_never_sent_is_refused(told):
-    world, _ = joined(1)
+def test_an_answer_to_a_message_never_sent_is_rejected(message):
+    world, _ = world_with_proxies(1)
     world.quiet()
     with pytest.raises((MessageRejectedError, ValueError)):
-        n = wire.parse_count(told.get("n"))
-        wire.parse_need(told)
-        world.answer(world.pipes["p0"], {"why": "", **told, "n": n})
+        number = wire.parse_count(message.get("n"))
+        wire.parse_need(message)
+        world.answer(world.pipes["p0"], {"why": "", **message, "n": number})
 
 
-def test_a_storm_of_stale_subscribers_is_told_when_to_return_and_all_come_back():
+def test_many_stale_subscribers_at_once_are_deferred_and_all_converge():
     world = World(SMALL._replace(lines_rate=2000.0), filled(400))
     subscribers = proxies(40)
     for s in subscribers:
         s.was_complete, s.slice_lines = True, {1: {"s1": 1.0}}
-    later = [(0.0, s) for s in subscribers]
-    told = 0
-    while later:
-        later.sort(key=lambda x: x[0])
-        at, s = later.pop(0)
-        world.now = max(world.now, 1000.0 + at)
+    pending = [(0.0, s) for s in subscribers]
+    deferrals = 0
+    while pending:
+        pending.sort(key=lambda x: x[0])
+        delay, s = pending.pop(0)
+        world.now = max(world.now, 1000.0 + delay)
         answer = world.join(s)
         if isinstance(answer, RetryLaterError):
-            told += 1
+            deferrals += 1
             assert answer.delay_s > 0
-            later.append((world.now - 1000.0 + answer.delay_s, s))
-        if at:  # the first come all at once
+            pending.append((world.now - 1000.0 + answer.delay_s, s))
+        if delay:  # the first connect all at once
             world.run(0.05)
     world.quiet()
-    assert told > 10 and alike(world, subscribers) and world.caps_kept() and world.now < 1120
+    assert deferrals > 10 and alike(world, subscribers) and world.caps_kept() and world.now < 1120
 
 
-def test_the_newest_publisher_is_followed_while_it_is_heard_of():
+def test_the_newest_publisher_is_followed_until_it_falls_silent():
     s = Subscriber("p", 1, proxy=1)
     s.handle_message(10.0, {"t": "welcome", "epoch": "new", "born": 100.0})
     with pytest.raises(ValueError, match="is followed"):
@@ -355,7 +360,7 @@
     assert s.publisher_started_at == 50.0
 
 
-def test_only_some_slices_or_a_zone_may_be_wanted_but_not_by_a_proxy():
+def test_observers_may_subscribe_to_some_slices_or_a_zone_but_proxies_may_not():
     world = World(SMALL, filled(20))
     world.hub.update_servers([(f"s{k}", "east" if k % 2 else "west", "ready", 1, 0) for k in range(10)])
     some, east = Subscriber("a", 1, wanted=[3, 4]), Subscriber("b", 1, server_zone="east")
@@ -370,7 +375,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, message",
+    "message, reason",
     [
         ({"t": "ack"}, "a hello comes first"),
         ({"t": "hello", "v": 9}, "version 9"),
@@ -379,19 +384,22 @@
         ({"t": "hello", "v": 1, "name": "x", "wants": "some"}, "wants is"),
     ],
 )
-def test_a_hello_that_cannot_be_read_is_refused_in_words(told, message):
-    with pytest.raises(ValueError, match=message):
-        wire.Hello(told)
+def test_a_malformed_hello_is_rejected_with_the_reason(message, reason):
+    with pytest.raises(ValueError, match=reason):
+        wire.Hello(message)
 
 
 class Streams(RuleBasedStateMachine):
-    """Any order of changes, losses, reconnects, restarts and answers: after quiet all hold the publisher's table, and
-    on the way no cap breaks, no slice loses its last line but by order, nothing is applied twice."""
+    """Changes, losses, reconnects, restarts and answers in any order.
+
+    No cap is exceeded meanwhile, no slice loses its last line unless ordered, and no change is applied twice; in the
+    end all subscribers hold the publisher's table.
+    """
 
-    @initialize(kept=st.booleans(), tight=st.booleans())
-    def begin(self, kept, tight):
+    @initialize(persistent=st.booleans(), tight=st.booleans())
+    def begin(self, persistent, tight):
         s = SMALL._replace(lines_waiting_most=150.0, messages_most=5) if tight else SMALL
-        self.world, self.kept, self.epochs = World(s, filled(30)), kept, 1
+        self.world, self.is_persistent, self.epochs = World(s, filled(30)), persistent, 1
         self.subscribers = proxies(4)
         self.saved = self.world.table.snapshot()
         for x in self.subscribers:
@@ -412,11 +420,11 @@
         self.world.turn()
         self.world.deliver(f"p{k}", count)
 
-    @rule(k=st.integers(0, 3), hears=st.integers(0, 2))
-    def cut(self, k, hears):
-        """A stream ends: some of what was on its way arrives, its answers do not."""
+    @rule(k=st.integers(0, 3), delivered=st.integers(0, 2))
+    def cut(self, k, delivered):
+        """A stream ends: some of the messages in flight arrive, their answers do not."""
         pipe = self.world.pipes.get(f"p{k}")
-        for message in pipe.down[:hears] if pipe else ():
+        for message in pipe.down[:delivered] if pipe else ():
             pipe.subscriber.handle_message(self.world.now, json.loads(message))
         self.world.cut(f"p{k}")
 
@@ -432,18 +440,18 @@
 
     @rule()
     def restart(self):
-        """The publisher dies: with storage it goes on from what it kept, else in a new epoch."""
+        """The publisher dies; it continues from the stored table if there is one, otherwise in a new epoch."""
         old = self.world
         rows = list(old.table.rows())
         self.epochs += 1
-        if self.kept:
+        if self.is_persistent:
             table = Table.from_snapshot(json.loads(json.dumps(self.saved)), old.table.version + 1)
         else:
             table = Table(f"e{self.epochs}")
-        want: dict = {}
+        wanted: dict = {}
         for k, server, w in rows:
-            want.setdefault(k, {})[server] = w
-        for k, lines in want.items():
+            wanted.setdefault(k, {})[server] = w
+        for k, lines in wanted.items():
             table.replace_lines(k, lines)
         world = World(old.settings, table, born=old.born + 1)
         world.now, world.sent = old.now + 12.0, {}
@@ -469,12 +477,12 @@
                 if s.name not in self.world.pipes:
                     self.world.join(s)
                     if s.name not in self.world.pipes:
-                        self.world.join(s)  # refused with its token, it comes without
+                        self.world.join(s)  # after a rejection it connects without its token
             self.world.quiet(300.0)
             assert alike(self.world, self.subscribers), [sorted(s.rows()) for s in self.subscribers]
             assert self.world.caps_kept()
-            shut = {k for k, (out, _) in self.world.table.withdrawn.items() if out}
-            assert all(s.withdrawn == shut for s in self.subscribers)
+            withdrawn = {k for k, (is_withdrawn, _) in self.world.table.withdrawn.items() if is_withdrawn}
+            assert all(s.withdrawn == withdrawn for s in self.subscribers)
 
 
 TestStreams = Streams.TestCase
