--- a/knotwalk/pubsub/command.py
+++ b/knotwalk/pubsub/command.py
@@ -66,11 +66,11 @@
             server_zone=options["--zone"],
             key=key,
         )
-    except OptionError as fault:
-        print(f"knotwalk: {fault}", file=sys.stderr)
+    except OptionError as error:
+        print(f"knotwalk: {error}", file=sys.stderr)
         return 2
-    except (OSError, ssl.SSLError) as fault:
-        print(f"knotwalk: {getattr(fault, 'filename', '') or ''} {fault.strerror or fault}", file=sys.stderr)
+    except (OSError, ssl.SSLError) as error:
+        print(f"knotwalk: {getattr(error, 'filename', '') or ''} {error.strerror or error}", file=sys.stderr)
         return 2
     loop, exit_codes = Loop(), []
 
--- a/knotwalk/pubsub/versions.py
+++ b/knotwalk/pubsub/versions.py
@@ -289,8 +289,8 @@
             table.levels = {k: (share, retry, v) for k, share, retry, v in snapshot["levels"]}
             table.lost_ranges = [(a, b) for a, b in snapshot["gaps"]]
             table.removals.extend((v, id, k) for v, id, k in snapshot["removed"])
-        except (KeyError, TypeError, IndexError, AttributeError) as fault:
-            raise ValueError(f"not a checkpoint of a table: {fault!r}") from None
+        except (KeyError, TypeError, IndexError, AttributeError) as error:
+            raise ValueError(f"not a checkpoint of a table: {error!r}") from None
         if ceiling > table.version:
             table.lost_ranges.append((table.version, ceiling))
             table.version = ceiling
--- a/knotwalk/pubsub/wire.py
+++ b/knotwalk/pubsub/wire.py
@@ -79,8 +79,8 @@
             {str(k): bool(v) for k, v in payload["shut"].items()},
             parse_levels(payload["levels"]),
         )
-    except (KeyError, TypeError, AttributeError) as fault:
-        raise ValueError(f"malformed delta: {fault!r}") from None
+    except (KeyError, TypeError, AttributeError) as error:
+        raise ValueError(f"malformed delta: {error!r}") from None
 
 
 def parse_count(value: Any) -> int:
