--- a/knotwalk/edge/__init__.py
+++ b/knotwalk/edge/__init__.py
@@ -1,4 +1,5 @@
 """The edge program.
 
-Takes requests from clients, routes, forwards and answers them. Must never change a configuration, a list or a lease.
+Accepts requests from clients, routes, forwards and answers them. Must never change a configuration, a node list or a
+lease.
 """
--- a/knotwalk/edge/__main__.py
+++ b/knotwalk/edge/__main__.py
@@ -1,13 +1,15 @@
-"""python -m knotwalk.edge: one edge's program, until SIGTERM. The platform's settings file says the rest."""
+"""python -m knotwalk.edge: runs one edge until SIGTERM, as configured by the platform's settings file."""
 
 from __future__ import annotations
 
 import signal
 import sys
 
-if __name__ == "__main__":  # a change of the settings file must not end a start: it is looked for once the loop runs
+if (
+    __name__ == "__main__"
+):  # SIGHUP (settings changed) must not kill a starting process; it is handled once the loop runs
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-# No TLS is spoken here, and asyncio does without it: it is a part of an edge's start, and of its memory.
+# An edge uses no TLS, and asyncio works without the module, which would cost start time and memory.
 sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]
 
 import asyncio
@@ -27,16 +29,18 @@
 from knotwalk.runtime.logs import clock, log_info
 from knotwalk.runtime.settings import Settings
 
-# Seconds at the end for telling how operations ended that no core took yet.
-LAST_ENDS = 0.3
+# Time at shutdown for reporting ends of operations that no core has accepted yet.
+LAST_ENDS_TIMEOUT_S = 0.3
 
 
 class Edge:
-    """The rooms of an edge, wired together. Ready once a fresh core gave it a whole cluster view, until it must end."""
+    """The components of an edge, wired together.
+
+    Ready from the first complete cluster view of a fresh core until shutdown begins."""
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        settings.at("data_plane"), settings.at("readiness")  # said before anything is begun
+        settings.at("data_plane"), settings.at("readiness")  # fails early if an address is missing
         seed = crc32(f"{settings.node_name}{os.getpid()}{os.urandom(4).hex()}".encode())
         self.view = ClusterView()
         self.caller = Caller()
@@ -50,13 +54,13 @@
             seed,
             settings.zone,
             lambda: self.client_server.report(clock()),
-            self.news,
+            self.on_view_update,
             self.client_server.forwarder.freshness,
         )
-        life = self.view_poller.life = os.urandom(8).hex()
+        incarnation = self.view_poller.incarnation = os.urandom(8).hex()
         self.admission_calls = AdmissionCalls(
             settings.node_name,
-            life,
+            incarnation,
             self.cores,
             clock,
             settings.bounds.key_period,
@@ -71,15 +75,15 @@
         self.ending = Ending(self.reload, settings.mark)
 
     def cores(self) -> list[str]:
-        """Addresses of cores to ask for admission: the one that is heard, then others, those of this zone first."""
+        """Addresses of cores for admission requests: the one that is polled, then others, those of this zone first."""
         poller, zone = self.view_poller, self.settings.zone
         others = sorted(
             self.view.cores, key=lambda core: (core in poller.failed_at, poller.zones.get(core, zone) != zone)
         )
         return list(dict.fromkeys([*filter(None, (poller.core,)), *others]))
 
-    def news(self, changed: set[str], edges: int) -> None:
-        """Topics of the cluster view changed; so many `edges` share the budgets."""
+    def on_view_update(self, changed: set[str], edges: int) -> None:
+        """Apply changed topics of the cluster view; `edges` is how many edges share the retry budgets."""
         if edges > 1:
             self.client_server.edges = edges
         self.client_server.view_changed(changed)
@@ -87,19 +91,20 @@
             self.readiness.begin(clock())
 
     async def run(self) -> None:
-        """Serve until the end is asked for, then finish what was read."""
+        """Serve until shutdown is requested, then finish the requests that were read."""
         self.ending.listen()
         readiness_server = await readiness.listen(*self.settings.at("readiness"), lambda: self.readiness.at(clock()))
         await self.client_server.start()
         serving_metrics = asyncio.get_running_loop().create_task(self.serve_metrics())
         polling = asyncio.get_running_loop().create_task(self.view_poller.run())
         await self.ending.wait(polling)
-        log_info("leaving")
+        log_info("shutting down")
         self.readiness.end()
         self.client_server.drain()
-        # What was read is finished while the cluster view is still kept up; the rest of the grace is for last bytes.
+        # Requests that were read are finished while the cluster view is still updated; the last 0.5 s are for the last
+        # bytes.
         await self.client_server.finished(clock() + self.settings.bounds.grace_period - 0.5)
-        await self.admission_calls.finish(clock() + LAST_ENDS)
+        await self.admission_calls.finish(clock() + LAST_ENDS_TIMEOUT_S)
         polling.cancel()
         readiness_server.close()
         serving_metrics.cancel()
@@ -107,7 +112,7 @@
         log_info("ended")
 
     async def serve_metrics(self) -> None:
-        """Tell this edge's figures at a port, if it is given one, until cancelled."""
+        """Serve this edge's metrics, if a port is configured."""
         if self.settings.metrics_port is None:
             return
         await asyncio.sleep(FIGURES_AFTER)
@@ -120,9 +125,9 @@
             lambda: edge_metrics(clock(), self.readiness.at(clock()), self.client_server, self.view_poller),
         )
 
-    def reload(self, fresh: Settings) -> None:
-        """The settings file changed: the seeds are taken up; the rest wants a start."""
-        self.view_poller.seeds = [f"{ip}:{fresh.ports[0]}" for ip, _ in fresh.seeds]
+    def reload(self, settings: Settings) -> None:
+        """The settings file changed: apply the seeds; other changes need a restart."""
+        self.view_poller.seeds = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]
 
 
 if __name__ == "__main__":
--- a/knotwalk/edge/answer_reader.py
+++ b/knotwalk/edge/answer_reader.py
@@ -1,7 +1,9 @@
-"""A node's answers as they are read: whether one is this request's, its framing, and whether the connection is kept.
+"""Reads a node's answers: whether one belongs to the pending request, its framing, and whether the connection is kept.
 
-An answer belongs to the request that waits on it only if it bears that request's id, or is the short form by which a
-node turns a request away; bytes that belong to nothing end the connection.
+An answer belongs to the pending request only if it has that request's id, or is the short form by which a node refuses
+a request. Unexpected bytes close the connection.
+
+The texts of ValueErrors become causes in metric labels.
 """
 
 from __future__ import annotations
@@ -10,36 +12,38 @@
 from knotwalk.edge.node_answer import HOP_BY_HOP_HEADERS, Answer, Sink, read_load
 from knotwalk.edge.node_connection_state import NodeConnectionState, Phase
 
-# An answer up to this size (bytes) is gathered whole before its head is passed on: a cut one can be tried again.
-GATHER = 64 * 1024
-# Seconds by which we close before the time that a node told (whole seconds, perhaps rounded up), half of it at least.
-IDLE_MARGIN = 1.0
-# Bytes of an answer's head at most; nodes' heads have some hundred.
-MAX_HEAD = 32 * 1024
+# An answer up to this size is buffered completely before its head is passed on, so that after a truncated one the
+# request can be tried again.
+MAX_BUFFERED_BYTES = 64 * 1024
+# Connections are closed this much before the node's idle timeout (whole seconds, perhaps rounded up), but not before
+# half of it.
+IDLE_MARGIN_S = 1.0
+# Maximum size of an answer's head; those of nodes have some hundred bytes.
+MAX_HEAD_BYTES = 32 * 1024
 
 
 class AnswerReader(NodeConnectionState):
-    """A connection to a node as answers are read from it."""
+    """The part of a node connection that reads answers."""
 
-    _late = False  # bytes came behind a whole answer in one read
+    _has_excess = False  # one read had bytes after a complete answer
 
     def on_message_begin(self) -> None:
-        """An answer begins, perhaps one too many."""
+        """An answer begins, perhaps an unexpected one."""
         if self._done:
-            self._late = True
+            self._has_excess = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header was read, or a trailer, which is dropped."""
-        if self._late or self.phase is Phase.ANSWERING:
+        """Add a header, or drop a trailer."""
+        if self._has_excess or self.phase is Phase.ANSWERING:
             return
         self._headers.append((name, value))
         self._head_size += len(name) + len(value) + 4
-        if self._head_size > MAX_HEAD:
+        if self._head_size > MAX_HEAD_BYTES:
             raise ValueError("head too large")
 
     def on_headers_complete(self) -> None:
-        """A head was read: an interim one is skipped."""
-        if self._late:
+        """A head is complete; skip an interim one."""
+        if self._has_excess:
             return
         status = self.parser.get_status_code()
         headers, self._headers, self._head_size = self._headers, [], 0
@@ -51,41 +55,43 @@
         self._read_head(status, headers)
 
     def _read_head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Check an answer's head and begin to take it; ValueError if it is not this request's answer."""
+        """Check an answer's head and begin the answer; ValueError if it is not that of the pending request."""
         id, sealed, not_executed, length, chunked = None, False, False, None, False
-        load, drop, kept = None, HOP_BY_HOP_HEADERS, []
+        load, drop, headers_kept = None, HOP_BY_HOP_HEADERS, []
         for name, value in headers:
-            low = name.lower()
-            if low == b"attempt-id":
+            lower_name = name.lower()
+            if lower_name == b"attempt-id":
                 if id is not None:
                     raise ValueError("two ids")
                 id = value.strip()
-            elif low == b"server-seal":
+            elif lower_name == b"server-seal":
                 sealed = True
-            elif low == b"not-executed":
+            elif lower_name == b"not-executed":
                 not_executed = True
-            elif low == b"content-length":
+            elif lower_name == b"content-length":
                 length = int(value)
                 continue
-            elif low == b"transfer-encoding":
+            elif lower_name == b"transfer-encoding":
                 chunked = value.strip().lower() == b"chunked"
                 if not chunked:
                     raise ValueError("an unknown coding")
-            elif low == b"server-load":
+            elif lower_name == b"server-load":
                 load = read_load(value)
-            elif low == b"keep-alive":
+            elif lower_name == b"keep-alive":
                 self._keep_alive(value)
-            elif low == b"connection":
+            elif lower_name == b"connection":
                 drop = drop | {token.strip().lower() for token in value.split(b",")}
-            kept.append((name, value, low))
+            headers_kept.append((name, value, lower_name))
         if id != self.attempt:
-            if id is not None and id == self.previous and status >= 200 and not self._skipping:
-                self._skipping = self.nameless = True  # the answer before, once more: skip it, end afterwards
+            if id is not None and id == self.previous_attempt and status >= 200 and not self._skipping:
+                self._skipping = self.answered_without_id = (
+                    True  # a duplicate of the previous answer: skip it, close afterwards
+                )
                 self._closing = True
                 return
             if id is not None or not (not_executed or status == 421):
                 raise ValueError("another's answer")
-        self._named = id is not None
+        self._has_id = id is not None
         bodiless = status in (204, 304) or self.method == b"HEAD"
         if length is None and not chunked and not bodiless:
             raise ValueError("an answer without an end")
@@ -94,64 +100,64 @@
             raise ValueError("a success without a seal")
         answer.status, answer.length, answer.node, answer.load = status, length, self.node, load
         drop = drop - {b"attempt-id", b"server-seal", b"not-executed"}
-        answer.headers = [(name, value) for name, value, low in kept if low not in drop]
+        answer.headers = [(name, value) for name, value, lower_name in headers_kept if lower_name not in drop]
         self.answer = answer
         self._to(Phase.ANSWERING)
         if self.method == b"HEAD":
             self._done, self._closing = True, True
-        elif length is not None and length > GATHER and not bodiless:
+        elif length is not None and length > MAX_BUFFERED_BYTES and not bodiless:
             self._stream()
 
     def _keep_alive(self, value: bytes) -> None:
         for part in value.split(b","):
-            word, _, number = part.strip().partition(b"=")
-            if word.lower() == b"timeout" and number.strip().isdigit():
-                self.idle_time = max(float(number) - IDLE_MARGIN, float(number) / 2)
+            name, _, number = part.strip().partition(b"=")
+            if name.lower() == b"timeout" and number.strip().isdigit():
+                self.idle_time = max(float(number) - IDLE_MARGIN_S, float(number) / 2)
 
     def _stream(self) -> None:
-        """From here on the answer is passed on as it comes: hand over what is gathered, wait for who takes the rest."""
+        """Stream the answer from here on: hand over what is buffered and pause until a sink takes the rest."""
         assert self.answer is not None and self.waiter is not None and self.transport is not None
         self.answer.is_complete, self.answer.stream = False, self
-        self.answer.body, self._gathered = b"".join(self._gathered), []
+        self.answer.body, self._buffered = b"".join(self._buffered), []
         self.transport.pause_reading()
         if not self.waiter.done():
             self.waiter.set_result(self.answer)
 
     def take(self, sink: Sink) -> None:
-        """`sink` takes the streamed rest."""
+        """Deliver the streamed rest to `sink`."""
         if self.phase is Phase.CLOSED:
             sink.cut("the connection ended")
             return
         self.sink = sink
-        rest, self._gathered = self._gathered, []
+        rest, self._buffered = self._buffered, []
         for data in rest:
             sink.data(data)
         if self._done:
-            self._finished(not self._late)
+            self._finished(not self._has_excess)
         elif self.transport is not None and self.phase is not Phase.CLOSED:
             self.transport.resume_reading()
 
     def flow(self, on: bool) -> None:
-        """The sink can (not) take more for now."""
+        """Resume or pause reading, as the sink can take more or not."""
         if self.phase is Phase.ANSWERING and self.transport is not None and not self.transport.is_closing():
             (self.transport.resume_reading if on else self.transport.pause_reading)()
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the body was read: gather it, or pass it on."""
+        """Buffer or stream a part of the body."""
         if self._done or self._skipping or self._interim:
-            self._late = self._late or self._done
+            self._has_excess = self._has_excess or self._done
             return
         if self.sink is not None:
             self.sink.data(data)
             return
-        self._gathered.append(data)
+        self._buffered.append(data)
         self._size += len(data)
-        if self._size > GATHER and self.answer is not None and self.answer.is_complete:
+        if self._size > MAX_BUFFERED_BYTES and self.answer is not None and self.answer.is_complete:
             self._stream()
 
     def on_message_complete(self) -> None:
-        """A message was read to its end: the answer, an interim one, or one that is skipped."""
-        if self._late:
+        """A message is complete: the answer, an interim one, or a skipped one."""
+        if self._has_excess:
             return
         if self._interim:
             self._interim = False
@@ -159,37 +165,37 @@
             self._skipping, closing = False, True
             self._forget_answer()
             self._closing = closing
-            self.previous = b""
+            self.previous_attempt = b""
         elif not self._done:
             self._done = True
             if not self.parser.should_keep_alive():
                 self._closing = True
 
     def _finished(self, clean: bool) -> None:
-        """The answer was read to its end: give it away, keep the connection if nothing speaks against it."""
+        """The answer is complete: deliver it, and keep the connection if possible."""
         answer, waiter, sink = self.answer, self.waiter, self.sink
         assert answer is not None
         if not answer.is_complete and sink is None:
-            return  # streamed, and nobody has taken it yet: take() comes back here
+            return  # streamed, and no sink has taken it yet: take() calls this again
         if answer.is_complete:
-            answer.body = b"".join(self._gathered)
+            answer.body = b"".join(self._buffered)
         keep = (
             clean
             and not self._closing
             and self.body_sent
             and self.transport is not None
             and not self.transport.is_closing()
-            and not self.transport.get_write_buffer_size()  # answered before the request had left
+            and not self.transport.get_write_buffer_size()  # answered before the request was sent completely
         )
         source = self.source
-        self.previous = self.attempt
-        self.nameless = self.nameless or not self._named
-        self._late = False
-        self._clear()
+        self.previous_attempt = self.attempt
+        self.answered_without_id = self.answered_without_id or not self._has_id
+        self._has_excess = False
+        self._reset()
         if keep:
             self._to(Phase.IDLE)
             self.idle_since = self.clock()
-            if not self.transport.is_reading():  # the answer streamed, and ended while it was held up
+            if not self.transport.is_reading():  # a streamed answer ended while reading was paused
                 self.transport.resume_reading()
         else:
             self._to(Phase.CLOSED)
@@ -201,4 +207,4 @@
             sink.ended()
         if source is not None:
             source.writable(True)
-        self.changed(self)
+        self.on_change(self)
--- a/knotwalk/edge/answer_writer.py
+++ b/knotwalk/edge/answer_writer.py
@@ -1,7 +1,7 @@
-"""Answers written to a client: in the order of their requests, whole or passed on as they come, and how each ends.
+"""Writes answers to a client, in the order of their requests, either complete or streamed.
 
-Owns the framing of answers, whether the connection is kept behind one, and the end of our side behind the last. An
-answer that must end early ends by a reset connection, so that it never looks complete.
+Frames answers, decides whether the connection is kept after each, and shuts down the sending side after the last. An
+answer that must end early ends with a connection reset, so that it never looks complete.
 """
 
 from __future__ import annotations
@@ -13,56 +13,56 @@
 from knotwalk.edge.node_answer import Answer
 from knotwalk.edge.stages import Stage
 
-# Seconds by which the time told to clients lies before our own end of an idle connection.
-KEEP_MARGIN = 1
+# The idle timeout that clients are told in Keep-Alive is shorter by this than the actual one, in whole seconds.
+KEEP_ALIVE_MARGIN_S = 1
 
 BODILESS = frozenset({204, 304})
-REASONS = {int(one): one.phrase.encode() for one in HTTPStatus}
+REASONS = {int(status): status.phrase.encode() for status in HTTPStatus}
 
 
 class AnswerWriter(ClientState):
-    """A client's connection as its answers are written."""
+    """The part of a client connection that writes answers."""
 
     _writing = False
 
     def _write(self) -> None:
-        """Write the answers that are due, in order."""
+        """Write the answers that are ready, in order."""
         if self._writing or self.transport is None:
             return
         self._writing = True
         try:
-            while self.queue and not self.full and self.state in (ConnectionState.OPEN, ConnectionState.LAST):
+            while self.queue and not self.write_paused and self.state in (ConnectionState.OPEN, ConnectionState.LAST):
                 exchange = self.queue[0]
                 if exchange.stage is not Stage.ANSWERED or (
                     exchange is self.reading and self.state is ConnectionState.OPEN
                 ):
-                    break  # not known yet, or its body must be read first to find what is behind it
-                if self._answer(exchange):
-                    self._next(exchange)
+                    break  # not ready, or its body must be read first to find the next request
+                if self._write_answer(exchange):
+                    self._advance(exchange)
                 elif exchange.stage is not Stage.DONE:
-                    return  # the rest streams
+                    return  # the rest is streamed
         finally:
             self._writing = False
         if self.state is ConnectionState.LAST and not self.queue:
             self._linger()
 
-    def _next(self, exchange: Exchange) -> None:
-        """The first answer is written whole: on to the one behind it."""
+    def _advance(self, exchange: Exchange) -> None:
+        """The first answer is written completely: go on to the next."""
         self.queue.popleft()
-        self.touched = self.client_server.clock()
+        self.last_active = self.client_server.clock()
         last = not exchange.keep_alive
         if exchange.stage is not Stage.DONE:
-            self._end(exchange)
+            self._finish(exchange)
         if last:
             self._linger()
             return
         if len(self.queue) < MAX_PIPELINED:
-            self._hold("depth", False)
+            self._set_paused("depth", False)
         self._start()
-        self._ask_body()
+        self._send_continue()
 
-    def _keeps(self, exchange: Exchange) -> bool:
-        """Whether the connection goes on behind this answer, which is the oldest that is due."""
+    def _should_keep_alive(self, exchange: Exchange) -> bool:
+        """Whether the connection stays open after this answer, the oldest pending one."""
         client_server = self.client_server
         return exchange.keep_alive and (
             len(self.queue) > 1
@@ -71,17 +71,17 @@
             and len(client_server.clients) <= client_server.connection_budget.keep_alive
         )
 
-    def _answer(self, exchange: Exchange) -> bool:
-        """Write an answer, or the beginning of a streamed one; False if its rest comes later."""
+    def _write_answer(self, exchange: Exchange) -> bool:
+        """Write an answer, or the beginning of a streamed one; False if the rest follows later."""
         assert self.transport is not None
         answer = exchange.answer
         if answer is not None and not answer.is_complete and answer.length is None and not exchange.is_http_11:
-            exchange.keep_alive = False  # ended by the end of the connection
-        keep = exchange.keep_alive = self._keeps(exchange)
+            exchange.keep_alive = False  # without a length, the end of the connection marks the end of the answer
+        keep = exchange.keep_alive = self._should_keep_alive(exchange)
         if not keep:
-            self._shut()
+            self._stop_reading()
         if answer is None:
-            self._answer_own(exchange, keep)
+            self._write_own_answer(exchange, keep)
             return True
         lines = [b"HTTP/1.1 %d %b\r\n" % (answer.status, REASONS.get(answer.status, b""))]
         for name, value in answer.headers:
@@ -96,7 +96,7 @@
             lines.append(b"Content-Length: %d\r\n" % answer.length)
         elif exchange.is_http_11:
             lines.append(b"Transfer-Encoding: chunked\r\n")
-        lines.append(self._connection(exchange, keep))
+        lines.append(self._connection_header(exchange, keep))
         if answer.is_complete:
             self.transport.write(b"".join(lines) + (b"" if bodiless else answer.body))
             return True
@@ -106,18 +106,18 @@
         return False
 
     def _pass_on(self, exchange: Exchange, answer: Answer) -> None:
-        """Pass on the body of an answer whose head is written: what has come of it now, the rest as it comes."""
-        passage = Passage(self, exchange, answer.length is None and exchange.is_http_11)
+        """Stream the body of an answer whose head is written: first the buffered part, then the rest as it arrives."""
+        streamed = StreamedAnswer(self, exchange, answer.length is None and exchange.is_http_11)
         if answer.body:
-            passage.data(answer.body)
+            streamed.data(answer.body)
             answer.body = b""
         assert answer.stream is not None
-        answer.stream.take(passage)
-        if self.full:
+        answer.stream.take(streamed)
+        if self.write_paused:
             answer.stream.flow(False)
 
-    def _answer_own(self, exchange: Exchange, keep: bool) -> None:
-        """Write the edge's own answer."""
+    def _write_own_answer(self, exchange: Exchange, keep: bool) -> None:
+        """Write an answer that the edge itself gives."""
         assert self.transport is not None
         body = (exchange.text + "\n").encode() if exchange.text else b""
         lines = [
@@ -128,17 +128,19 @@
             lines.append(b"Attempt-Id: %b\r\n" % exchange.attempt)
         if exchange.retry_after:
             lines.append(b"Retry-After: %.3f\r\n" % exchange.retry_after)
-        lines.append(self._connection(exchange, keep))
+        lines.append(self._connection_header(exchange, keep))
         self.transport.write(b"".join(lines) + (b"" if exchange.method == b"HEAD" else body))
 
-    def _connection(self, exchange: Exchange, keep: bool) -> bytes:
+    def _connection_header(self, exchange: Exchange, keep: bool) -> bytes:
         if not keep:
             return b"Connection: close\r\n\r\n"
-        line = b"Keep-Alive: timeout=%d\r\n\r\n" % max(1, int(self.client_server.limits.idle_timeout) - KEEP_MARGIN)
+        line = b"Keep-Alive: timeout=%d\r\n\r\n" % max(
+            1, int(self.client_server.limits.idle_timeout) - KEEP_ALIVE_MARGIN_S
+        )
         return line if exchange.is_http_11 else b"Connection: keep-alive\r\n" + line
 
-    def _ask_body(self) -> None:
-        """Tell a client that waits for it to send its body, once its turn to be told has come."""
+    def _send_continue(self) -> None:
+        """Send 100 Continue to a client that waits for it, once its request is the next to be answered."""
         exchange = self.reading
         if (
             exchange is not None
@@ -150,70 +152,70 @@
             exchange.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _settled(self, exchange: Exchange) -> None:
+    def _on_answered(self, exchange: Exchange) -> None:
         if exchange.timer is not None and (exchange.answer is None or exchange.answer.is_complete):
             exchange.timer.cancel()
             exchange.timer = None
         if exchange.client_gone or self.state in (ConnectionState.LINGER, ConnectionState.CLOSED):
             if exchange.answer is not None and exchange.answer.stream is not None:
                 exchange.answer.stream.abort("the client is gone")
-            self._end(exchange)
+            self._finish(exchange)
             return
         if exchange is self.reading and exchange.body_streaming:
-            self._shut()  # answered before its body was read
+            self._stop_reading()  # answered before its body was read completely
         self._write()
 
     def _linger(self) -> None:
-        """Everything is answered: end our side, wait for the client to end its own."""
+        """Everything is answered: shut down the sending side and wait for the client to close."""
         if self.state in (ConnectionState.LINGER, ConnectionState.CLOSED):
             return
-        self._shut()
+        self._stop_reading()
         self._to(ConnectionState.LINGER)
-        for exchange in self.queue:  # read behind the last answer: counts as not read
+        for exchange in self.queue:  # requests after the last answer count as unread
             exchange.abandon()
             if exchange.stage not in (Stage.RUNNING, Stage.DONE):
-                self._end(exchange)
+                self._finish(exchange)
         self.queue.clear()
-        self.holds.clear()
-        self.touched = self.client_server.clock()
+        self.pause_reasons.clear()
+        self.last_active = self.client_server.clock()
         if self.transport is not None and not self.transport.is_closing():
             if not self.transport.is_reading():
                 self.transport.resume_reading()
-            if self.over:
+            if self.half_closed:
                 self.transport.close()
             else:
                 try:
                     self.transport.write_eof()
-                except OSError:  # the client has reset the connection, and the loop has not told yet
+                except OSError:  # the client has reset the connection, and the event loop has not reported it yet
                     self.transport.abort()
 
 
-class Passage:
-    """Passes a streamed answer on to the client."""
+class StreamedAnswer:
+    """Streams an answer from a node to the client."""
 
     def __init__(self, client: AnswerWriter, exchange: Exchange, chunked: bool):
         self.client, self.exchange, self.chunked = client, exchange, chunked
 
     def data(self, data: bytes) -> None:
-        """A piece of the body came from the node."""
+        """Write a part of the body that arrived from the node."""
         transport = self.client.transport
         if transport is None or transport.is_closing():
             return
-        self.client.touched = self.client.client_server.clock()
+        self.client.last_active = self.client.client_server.clock()
         transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
 
     def ended(self) -> None:
-        """The answer is whole."""
+        """Finish the answer: it is complete."""
         client, exchange = self.client, self.exchange
         if client.state is ConnectionState.CLOSED or exchange.stage is not Stage.WRITING:
             return
         if self.chunked and client.transport is not None:
             client.transport.write(b"0\r\n\r\n")
-        client._next(exchange)
+        client._advance(exchange)
         client._write()
 
     def cut(self, why: str) -> None:
-        """The answer will not become whole: the client is shown that."""
+        """Reset the client's connection: the answer will not be completed."""
         if self.exchange.stage is Stage.WRITING:
             self.client.client_server.counts["cut"] += 1
             self.client.abort()
--- a/knotwalk/edge/caller.py
+++ b/knotwalk/edge/caller.py
@@ -1,6 +1,6 @@
-"""An edge's calls to a core: JSON over HTTP/1.1 on httptools, with the interface of `runtime.call.Caller.json`.
+"""Calls from an edge to a core: JSON over HTTP/1.1 on httptools, with the interface of `runtime.call.Caller.json`.
 
-An edge makes one call at a time, and starts and memory are priced: aiohttp was over half of what an edge imports.
+An edge makes one call at a time, and its start time and memory matter: aiohttp was over half of an edge's imports.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from knotwalk.runtime.errors import PeerError, value
 from knotwalk.runtime.packing import ENCODING, unpack
 
-# Seconds after which an idle connection is not used again: less than half of what a core keeps one open for.
+# Age at which an idle connection is not used again: less than half of the time for which a core keeps it open.
 MAX_IDLE_S = 8.0
-CALL_TIMEOUT_S = 1.0  # as other calls between peers have it
-# Seconds for a new connection: a machine that is up answers the opening by its kernel, in some ms, however busy its
-# programs are; a dark one says nothing, and an opening packet that was lost is sent again after a second only. Doubled
-# after each that failed, until one comes: behind a squeezed link a core is slow to answer and there all the same.
+CALL_TIMEOUT_S = 1.0  # as for other calls between processes of the system
+# Timeout for a new connection: the kernel of a machine that is up answers a SYN within some milliseconds, however busy
+# its programs are; a dead machine does not answer, and a lost SYN is repeated only after a second. The timeout doubles
+# after each failure until a connection succeeds: a core behind a slow link is slow to answer but alive.
 CONNECT_TIMEOUT_S = 0.2
-MAX_ANSWER_BYTES = 64 * 1024 * 1024  # bytes of an answer, as of a call's body at a core
-# Seconds that an answer may take in all while its bytes keep coming: a large configuration takes seconds on a slow
-# link, and given up in its midst it would begin anew at the next core, for ever.
+MAX_ANSWER_BYTES = 64 * 1024 * 1024  # the same limit as for the body of a call at a core
+# Total time of an answer whose bytes keep arriving: a large configuration takes seconds on a slow link, and if it were
+# given up halfway it would start again at the next core, forever.
 MAX_ANSWER_S = 30.0
 
 
@@ -36,7 +36,7 @@
     """States of a connection to a core."""
 
     IDLE = "idle"
-    WAITING = "waiting"  # a call was sent, its answer is not whole
+    WAITING = "waiting"  # a call was sent and its answer is not complete
     CLOSED = "closed"
 
 
@@ -48,33 +48,32 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection, one call at a time. Bytes that no call waits for end it, as does an answer that is not
-    understood."""
+    """One connection, one call at a time. It is closed on unexpected bytes and on an invalid answer."""
 
     def __init__(self) -> None:
         self.state = CallState.IDLE
-        self.call = b""  # id of the call that waits
+        self.call_id = b""  # id of the pending call
         self.idle_since = asyncio.get_running_loop().time()
         self.transport: asyncio.Transport | None = None
         self.future: asyncio.Future[tuple[int, bytes]] | None = None
-        self.came: Callable[[], None] = lambda: None  # told when bytes of an answer have come
-        self._renew()
+        self.on_data: Callable[[], None] = lambda: None  # called when bytes of an answer arrive
+        self._reset_parser()
 
-    def _renew(self) -> None:
+    def _reset_parser(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.body: list[bytes] = []
         self.size = 0
-        self.answered = b""  # id of the call that is answered, if the core names it
+        self.answered_id = b""  # id of the answered call, if the core sends it
         self.packed = False
 
     def _to(self, state: CallState) -> None:
-        """The one place where the state changes."""
+        """Change the state; PeerError if the transition is not allowed."""
         if state not in CALL_TRANSITIONS[self.state]:
-            raise PeerError("connection to a core", "", f"from {self.state.value} to {state.value}")
+            raise PeerError("connection to a core", "", f"invalid transition from {self.state.value} to {state.value}")
         self.state = state
 
-    def fit(self) -> bool:
-        """Whether a call may be sent on it."""
+    def is_usable(self) -> bool:
+        """Whether a call may be sent on this connection."""
         return (
             self.state is CallState.IDLE
             and self.transport is not None
@@ -84,23 +83,23 @@
         )
 
     def _unread(self) -> bool:
-        """Whether bytes or an end lie at the socket that the loop has not got to yet."""
+        """Whether the socket has bytes or an end that the event loop has not read yet."""
         assert self.transport is not None
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def send(self, data: bytes, call: bytes) -> asyncio.Future[tuple[int, bytes]]:
-        """Send the call with this id: its answer's status and body, or an OSError."""
+    def send(self, data: bytes, call_id: bytes) -> asyncio.Future[tuple[int, bytes]]:
+        """Send a call with this id; the future gets the status and body of its answer, or an OSError."""
         assert self.transport is not None
         self._to(CallState.WAITING)
-        self.call = call
+        self.call_id = call_id
         self.future = asyncio.get_running_loop().create_future()
         self.transport.write(data)
         return self.future
 
     def end(self, why: str) -> None:
-        """End the connection; whoever waits is told why."""
+        """Close the connection; a pending call fails with `why`."""
         if self.state is not CallState.CLOSED:
             self._to(CallState.CLOSED)
         if self.future is not None and not self.future.done():
@@ -108,67 +107,67 @@
         if self.transport is not None:
             self.transport.abort()
 
-    # -- from the loop
+    # -- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """The connection is established."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection ended."""
-        self.end(str(error) if error else "the connection ended before the answer")
+        """The connection has ended."""
+        self.end(str(error) if error else "connection closed before the answer")
 
     def data_received(self, data: bytes) -> None:
-        """Bytes came; those that no call waits for end the connection."""
+        """Parse received bytes; unexpected ones close the connection."""
         if self.state is not CallState.WAITING:
-            self.end("bytes that belong to no answer")
+            self.end("unexpected bytes outside of an answer")
             return
-        self.came()
+        self.on_data()
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.end(f"not an answer: {error}")
+            self.end(f"invalid answer: {error}")
 
-    # -- from the parser
+    # -- called by the parser
 
     def on_message_begin(self) -> None:
-        """End at the beginning of a further answer."""
+        """Close the connection if another answer begins."""
         if self.state is not CallState.WAITING:
-            self.end("bytes that belong to no answer")
+            self.end("unexpected bytes outside of an answer")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note whose answer it is, and whether its body is packed."""
+        """Read the call's id and whether the body is compressed."""
         match name.lower():
             case b"call-id":
-                self.answered = value.strip()
+                self.answered_id = value.strip()
             case b"content-encoding":
                 self.packed = value.strip().lower() == ENCODING.encode()
 
     def on_headers_complete(self) -> None:
-        """End at another call's answer."""
-        if self.answered and self.answered != self.call:
-            self.end("another call's answer")
+        """Close the connection if the answer belongs to another call."""
+        if self.answered_id and self.answered_id != self.call_id:
+            self.end("answer to another call")
 
     def on_body(self, data: bytes) -> None:
-        """A piece of an answer's body."""
+        """Add a part of an answer's body."""
         self.size += len(data)
         if self.size > MAX_ANSWER_BYTES:
-            self.end("the answer is too large")
+            self.end(f"answer larger than {MAX_ANSWER_BYTES} bytes")
         else:
             self.body.append(data)
 
     def on_message_complete(self) -> None:
-        """An answer is whole."""
+        """An answer is complete."""
         status = self.parser.get_status_code()
-        if self.state is not CallState.WAITING or status < 200:  # a second answer in one piece, or not the answer yet
-            self.end("bytes that belong to no answer")
+        if self.state is not CallState.WAITING or status < 200:  # a second answer in the same bytes, or an interim one
+            self.end("unexpected bytes outside of an answer")
             return
         assert self.future is not None
         try:
             body = unpack(b"".join(self.body), MAX_ANSWER_BYTES) if self.packed else b"".join(self.body)
         except ValueError as error:
-            self.end(f"not an answer: {error}")
+            self.end(f"invalid answer: {error}")
             return
         if not self.future.done():
             self.future.set_result((status, body))
@@ -177,28 +176,31 @@
             return
         self._to(CallState.IDLE)
         self.idle_since = asyncio.get_running_loop().time()
-        asyncio.get_running_loop().call_soon(self._renew)  # not while the parser runs
+        asyncio.get_running_loop().call_soon(self._reset_parser)  # not while the parser is running
 
 
 class Caller:
-    """Calls cores, one connection kept to each; a call is given up once nothing has come for its patience."""
+    """Calls cores, with one connection kept open to each. A call fails once nothing has arrived for its timeout."""
 
     def __init__(self) -> None:
-        self.kept: dict[tuple[str, int], Connection] = {}
+        self.connections: dict[tuple[str, int], Connection] = {}
         self.calls = 0
-        self.bytes: Counter[str] = Counter()  # of bodies, unpacked: sent and received
-        self.allowed: dict[tuple[str, int], float] = {}  # seconds for the next opening, after one that took too long
+        self.bytes: Counter[str] = Counter()  # uncompressed bytes of bodies, sent and received
+        self.connect_timeouts: dict[
+            tuple[str, int], float
+        ] = {}  # seconds for the next attempt, after one that timed out
 
     async def json(
         self, method: str, url: str, body: Any = None, timeout_s: float = CALL_TIMEOUT_S, step: str = "call"
     ) -> Any:
-        """The JSON value of a 200 from `http://ip:port/path`; PeerError for any other answer or none in `patience`
-        s."""
+        """The JSON value of a 200 from `http://ip:port/path`.
+
+        PeerError for any other answer, or if nothing arrives for `timeout_s`."""
         parts = urlsplit(url)
-        at = parts.hostname or "", parts.port or 80
+        address = parts.hostname or "", parts.port or 80
         data = b"" if body is None else json.dumps(body, separators=(",", ":")).encode()
         self.calls += 1
-        call = b"%d" % self.calls
+        call_id = b"%d" % self.calls
         head = (
             f"{method} {parts.path} HTTP/1.1\r\nHost: {parts.netloc}\r\nContent-Type: application/json\r\n"
             f"Accept-Encoding: {ENCODING}\r\nCall-Id: {self.calls}\r\n"
@@ -207,61 +209,61 @@
         connection: Connection | None = None
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(timeout_s) as limit:
-                connection = await self._connection(at)
-                last = loop.time() + MAX_ANSWER_S
+            async with asyncio.timeout(timeout_s) as deadline:
+                connection = await self._connection(address)
+                latest = loop.time() + MAX_ANSWER_S
 
-                def came() -> None:
-                    if not limit.expired():  # else it has been cut off, and has not been told yet
-                        limit.reschedule(min(last, loop.time() + timeout_s))
+                def on_data() -> None:
+                    if not deadline.expired():  # otherwise it has timed out and is about to be cancelled
+                        deadline.reschedule(min(latest, loop.time() + timeout_s))
 
-                connection.came = came
-                status, told = await connection.send(head.encode() + data, call)
+                connection.on_data = on_data
+                status, answer_body = await connection.send(head.encode() + data, call_id)
         except TimeoutError:
             raise PeerError(step, url, f"no answer within {timeout_s:g} s") from None
         except OSError as error:
             raise PeerError(step, url, f"{type(error).__name__} {error}") from None
         finally:
             if connection is not None:
-                connection.came = lambda: None
+                connection.on_data = lambda: None
             if connection is not None and connection.state is CallState.WAITING:
-                connection.end("given up")  # a late answer must not be taken for the next call's
+                connection.end("call given up")  # a late answer must not be taken for that of the next call
         if connection.state is CallState.IDLE:
-            self.kept[at] = connection
+            self.connections[address] = connection
         self.bytes["sent"] += len(data)
-        self.bytes["received"] += len(told)
-        return value(step, url, status, told)
-
-    async def _connection(self, at: tuple[str, int]) -> Connection:
-        """The one kept to a core, taken out, if it is fit; else a new one. OSError if there is none."""
-        kept = self.kept.pop(at, None)
-        if kept is not None:
-            if kept.fit():
-                return kept
-            kept.end("idle for long")
-            await asyncio.sleep(0)  # only then its descriptor is free
-        allowed = self.allowed.get(at, CONNECT_TIMEOUT_S)
+        self.bytes["received"] += len(answer_body)
+        return value(step, url, status, answer_body)
+
+    async def _connection(self, address: tuple[str, int]) -> Connection:
+        """The connection kept to a core, if it is usable, otherwise a new one. OSError if it can't be established."""
+        connection = self.connections.pop(address, None)
+        if connection is not None:
+            if connection.is_usable():
+                return connection
+            connection.end("idle for too long")
+            await asyncio.sleep(0)  # its descriptor is only free after that
+        connect_timeout = self.connect_timeouts.get(address, CONNECT_TIMEOUT_S)
         try:
-            async with asyncio.timeout(allowed):
-                _, connection = await asyncio.get_running_loop().create_connection(Connection, *at)
+            async with asyncio.timeout(connect_timeout):
+                _, connection = await asyncio.get_running_loop().create_connection(Connection, *address)
         except TimeoutError:
-            self.allowed[at] = 2 * allowed
-            raise ConnectionError("no connection in time") from None
-        self.allowed.pop(at, None)
+            self.connect_timeouts[address] = 2 * connect_timeout
+            raise ConnectionError(f"not connected within {connect_timeout:g} s") from None
+        self.connect_timeouts.pop(address, None)
         return connection
 
-    def keep_only(self, address: str) -> bool:
-        """End the connections kept to other cores than the one at `ip:port`: descriptors may be few.
+    def close_others(self, address: str) -> bool:
+        """Close the connections to all cores but the one at `ip:port`: descriptors may be few.
 
-        Whether there were any: theirs are free after a turn of the loop."""
+        Whether there were any: their descriptors are free after an iteration of the event loop."""
         parts = urlsplit(f"//{address}")
-        others = [at for at in self.kept if at != (parts.hostname, parts.port)]
-        for at in others:
-            self.kept.pop(at).end("another core is called")
+        others = [address for address in self.connections if address != (parts.hostname, parts.port)]
+        for address in others:
+            self.connections.pop(address).end("another core is called")
         return bool(others)
 
     async def close(self) -> None:
-        """End all connections."""
-        for connection in self.kept.values():
-            connection.end("the edge ends")
-        self.kept.clear()
+        """Close all connections."""
+        for connection in self.connections.values():
+            connection.end("edge is stopping")
+        self.connections.clear()
--- a/knotwalk/edge/client_connection.py
+++ b/knotwalk/edge/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection as the loop drives it: its beginning, its end, flow control, and the bounds on time."""
+"""A client connection as the event loop drives it: its start and end, flow control, and timeouts."""
 
 from __future__ import annotations
 
@@ -10,40 +10,45 @@
 from knotwalk.edge.request_reader import RequestReader
 from knotwalk.edge.stages import Stage, continues_after_half_close
 
-# Seconds that a connection stays open behind its last answer, so that unread bytes don't destroy it on the way.
-LINGER = 1.0
-# Seconds that a connection lies behind its last answer at least, or what the client sent meanwhile would destroy the
-# answer on its way; also between looks for a descriptor while clients wait for one to be accepted.
-CROWD_LOOK = 0.05
-# A client that came before there was a cluster view is read once there is; after so many seconds it is let go, unread.
-STARTING, STARTING_MOST = "starting", 0.9
-# Events that the port counts: how a client went while a request of its was under way. It ended its side (a plain close
-# looks the same), reset the connection, or did either while nothing was read, which only a look at the socket finds.
-ENDED_ITS_SIDE = "client ended its side, requests under way"
-RESET = "client reset, requests under way"
-LEFT_UNREAD = "client left while reading paused"
-# Seconds between looks for the end of a client from which nothing is read.
-PAUSED_LOOK = 0.15
-LOW, HIGH = 32 * 1024, 128 * 1024  # bytes waiting to be written to a client: reading from the node goes on, pauses
-
-
-def unread(descriptor: int) -> bool:
-    """Whether bytes or an end, or one who connects, wait unread at a socket."""
+# Time for which a connection stays open after its last answer: closing with unread bytes would send a reset, which
+# could destroy the answer on its way.
+LINGER_S = 1.0
+# Minimum of that time when descriptors are short. Also the interval at which the port looks for a free descriptor while
+# clients wait to be accepted.
+CROWDED_POLL_S = 0.05
+# A client that connects before there is a cluster view is read once there is one; after this time its connection is
+# reset, unread.
+STARTING, MAX_STARTING_S = "starting", 0.9
+# Names of counted events: how a client left while it had a request in progress. It half-closed (a full close looks the
+# same), reset the connection, or did either while reading was paused, which only a poll of the socket detects.
+HALF_CLOSED_EVENT = "client ended its side, requests under way"
+RESET_EVENT = "client reset, requests under way"
+LEFT_WHILE_PAUSED_EVENT = "client left while reading paused"
+# Interval at which sockets with paused reading are polled for the end of their client.
+PAUSED_POLL_S = 0.15
+WRITE_BUFFER_LOW_BYTES, WRITE_BUFFER_HIGH_BYTES = (
+    32 * 1024,
+    128 * 1024,
+)  # buffered bytes to a client at which reading from the node resumes, pauses
+
+
+def has_unread(descriptor: int) -> bool:
+    """Whether a socket has unread bytes, an unread end, or a connection to accept."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
     return bool(poll.poll(0))
 
 
 class PeerEnd(Enum):
-    """What a look at a client's socket tells of its end."""
+    """What a poll of a client's socket reveals about its end."""
 
     NONE = "nothing"
-    HALF_CLOSED = "ended"  # it sends no more: it has closed, or ended its side
-    RESET = "reset"  # the connection is over, both ways
+    HALF_CLOSED = "ended"  # it sends no more: it has closed or half-closed
+    RESET = "reset"  # the connection is closed in both directions
 
 
 def probe_peer_end(descriptor: int) -> PeerEnd:
-    """Whether the other side has ended its side or reset, whatever lies unread before that."""
+    """Whether the client has half-closed or reset, even if bytes before that are still unread."""
     poll = select.poll()
     poll.register(descriptor, select.POLLRDHUP)
     events = [event for _, event in poll.poll(0)]
@@ -53,50 +58,51 @@
 
 
 class ClientConnection(RequestReader):
-    """One client's connection."""
+    """One client connection."""
 
-    _watching: asyncio.TimerHandle | None = None  # the next look for its end, while reading pauses
+    _end_check: asyncio.TimerHandle | None = None  # the next poll for its end, while reading is paused
 
     # -- from the loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The loop has accepted the connection."""
+        """The event loop has accepted the connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(HIGH, LOW)
-        self.client_server.entered(self)
-        if not self.client_server.started:
-            # Just started: what is not read may be sent elsewhere, whatever its kind; what is refused is a try lost.
-            self._hold(STARTING, True)
-            asyncio.get_running_loop().call_later(STARTING_MOST, self._give_up)
+        transport.set_write_buffer_limits(WRITE_BUFFER_HIGH_BYTES, WRITE_BUFFER_LOW_BYTES)
+        self.client_server.on_connected(self)
+        if not self.client_server.view_ready:
+            # Just started: unread requests may be sent to another edge, idempotent or not; a refused one costs a try.
+            self._set_paused(STARTING, True)
+            asyncio.get_running_loop().call_later(MAX_STARTING_S, self._give_up)
 
     def _give_up(self) -> None:
-        if STARTING in self.holds and self.state is ConnectionState.OPEN and self.transport is not None:
+        if STARTING in self.pause_reasons and self.state is ConnectionState.OPEN and self.transport is not None:
             self.transport.abort()
 
-    def begun(self) -> None:
-        """There is a cluster view to serve by."""
-        if STARTING in self.holds:
-            self._hold(STARTING, False)
+    def on_view_ready(self) -> None:
+        """There is a cluster view to serve with: read requests."""
+        if STARTING in self.pause_reasons:
+            self._set_paused(STARTING, False)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended: nobody waits for what is due on it."""
+        """The connection has ended: nobody waits for its answers any more."""
         if self.state is not ConnectionState.CLOSED:
             self._to(ConnectionState.CLOSED)
         if error is not None and self.queue:
-            self.client_server.counts[RESET] += 1
-        if self._watching is not None:
-            self._watching.cancel()
+            self.client_server.counts[RESET_EVENT] += 1
+        if self._end_check is not None:
+            self._end_check.cancel()
         self._abandon(0)
-        self.client_server.left(self)
+        self.client_server.on_disconnected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes came, and with them perhaps the client's end, if they lay a while (a slow edge, a pause, a start).
+        """Read bytes, and check whether the client has already left, if they were unread for a while.
 
-        What it asked begins in the next turn of the loop, so that who has left by now is not served."""
+        That happens on a slow edge, after a pause, or at start. The request is started in the next iteration of the
+        event loop, so that a client that has left by now is not served."""
         super().data_received(data)
         if self.queue and self.reading is None and self._probe_peer_end() is not PeerEnd.NONE:
-            self._client_ended()
+            self._on_half_close()
 
     def _probe_peer_end(self) -> PeerEnd:
         if self.transport is None or self.transport.is_closing():
@@ -104,121 +110,121 @@
         return probe_peer_end(self.transport.get_extra_info("socket").fileno())
 
     def _abandon(self, kept: int) -> None:
-        """Nobody waits for the answers any more, but for the first `kept` of them."""
+        """Abandon all requests but the first `kept`: nobody waits for their answers."""
         while len(self.queue) > kept:
             exchange = self.queue.pop()
             exchange.abandon()
             if exchange.answer is not None and exchange.answer.stream is not None:
                 exchange.answer.stream.abort("the client is gone")
             if exchange.stage not in (Stage.RUNNING, Stage.DONE):
-                self._end(exchange)
+                self._finish(exchange)
 
     def eof_received(self) -> bool:
-        """The client sends no more: it has closed, or still reads."""
-        self.over = True
+        """The client sends no more: it has closed, or half-closed and still reads."""
+        self.half_closed = True
         if self.state is ConnectionState.LINGER or not self.queue:
-            return False  # nothing to answer
+            return False  # nothing left to answer
         if self.reading is not None:
-            self._abandon(0)  # half a request is no request, and whoever sends it has gone
+            self._abandon(0)  # a partial request can't run, and its client is gone
             return False
-        return self._client_ended()
+        return self._on_half_close()
 
-    def _client_ended(self) -> bool:
-        """The client has ended its side: only what outlives it goes on, to be answered; whether anything does."""
-        self.over = True
-        self.client_server.counts[ENDED_ITS_SIDE] += 1
+    def _on_half_close(self) -> bool:
+        """Handle a half-close: only a started non-idempotent request goes on; True if there is one."""
+        self.half_closed = True
+        self.client_server.counts[HALF_CLOSED_EVENT] += 1
         first = self.queue[0]
         if continues_after_half_close(first.stage, first.is_repeatable):
             first.on_half_close(self.client_server.clock())
             self._abandon(1)
-            self._shut()
+            self._stop_reading()
             return True
-        cut = self.full or first.stage is Stage.WRITING
+        cut = self.write_paused or first.stage is Stage.WRITING
         self._abandon(0)
         if cut:
-            self.abort()  # a close would wait for its reading, and could look like the end of the answer
+            self.abort()  # a close would wait until the client has read, and could look like the end of the answer
         elif self.transport is not None:
             self.transport.close()
         return False
 
     def pause_writing(self) -> None:
-        """The client does not read: no more is written, or read, until it does."""
-        self.full = True
-        self._hold("full", True)
-        self._flow(False)
+        """The client does not read: write and read nothing until it does."""
+        self.write_paused = True
+        self._set_paused("full", True)
+        self._set_flow(False)
 
     def resume_writing(self) -> None:
-        """The client reads again."""
-        self.full = False
-        self.touched = self.client_server.clock()
-        self._hold("full", False)
-        self._flow(True)
+        """Resume writing and reading: the client reads again."""
+        self.write_paused = False
+        self.last_active = self.client_server.clock()
+        self._set_paused("full", False)
+        self._set_flow(True)
         self._write()
 
-    def _flow(self, on: bool) -> None:
+    def _set_flow(self, on: bool) -> None:
         if self.queue and self.queue[0].stage is Stage.WRITING:
             answer = self.queue[0].answer
             if answer is not None and answer.stream is not None:
                 answer.stream.flow(on)
 
-    # -- ending one on which nothing is due
+    # -- closing without a pending request
 
-    def part(self) -> None:
-        """End a connection on which nothing is due, unless bytes lie unread: then a request has come after all."""
+    def close_if_quiet(self) -> None:
+        """Close a connection without pending requests, unless unread bytes show that a request has arrived."""
         if (
             self.state is not ConnectionState.OPEN
-            or not self.quiet()
+            or not self.is_quiet()
             or self.transport is None
             or self.transport.is_closing()
         ):
             return
-        made = self.transport.get_extra_info("socket")
-        if not unread(made.fileno()):
+        sock = self.transport.get_extra_info("socket")
+        if not has_unread(sock.fileno()):
             self._to(ConnectionState.CLOSED)
             self.transport.close()
 
-    def give_way(self, now: float) -> bool:
-        """End a connection on which nothing is due, for its descriptor's sake; whether it could be."""
+    def close_if_idle(self, now: float) -> bool:
+        """Close a connection without pending requests to free its descriptor; whether that was possible."""
         if self.state is ConnectionState.LINGER and self.transport is not None and not self.transport.is_closing():
-            if now - self.touched >= CROWD_LOOK and not self.transport.get_write_buffer_size():
+            if now - self.last_active >= CROWDED_POLL_S and not self.transport.get_write_buffer_size():
                 self.transport.close()
                 return True
             return False
         if self.state is not ConnectionState.OPEN:
             return False
-        self.part()
+        self.close_if_quiet()
         return self.state is ConnectionState.CLOSED
 
-    # -- time
+    # -- timeouts
 
-    def _watch_for_end(self) -> None:
-        if self._watching is None:
-            self._watching = asyncio.get_running_loop().call_later(PAUSED_LOOK, self._look_for_end)
+    def _schedule_end_check(self) -> None:
+        if self._end_check is None:
+            self._end_check = asyncio.get_running_loop().call_later(PAUSED_POLL_S, self._check_for_end)
 
-    def _look_for_end(self) -> None:
-        """While nothing is read, its end is neither: look at the socket for it."""
-        self._watching = None
-        if not self.holds or self.transport is None or self.transport.is_closing():
+    def _check_for_end(self) -> None:
+        """Poll the socket for the client's end, which the event loop does not report while reading is paused."""
+        self._end_check = None
+        if not self.pause_reasons or self.transport is None or self.transport.is_closing():
             return
-        heard = self._probe_peer_end()
-        if heard is PeerEnd.RESET:
-            self.client_server.counts[LEFT_UNREAD] += 1
+        peer_end = self._probe_peer_end()
+        if peer_end is PeerEnd.RESET:
+            self.client_server.counts[LEFT_WHILE_PAUSED_EVENT] += 1
             self.abort()
-        elif heard is PeerEnd.HALF_CLOSED and self.queue and not self.over:
-            self.client_server.counts[LEFT_UNREAD] += 1
-            self._client_ended()
-        self._watch_for_end()
+        elif peer_end is PeerEnd.HALF_CLOSED and self.queue and not self.half_closed:
+            self.client_server.counts[LEFT_WHILE_PAUSED_EVENT] += 1
+            self._on_half_close()
+        self._schedule_end_check()
 
-    def look(self, now: float) -> None:
-        """Keep the bounds on idleness and slowness."""
+    def check_timeouts(self, now: float) -> None:
+        """Enforce the limits on idle and slow connections."""
         limits = self.client_server.limits
-        still = now - self.touched
+        idle_s = now - self.last_active
         if self.transport is None or self.state is ConnectionState.CLOSED:
             return
         if self.state is ConnectionState.LINGER:
-            if still > (limits.idle_timeout if self.transport.get_write_buffer_size() else LINGER):
+            if idle_s > (limits.idle_timeout if self.transport.get_write_buffer_size() else LINGER_S):
                 self.transport.abort()
-        elif self.full and still > limits.idle_timeout:
+        elif self.write_paused and idle_s > limits.idle_timeout:
             self.abort()
         elif self.state is not ConnectionState.OPEN:
             return
@@ -226,8 +232,8 @@
             if not self.queue:
                 self._refuse(408, "the head took too long")
                 self._write()
-        elif self.reading is not None and "body" not in self.holds and still > limits.idle_timeout:
+        elif self.reading is not None and "body" not in self.pause_reasons and idle_s > limits.idle_timeout:
             self._refuse(408 if self.reading.stage is Stage.READING else 400, "the body took too long")
             self._write()
-        elif not self.queue and self.head_since is None and still > limits.idle_timeout:
-            self.part()
+        elif not self.queue and self.head_since is None and idle_s > limits.idle_timeout:
+            self.close_if_quiet()
--- a/knotwalk/edge/client_server.py
+++ b/knotwalk/edge/client_server.py
@@ -1,6 +1,6 @@
-"""The clients' port of an edge: connections are accepted within their limits, requests carried, and the port drained.
+"""The clients' port of an edge: accepts connections within the limits, forwards requests, and drains at the end.
 
-The connections themselves are `client_connection`'s, with `request_reader` and `answer_writer` below it.
+Single connections are handled by `client_connection`, which is built on `request_reader` and `answer_writer`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from knotwalk.admission.connection_budget import share_descriptors
 from knotwalk.configuration.objects import Limits
 from knotwalk.discovery.cluster_view import ClusterView
-from knotwalk.edge.client_connection import CROWD_LOOK, ClientConnection, unread
+from knotwalk.edge.client_connection import CROWDED_POLL_S, ClientConnection, has_unread
 from knotwalk.edge.exchange import Exchange
 from knotwalk.edge.forwarder import Forwarder
 from knotwalk.edge.intake import Intake
@@ -24,14 +24,14 @@
 from knotwalk.runtime.loop_delay import LoopDelay
 from knotwalk.runtime.settings import Settings
 
-# Seconds between looks at idle connections: the bounds they keep are whole seconds.
-SWEEP = 0.5
-# Seconds between lines of the log that tell how requests ended: few enough to keep, often enough to see a trouble.
-TALLY = 10.0
-# Looks for a descriptor (CROWD_LOOK apart) while clients wait for one to be accepted, before those who wait are reset,
-# to go elsewhere: a request takes some 0.15 s.
-CROWD_LOOKS = 3
-# Connections that wait to be accepted.
+# Interval of the timeout checks of connections: their timeouts are whole seconds.
+SWEEP_INTERVAL_S = 0.5
+# Interval of the log lines that count how requests ended: seldom enough to keep them, often enough to see a fault.
+LOG_COUNTS_INTERVAL_S = 10.0
+# Number of polls for a free descriptor, CROWDED_POLL_S apart, before the clients that wait to be accepted are reset, so
+# that they go to another edge: a request takes about 0.15 s.
+CROWDED_POLLS = 3
+# Length of the listening socket's queue.
 BACKLOG = 1024
 
 
@@ -41,42 +41,42 @@
     def __init__(self, settings: Settings, view: ClusterView, clock: Callable[[], float], seed: int):
         self.settings, self.view, self.clock = settings, view, clock
         self.forwarder = Forwarder(settings, view, clock, seed)
-        self.operations: Operations | None = None  # set where limits and operations are asked for
+        self.operations: Operations | None = None  # set where limits or operations need admission requests
         self.clients: set[ClientConnection] = set()
         self.connection_budget = share_descriptors(settings.machine.file_descriptors, settings.contracts)
-        self.coming = 0  # connections accepted that have not entered yet
+        self.accepting = 0  # accepted connections that are not set up yet
         self.draining = False
         self.intake = Intake(self.forwarder)
-        self.started = self.serves
-        self.open = 0  # requests read and not answered
-        self.gate: socket.socket | None = None  # where connections wait to be accepted
-        self._shut_until: asyncio.TimerHandle | None = None  # while none is accepted
+        self.view_ready = self.can_serve
+        self.open_requests = 0  # requests read and not yet answered
+        self.listener: socket.socket | None = None  # the listening socket
+        self._accept_paused: asyncio.TimerHandle | None = None  # next poll while accepting is paused
         self._sweep: asyncio.TimerHandle | None = None
-        self.delay = LoopDelay()
-        self._look_due = 0.0
-        self._tallied = clock()  # when it was last told how requests ended
+        self.loop_delay = LoopDelay()
+        self._sweep_due = 0.0
+        self._logged_at = clock()  # when the counts were last logged
         self._tasks: set[asyncio.Task] = set()
-        self._calm: asyncio.Event = asyncio.Event()
+        self._progress: asyncio.Event = asyncio.Event()
 
     @property
     def limits(self) -> Limits:
-        """The limits in force, the usual ones until a configuration is known."""
+        """The limits in force; the default ones until there is a configuration."""
         configuration = self.view.configuration
         return configuration.limits if configuration is not None else DEFAULT_LIMITS
 
     @property
-    def serves(self) -> bool:
-        """Whether there is enough to serve by, of what cores have told."""
-        return self.view.whole and self.intake.judges_keys(self.clock())
+    def can_serve(self) -> bool:
+        """Whether there is a complete cluster view and, where needed, a valid lease on tenant keys."""
+        return self.view.whole and self.intake.can_check_keys(self.clock())
 
     @property
     def counts(self) -> dict:
-        """What was met with, by its name; told with the tally."""
+        """Counts of events by name; logged periodically."""
         return self.forwarder.counts
 
     @property
     def edges(self) -> int:
-        """How many edges share the budgets."""
+        """How many edges share the retry budgets."""
         return self.forwarder.edges
 
     @edges.setter
@@ -84,148 +84,154 @@
         self.forwarder.edges = count
 
     async def start(self) -> None:
-        """Listen; OSError if the address can't be had."""
+        """Start to listen; OSError if the address can't be used."""
         host, port = self.settings.listen["data_plane"]
         loop = asyncio.get_running_loop()
-        self.gate = socket.create_server((host, port), backlog=BACKLOG)
-        self.gate.setblocking(False)
-        loop.add_reader(self.gate, self._accept)
-        self._look_later()
+        self.listener = socket.create_server((host, port), backlog=BACKLOG)
+        self.listener.setblocking(False)
+        loop.add_reader(self.listener, self._accept)
+        self._schedule_sweep()
         log_info("listening", address=f"{host}:{self.port}")
 
     @property
     def port(self) -> int:
-        """The port that is listened at."""
-        assert self.gate is not None
-        return self.gate.getsockname()[1]
+        """The port number of the listening socket."""
+        assert self.listener is not None
+        return self.listener.getsockname()[1]
 
     # -- accepting
 
     @property
-    def crowded(self) -> bool:
-        """Whether there is no descriptor for one more client."""
-        return len(self.clients) + self.coming >= self.connection_budget.clients
+    def is_full(self) -> bool:
+        """Whether there is no descriptor for another client."""
+        return len(self.clients) + self.accepting >= self.connection_budget.clients
 
     def _accept(self) -> None:
-        """Take in who waits, as far as there is room; idle clients make some."""
+        """Accept waiting connections as far as descriptors allow; idle clients are closed to free some."""
         for _ in range(BACKLOG):
-            if self.gate is None:
+            if self.listener is None:
                 return
-            if self.crowded:
-                if unread(self.gate.fileno()):  # somebody waits
-                    self._make_room()
-                    self._wait_for_room()
+            if self.is_full:
+                if has_unread(self.listener.fileno()):  # a client waits
+                    self._close_idle_client()
+                    self._pause_accepting()
                 return
             try:
-                made, _ = self.gate.accept()
+                sock, _ = self.listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as error:  # no descriptor, whatever we count
+            except OSError as error:  # no descriptor left, whatever the count says
                 self.counts[f"not accepted: {error.strerror}"] += 1
-                self._wait_for_room()
+                self._pause_accepting()
                 return
-            made.setblocking(False)
-            self.coming += 1
-            self._spawn(self._enter(made))
+            sock.setblocking(False)
+            self.accepting += 1
+            self._spawn(self._enter(sock))
 
-    async def _enter(self, made: socket.socket) -> None:
+    async def _enter(self, sock: socket.socket) -> None:
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(lambda: ClientConnection(self), made)
+            await asyncio.get_running_loop().connect_accepted_socket(lambda: ClientConnection(self), sock)
         except OSError:
-            self.coming -= 1
-            made.close()
+            self.accepting -= 1
+            sock.close()
 
-    def _make_room(self) -> bool:
-        """End the connection that has been still longest among those with nothing due; whether there was one."""
+    def _close_idle_client(self) -> bool:
+        """Close the longest inactive connection without pending requests; whether there was one."""
         now = self.clock()
-        for client in sorted(self.clients, key=lambda client: client.touched):
-            if client.give_way(now):
+        for client in sorted(self.clients, key=lambda client: client.last_active):
+            if client.close_if_idle(now):
                 return True
         return False
 
-    def _wait_for_room(self) -> None:
-        if self._shut_until is None and self.gate is not None:
-            asyncio.get_running_loop().remove_reader(self.gate)
-            self._look_for_room(CROWD_LOOKS)
-
-    def _look_for_room(self, looks: int) -> None:
-        if not looks and not self._make_room():
-            self._turn_away()
-        elif self.gate is not None:
-            if looks < CROWD_LOOKS:
-                self._make_room()
-            self._shut_until = asyncio.get_running_loop().call_later(CROWD_LOOK, self._look_for_room, max(0, looks - 1))
-
-    def _turn_away(self) -> None:
-        """Nobody left in time: who waits is reset unread, which lets it try elsewhere whatever it asks."""
-        while self.gate is not None:
+    def _pause_accepting(self) -> None:
+        if self._accept_paused is None and self.listener is not None:
+            asyncio.get_running_loop().remove_reader(self.listener)
+            self._poll_for_room(CROWDED_POLLS)
+
+    def _poll_for_room(self, polls: int) -> None:
+        if not polls and not self._close_idle_client():
+            self._reset_waiting()
+        elif self.listener is not None:
+            if polls < CROWDED_POLLS:
+                self._close_idle_client()
+            self._accept_paused = asyncio.get_running_loop().call_later(
+                CROWDED_POLL_S, self._poll_for_room, max(0, polls - 1)
+            )
+
+    def _reset_waiting(self) -> None:
+        """Reset waiting connections, since no descriptor became free in time.
+
+        Nothing was read from them, so that their clients may retry any request elsewhere."""
+        while self.listener is not None:
             try:
-                made, _ = self.gate.accept()
+                sock, _ = self.listener.accept()
             except OSError:
                 break
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            made.close()
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            sock.close()
             self.counts["no room for a connection"] += 1
-        self._reopen()
-
-    def _reopen(self) -> None:
-        if self._shut_until is not None:
-            self._shut_until.cancel()
-            self._shut_until = None
-            if self.gate is not None:
-                asyncio.get_running_loop().add_reader(self.gate, self._accept)
-
-    def _close_gate(self) -> None:
-        if self.gate is not None:
-            if self._shut_until is None:
-                asyncio.get_running_loop().remove_reader(self.gate)
+        self._resume_accepting()
+
+    def _resume_accepting(self) -> None:
+        if self._accept_paused is not None:
+            self._accept_paused.cancel()
+            self._accept_paused = None
+            if self.listener is not None:
+                asyncio.get_running_loop().add_reader(self.listener, self._accept)
+
+    def _close_listener(self) -> None:
+        if self.listener is not None:
+            if self._accept_paused is None:
+                asyncio.get_running_loop().remove_reader(self.listener)
             else:
-                self._shut_until.cancel()
-            self.gate.close()
-            self.gate = None
+                self._accept_paused.cancel()
+            self.listener.close()
+            self.listener = None
 
-    def _look(self) -> None:
+    def _sweep_clients(self) -> None:
         now = self.clock()
-        self.delay.note(now - self._look_due)
+        self.loop_delay.note(now - self._sweep_due)
         for client in list(self.clients):
-            client.look(now)
+            client.check_timeouts(now)
         self.forwarder.close_idle()
-        if now - self._tallied >= TALLY:
-            self._tell_tally(now)
-        self._look_later()
+        if now - self._logged_at >= LOG_COUNTS_INTERVAL_S:
+            self._log_counts(now)
+        self._schedule_sweep()
 
-    def _look_later(self) -> None:
-        self._look_due = self.clock() + SWEEP
-        self._sweep = asyncio.get_running_loop().call_later(SWEEP, self._look)
+    def _schedule_sweep(self) -> None:
+        self._sweep_due = self.clock() + SWEEP_INTERVAL_S
+        self._sweep = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep_clients)
 
-    def _tell_tally(self, now: float) -> None:
-        seconds, self._tallied = round(now - self._tallied, 1), now
+    def _log_counts(self, now: float) -> None:
+        seconds, self._logged_at = round(now - self._logged_at, 1), now
         if counts := self.forwarder.take_counts():
             log_info("requests", seconds=seconds, counts=counts)
 
     def drain(self) -> None:
-        """Accept no more connections; answers tell clients to leave; what was read is finished.
+        """Accept no more connections, close connections after their answers, and finish the requests that were read.
 
-        Who is connected as the system sees it, and was not accepted yet, is taken in: a closed gate would reset it.
+        Connections that the kernel has established already are accepted first: closing the socket would reset them.
         """
         if self.draining:
             return
         self.draining = True
         self._accept()
-        self._close_gate()
-        log_info("draining", clients=len(self.clients), requests=self.open)
+        self._close_listener()
+        log_info("draining", clients=len(self.clients), requests=self.open_requests)
 
     async def finished(self, by: float) -> None:
-        """Until every request that was read is answered, or the steady clock shows `by`; then connections end."""
-        while (self.open or self.coming or any(not client.quiet() for client in self.clients)) and self.clock() < by:
-            self._calm.clear()
+        """Wait until every request that was read is answered, or until `by` (monotonic); then close all connections."""
+        while (
+            self.open_requests or self.accepting or any(not client.is_quiet() for client in self.clients)
+        ) and self.clock() < by:
+            self._progress.clear()
             try:
-                async with asyncio.timeout(min(SWEEP, max(0.0, by - self.clock()))):
-                    await self._calm.wait()
+                async with asyncio.timeout(min(SWEEP_INTERVAL_S, max(0.0, by - self.clock()))):
+                    await self._progress.wait()
             except TimeoutError:
                 pass
         for client in list(self.clients):
-            client.part()
+            client.close_if_quiet()
         while (
             any(client.transport is not None and client.transport.get_write_buffer_size() for client in self.clients)
             and self.clock() < by
@@ -233,72 +239,72 @@
             await asyncio.sleep(0.01)
         if self._sweep is not None:
             self._sweep.cancel()
-        self._tell_tally(self.clock())
+        self._log_counts(self.clock())
         for pool in list(self.forwarder.pools.values()):
             pool.close()
 
     def report(self, now: float) -> dict:
-        """What was met with since the last call; see the forwarder."""
+        """The load report since the previous call; see the forwarder."""
         return self.forwarder.report()
 
     def view_changed(self, changed: set[str]) -> None:
-        """The cluster view changed."""
+        """Apply a change of the cluster view."""
         self.forwarder.view_changed(changed)
-        if not self.started and self.serves:
-            self.started = True
+        if not self.view_ready and self.can_serve:
+            self.view_ready = True
             for client in list(self.clients):
-                client.begun()
+                client.on_view_ready()
 
-    # -- from clients' connections
+    # -- called by client connections
 
-    def entered(self, client: ClientConnection) -> None:
-        """An accepted connection came."""
-        self.coming -= 1
+    def on_connected(self, client: ClientConnection) -> None:
+        """An accepted connection is set up."""
+        self.accepting -= 1
         self.clients.add(client)
 
-    def left(self, client: ClientConnection) -> None:
-        """A connection has ended, or is about to: its descriptor is free after this turn of the loop."""
+    def on_disconnected(self, client: ClientConnection) -> None:
+        """A connection has ended or is about to: its descriptor is free after this iteration of the event loop."""
         self.clients.discard(client)
-        self._calm.set()
-        if self._shut_until is not None and not self.crowded:
-            self._reopen()
+        self._progress.set()
+        if self._accept_paused is not None and not self.is_full:
+            self._resume_accepting()
 
     @property
-    def withheld(self) -> frozenset[bytes]:
-        """Headers of clients, in lower case, that go to no node."""
-        return self.intake.withheld
+    def withheld_headers(self) -> frozenset[bytes]:
+        """Client headers, in lower case, that are not forwarded."""
+        return self.intake.withheld_headers
 
     def begin(self, exchange: Exchange, head: RequestHead) -> None:
-        """A request's head was read: find its route, whose it is, and its deadline."""
-        self.open += 1
+        """A request's head was read: set its route, tenant and deadline."""
+        self.open_requests += 1
         self.intake.begin(exchange, head)
 
-    def carry(self, exchange: Exchange) -> None:
-        """Carry a request; it tells when its answer is known."""
-        self._spawn(self._carry(exchange))
+    def forward(self, exchange: Exchange) -> None:
+        """Forward a request; its `on_answered` is called when the answer is known."""
+        self._spawn(self._forward(exchange))
 
     def _spawn(self, work: Coroutine) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _carry(self, exchange: Exchange) -> None:
+    async def _forward(self, exchange: Exchange) -> None:
         try:
             if self.operations is not None:
-                await self.operations.carry(exchange)
+                await self.operations.forward(exchange)
             else:
-                await self.forwarder.carry(exchange)
+                await self.forwarder.forward(exchange)
         except Exception:
-            log_exception("carrying a request failed", attempt=exchange.attempt.decode("latin-1"))
+            log_exception("forwarding a request failed", attempt=exchange.attempt.decode("latin-1"))
             if exchange.stage is Stage.RUNNING:
                 exchange.respond(502, "trouble of the edge")
 
-    def ended(self, exchange: Exchange) -> None:
-        """A request has got its answer, or nobody waits for it."""
+    def on_request_done(self, exchange: Exchange) -> None:
+        """A request was answered, or nobody waits for its answer any more."""
         if exchange.attempt:
-            self.open -= 1
-        if not self.open:
-            self._calm.set()
+            self.open_requests -= 1
+        if not self.open_requests:
+            self._progress.set()
 
 
 DEFAULT_LIMITS = Limits()
--- a/knotwalk/edge/client_state.py
+++ b/knotwalk/edge/client_state.py
@@ -1,6 +1,6 @@
-"""The state of one client's connection: its requests in order, why reading pauses, and the one change of state.
+"""The state of one client connection: its requests in order, the reasons why reading pauses, and state transitions.
 
-Owns what the reader of requests and the writer of answers share. Nothing here reads bytes or writes any.
+Holds what the request reader and the answer writer share. Nothing here reads or writes bytes.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from knotwalk.edge.stages import Stage
 from knotwalk.runtime.errors import PeerError
 
-# Requests of one connection that are carried or wait for their turn before reading pauses.
+# Pipelined requests of one connection, in progress or waiting for their turn, at which reading pauses.
 MAX_PIPELINED = 16
 
 
 class ConnectionState(Enum):
-    """States of a client's connection."""
+    """States of a client connection."""
 
     OPEN = "open"  # requests are read
-    LAST = "last"  # no further request is read; answers are still due
-    LINGER = "linger"  # everything is answered; what comes is thrown away until the client has closed
+    LAST = "last"  # no further request is read; answers are still pending
+    LINGER = "linger"  # everything is answered; what arrives is discarded until the client closes
     CLOSED = "closed"
 
 
@@ -41,90 +41,90 @@
 
 
 class ClientState(asyncio.Protocol):
-    """What is known of one client's connection; reading, writing and the loop's calls are built on it."""
+    """The state of one client connection; base of the reader, the writer and the event loop's protocol."""
 
     def __init__(self, client_server: ClientsPort):
         self.client_server = client_server
         self.state = ConnectionState.OPEN
         self.transport: asyncio.Transport | None = None
-        self.queue: deque[Exchange] = deque()  # oldest first; the first one's answer is written next
-        self.reading: Exchange | None = None  # whose body is being read
+        self.queue: deque[Exchange] = deque()  # oldest first; the answer of the first is written next
+        self.reading: Exchange | None = None  # the request whose body is being read
         self.parser = httptools.HttpRequestParser(self)
         self.refusal: RequestRefusedError | None = None
-        self.holds: set[str] = set()  # why reading pauses
-        self.full = False  # the client does not read
-        self.over = False  # the client has ended its side
-        self.touched = client_server.clock()  # when something moved last
+        self.pause_reasons: set[str] = set()  # the reasons why reading pauses
+        self.write_paused = False  # the client does not read: the write buffer is full
+        self.half_closed = False  # the client has shut down its sending side
+        self.last_active = client_server.clock()  # when bytes were last read or written
         self.head_since: float | None = None  # when the head being read began
-        self._fed = 0
-        self._new_head()
+        self._head_bytes_fed = 0
+        self._reset_head()
 
-    def _new_head(self) -> None:
+    def _reset_head(self) -> None:
         self._target = b""
         self._headers: list[tuple[bytes, bytes]] = []
-        self._size = 0
+        self._head_size = 0
 
     def _to(self, state: ConnectionState) -> None:
-        """The one place where the state changes."""
+        """Change the state; PeerError if the transition is not allowed."""
         if state not in CONNECTION_TRANSITIONS[self.state]:
-            raise PeerError("client's connection", "", f"from {self.state.value} to {state.value}")
+            raise PeerError("client's connection", "", f"invalid transition from {self.state.value} to {state.value}")
         self.state = state
 
-    def _hold(self, why: str, on: bool) -> None:
-        """Pause reading for one more reason, or one less."""
-        (self.holds.add if on else self.holds.discard)(why)
+    def _set_paused(self, why: str, on: bool) -> None:
+        """Add (`on`) or remove a reason to pause reading, and pause or resume accordingly."""
+        (self.pause_reasons.add if on else self.pause_reasons.discard)(why)
         if self.transport is None or self.transport.is_closing():
             return
-        if self.holds and self.transport.is_reading():
+        if self.pause_reasons and self.transport.is_reading():
             self.transport.pause_reading()
-            self._watch_for_end()
-        elif not self.holds and not self.transport.is_reading():
+            self._schedule_end_check()
+        elif not self.pause_reasons and not self.transport.is_reading():
             self.transport.resume_reading()
-            self.touched = self.client_server.clock()
+            self.last_active = self.client_server.clock()
             if self.head_since is not None:
-                self.head_since = self.touched
+                self.head_since = self.last_active
 
-    def _watch_for_end(self) -> None:
-        """Reading pauses: hear of the client's end by other means."""
+    def _schedule_end_check(self) -> None:
+        """Called when reading pauses: the end of the client must be detected by other means."""
 
-    def _starve(self, on: bool) -> None:
-        self._hold("body", on)
+    def _set_backpressure(self, on: bool) -> None:
+        self._set_paused("body", on)
 
-    def _shut(self) -> None:
+    def _stop_reading(self) -> None:
         """Read no more requests."""
         self.head_since = None
         if self.state is ConnectionState.OPEN:
             self._to(ConnectionState.LAST)
 
     def _start(self) -> None:
-        """Carry what may be carried: repeatable requests side by side, others when all before them are answered."""
-        for at, exchange in enumerate(self.queue):
-            if at >= MAX_PIPELINED:
+        """Forward the requests that may go now: idempotent ones in parallel, others after all before them."""
+        for position, exchange in enumerate(self.queue):
+            if position >= MAX_PIPELINED:
                 break
             if exchange.stage is Stage.READY:
-                if at and not (exchange.route is not None and exchange.route.idempotent):
+                if position and not (exchange.route is not None and exchange.route.idempotent):
                     break
                 exchange.transition_to(Stage.RUNNING)
-                self.client_server.carry(exchange)
+                self.client_server.forward(exchange)
             elif exchange.stage is Stage.RUNNING and not (exchange.route is not None and exchange.route.idempotent):
                 break
 
-    def _end(self, exchange: Exchange) -> None:
+    def _finish(self, exchange: Exchange) -> None:
         if exchange.timer is not None:
             exchange.timer.cancel()
             exchange.timer = None
         exchange.transition_to(Stage.DONE)
-        self.client_server.ended(exchange)
+        self.client_server.on_request_done(exchange)
 
-    def quiet(self) -> bool:
-        """Whether nothing of a request has come that is not answered."""
+    def is_quiet(self) -> bool:
+        """Whether no request, complete or partial, is unanswered."""
         return not self.queue and self.head_since is None
 
     def abort(self) -> None:
-        """End the connection by a reset: nobody takes what was written for a whole answer."""
+        """Reset the connection, so that the client can't take what was written for a complete answer."""
         if self.transport is None:
             return
-        made = self.transport.get_extra_info("socket")
-        if made is not None and not self.transport.is_closing():
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock = self.transport.get_extra_info("socket")
+        if sock is not None and not self.transport.is_closing():
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.transport.abort()
--- a/knotwalk/edge/clients_port.py
+++ b/knotwalk/edge/clients_port.py
@@ -1,4 +1,4 @@
-"""What a client's connection asks of the port that it came by; `front.Front` is the one that does it."""
+"""The interface of the clients' port that client connections use; `client_server.ClientServer` implements it."""
 
 from __future__ import annotations
 
@@ -15,42 +15,42 @@
 
 
 class ClientsPort(Protocol):
-    """The port's state that connections read, and what they tell it."""
+    """The state that connections read, and the events that they report."""
 
     clock: Callable[[], float]
     view: ClusterView
-    started: bool  # whether there was enough to serve by
+    view_ready: bool  # whether there has been a cluster view to serve with
     draining: bool
     clients: set
     connection_budget: ConnectionBudget
 
     @property
     def limits(self) -> Limits:
-        """What a client may send, and how long it may take."""
+        """Limits on what a client may send and how long it may take."""
 
     @property
     def counts(self) -> Counter[str]:
-        """What was met with, by its name."""
+        """Counts of events, by name."""
 
     @property
-    def crowded(self) -> bool:
-        """Whether there is no descriptor for one more client."""
+    def is_full(self) -> bool:
+        """Whether there is no descriptor for another client."""
 
-    def entered(self, client: asyncio.Protocol) -> None:
-        """An accepted connection came."""
+    def on_connected(self, client: asyncio.Protocol) -> None:
+        """An accepted connection is set up."""
 
-    def left(self, client: asyncio.Protocol) -> None:
-        """A connection has ended, or is about to."""
+    def on_disconnected(self, client: asyncio.Protocol) -> None:
+        """A connection has ended or is about to."""
 
     @property
-    def withheld(self) -> frozenset[bytes]:
-        """Headers of clients, in lower case, that go to no node."""
+    def withheld_headers(self) -> frozenset[bytes]:
+        """Client headers, in lower case, that are not forwarded."""
 
     def begin(self, exchange: Exchange, head: RequestHead) -> None:
-        """A request's head was read: find its route, whose it is, and its deadline."""
+        """A request's head was read: set its route, tenant and deadline."""
 
-    def carry(self, exchange: Exchange) -> None:
-        """Carry a request; it tells when its answer is known."""
+    def forward(self, exchange: Exchange) -> None:
+        """Forward a request; its `on_answered` is called when the answer is known."""
 
-    def ended(self, exchange: Exchange) -> None:
-        """A request has got its answer, or nobody waits for it."""
+    def on_request_done(self, exchange: Exchange) -> None:
+        """A request was answered, or nobody waits for its answer any more."""
--- a/knotwalk/edge/edge_metrics.py
+++ b/knotwalk/edge/edge_metrics.py
@@ -1,4 +1,4 @@
-"""An edge's own figures, read off its state when somebody asks. Names stand in docs/guides/system.md."""
+"""An edge's metrics, read from its state on each scrape. Their names are documented in docs/guides/system.md."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from knotwalk.edge.view_poller import ViewPoller
 from knotwalk.runtime.metrics import Figure, Kind, gauge, loop_delay
 
-RANK = ", rank "  # in a count's name: what stands between how a request ended and the rank of its route
+PRIORITY_SEPARATOR = ", rank "  # separates the outcome from the route's priority in the name of a count
 
 
 def requests_metric(counts: Counter[str]) -> Figure:
-    """How requests ended."""
+    """Requests by outcome."""
     found: dict[tuple[str, ...], float] = {}
     for name, count in counts.items():
-        ending, parted, rank = name.partition(RANK)
+        ending, separator, priority = name.partition(PRIORITY_SEPARATOR)
         outcome, _, cause = ending.partition(": ")
-        if parted:
-            found[outcome, cause, rank] = count
+        if separator:
+            found[outcome, cause, priority] = count
     return Figure(
         "knotwalk_edge_requests",
         Kind.COUNTER,
@@ -31,13 +31,15 @@
 
 
 def events_metric(counts: Counter[str]) -> Figure:
-    """What was met with: tries, connections, and what ended before it had a route."""
-    found: dict[tuple[str, ...], float] = {(name,): count for name, count in counts.items() if RANK not in name}
+    """Other events: tries, connections, and requests that ended before they had a route."""
+    found: dict[tuple[str, ...], float] = {
+        (name,): count for name, count in counts.items() if PRIORITY_SEPARATOR not in name
+    }
     return Figure("knotwalk_edge_events", Kind.COUNTER, "what was met with, by event", found, ("event",))
 
 
 def nodes_metric(view: ClusterView) -> Figure:
-    """Nodes of the view by state; one that drains or ails is not counted as ready."""
+    """Nodes of the cluster view by state; a draining or ailing one is not counted as ready."""
     found = Counter(
         "draining" if node.draining else "ailing" if node.ailing else "ready" for node in view.nodes.values()
     )
@@ -46,7 +48,7 @@
 
 
 def edge_metrics(now: float, ready: bool, client_server: ClientServer, view_poller: ViewPoller) -> Iterator[Figure]:
-    """All figures of an edge."""
+    """All metrics of an edge."""
     view, forwarder = client_server.view, client_server.forwarder
     counts = forwarder.totals + forwarder.counts
     yield gauge("knotwalk_edge_ready", "1 while the edge calls itself ready", ready)
@@ -55,28 +57,28 @@
         "the number of the configuration in force here, 0 for none",
         view.configuration.version if view.configuration else 0,
     )
-    yield gauge("knotwalk_edge_core_heard_seconds", "since a fresh core last answered", now - view_poller.heard_at)
+    yield gauge("knotwalk_edge_core_heard_seconds", "since a fresh core last answered", now - view_poller.last_heard_at)
     yield Figure(
         "knotwalk_edge_configurations_not_taken",
         Kind.COUNTER,
         "configurations of a core that can't be read here",
-        {(): view_poller.not_taken},
+        {(): view_poller.rejected_configurations},
     )
     yield gauge(
         "knotwalk_edge_keys_judged",
         "1 while requests that need a key can be taken",
-        client_server.intake.judges_keys(now),
+        client_server.intake.can_check_keys(now),
     )
-    yield gauge("knotwalk_edge_requests_open", "requests read and not answered", client_server.open)
+    yield gauge("knotwalk_edge_requests_open", "requests read and not answered", client_server.open_requests)
     yield gauge("knotwalk_edge_requests_waiting", "requests that wait for a node", len(forwarder.waiting))
     yield gauge("knotwalk_edge_clients", "connections of clients", len(client_server.clients))
     yield nodes_metric(view)
     yield requests_metric(counts)
     yield events_metric(counts)
-    room: dict[tuple[str, ...], float] = {
+    available: dict[tuple[str, ...], float] = {
         (name,): budget.available(now, client_server.edges) for name, budget in forwarder.budgets.items()
     }
-    yield Figure("knotwalk_edge_retry_room", Kind.GAUGE, "further tries that may be made now", room, ("service",))
+    yield Figure("knotwalk_edge_retry_room", Kind.GAUGE, "further tries that may be made now", available, ("service",))
     yield Figure(
         "knotwalk_edge_core_bytes",
         Kind.COUNTER,
@@ -85,18 +87,18 @@
         ("direction",),
     )
     yield from admission_metrics(client_server)
-    yield loop_delay(client_server.delay)
+    yield loop_delay(client_server.loop_delay)
 
 
 def admission_metrics(client_server: ClientServer) -> Iterator[Figure]:
-    """Figures of asks and operations; all 0 where nothing is asked for."""
+    """Metrics of admission requests and operations; all 0 where none are needed."""
     operations = client_server.operations
-    waited, running, untold = 0.0, 0, 0
+    ask_seconds, running, pending_ends = 0.0, 0, 0
     if operations is not None:
-        waited = operations.calls.waited
+        ask_seconds = operations.calls.ask_seconds
         running = len(operations.running)
-        untold = len(operations.calls.ends.waiting)
-    meaning = "what requests waited for asks to cores, in all"
-    yield Figure("knotwalk_edge_ask_seconds", Kind.COUNTER, meaning, {(): waited})
+        pending_ends = len(operations.calls.ends.waiting)
+    description = "what requests waited for asks to cores, in all"
+    yield Figure("knotwalk_edge_ask_seconds", Kind.COUNTER, description, {(): ask_seconds})
     yield gauge("knotwalk_edge_operations_running", "operations that run by this edge", running)
-    yield gauge("knotwalk_edge_ends_untold", "ends of operations that no core took yet", untold)
+    yield gauge("knotwalk_edge_ends_untold", "ends of operations that no core took yet", pending_ends)
--- a/knotwalk/edge/exchange.py
+++ b/knotwalk/edge/exchange.py
@@ -1,4 +1,4 @@
-"""One client's request and its one answer: its stages, its body on the way to a node, and its ends from outside."""
+"""One client request and its one answer: stages, the body on its way to a node, and abort by deadline or client."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Exchange:
-    """A client's request and its answer. `settled` is called once, when the answer is known."""
+    """A client's request and its answer. `on_answered` is called once, when the answer is known."""
 
     __slots__ = (
         "stage",
@@ -58,9 +58,9 @@
         self.stage = Stage.READING
         self.started_at, self.deadline = started_at, started_at
         self.method, self.attempt, self.head = method, b"", b""
-        self.length: int | None = None  # of the body, as told
+        self.length: int | None = None  # Content-Length of the body
         self.chunked = False
-        self.body = bytearray()  # what was read and not yet passed on
+        self.body = bytearray()  # what was read and not yet forwarded
         self.body_complete = self.body_streaming = False
         self.size = 0
         self.route: Route | None = None
@@ -68,34 +68,38 @@
         self.connection: Connection | None = None
         self.waiter: asyncio.Future | None = None
         self.expired = self.client_gone = False
-        self.offer_until = math.inf  # on the steady clock: it is offered to no node later
+        self.offer_until = math.inf  # monotonic clock; it is not offered to a node after that
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task | None = None
         self.status, self.retry_after, self.text = 0, 0.0, ""
-        self.lateness_cause = ""  # what its last try met with, one of those of `NodeTry._way`
-        self.tenant = ""  # whose key it bears
-        self.operation = ""  # its `Operation-Key`, on a route whose requests bear one
-        self.priority = 0  # its rank, 0 is highest: its tenant's, or its route's
+        self.lateness_cause = ""  # should it be late; of its last try, from `NodeTry._lateness_cause`
+        self.tenant = ""  # the tenant of its key
+        self.operation = ""  # its `Operation-Key`, on a keyed route
+        self.priority = 0  # of its tenant or its route; 0 is highest
         self.answer: Answer | None = None
         self.on_answered = on_answered
         self.keep_alive, self.is_http_11, self.expects_continue = True, True, False
-        self.on_backpressure: Callable[[bool], None] | None = None  # told whether the body can not be passed on for now
+        self.on_backpressure: Callable[[bool], None] | None = None  # called with whether the body must pause
 
     def transition_to(self, stage: Stage) -> None:
-        """The one place where the state changes."""
+        """Change the stage; PeerError if the transition is not allowed."""
         if stage not in STAGE_TRANSITIONS[self.stage]:
-            raise PeerError("request", self.attempt.decode("latin-1"), f"from {self.stage.value} to {stage.value}")
+            raise PeerError(
+                "request",
+                self.attempt.decode("latin-1"),
+                f"invalid transition from {self.stage.value} to {stage.value}",
+            )
         self.stage = stage
 
     def respond(self, status: int, text: str = "", retry_after: float = 0.0) -> None:
-        """The edge's own answer; the first one that is known stands."""
+        """Answer by the edge itself, unless the request is answered already."""
         if self.stage in (Stage.ANSWERED, Stage.WRITING, Stage.DONE):
             return
         self.status, self.text, self.retry_after = status, text, retry_after
         self._set_answered()
 
     def respond_with(self, answer: Answer) -> None:
-        """The node's answer."""
+        """Answer with the answer of a node."""
         if self.stage is not Stage.RUNNING:
             if answer.stream is not None:
                 answer.stream.abort("answered already")
@@ -109,33 +113,33 @@
         self.transition_to(Stage.ANSWERED)
         self.on_answered(self)
 
-    # -- the body, towards the node
+    # -- the body, on its way to the node
 
     def add_body(self, data: bytes) -> None:
-        """A piece of the body was read."""
+        """Buffer or stream a part of the body that was read."""
         if self.body_streaming and self.connection is not None:
-            self.connection.more(self._framed(data))
+            self.connection.send_more(self._framed(data))
         elif self.stage in (Stage.READING, Stage.READY, Stage.RUNNING):
             self.body += data
 
     def end_body(self) -> None:
-        """The body was read to its end."""
+        """The body was read completely."""
         self.body_complete = True
         if self.body_streaming and self.connection is not None:
             if self.chunked:
-                self.connection.more(b"0\r\n\r\n")
-            self.connection.finish()
+                self.connection.send_more(b"0\r\n\r\n")
+            self.connection.finish_body()
 
     def _framed(self, data: bytes) -> bytes:
         return b"%x\r\n%b\r\n" % (len(data), data) if self.chunked and data else bytes(data)
 
     def writable(self, on: bool) -> None:
-        """The connection to the node can (not) take more of the body."""
+        """Resume or pause reading the body, as the connection to the node can take more or not."""
         if self.on_backpressure is not None:
             self.on_backpressure(not on)
 
     def send_on(self, connection: Connection, deadline_ms: int, node: str) -> asyncio.Future[Answer]:
-        """Send the request on a connection, as much of the body as is there."""
+        """Send the request on a connection, with as much of the body as was read."""
         self.connection = connection
         if self.body_complete:
             framing = b"Content-Length: %d\r\n" % len(self.body) if self.length is not None or self.chunked else b""
@@ -156,22 +160,23 @@
             self.writable(True)
         return future
 
-    # -- ends from outside
+    # -- abort
 
     def expire(self) -> None:
-        """The deadline has come."""
+        """Abort at the deadline."""
         self.expired = True
         self._abort("the deadline passed")
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it may run again, so that its work may be broken off."""
+        """Whether it may run again, so that it may be aborted."""
         return self.route is not None and self.route.idempotent
 
     def abandon(self) -> None:
-        """The client is gone: what may be repeated, or was not sent whole, is broken off.
+        """The client is gone: abort an idempotent or incomplete request.
 
-        What must not be repeated goes on at the node that has it; while it waits for one, it is offered to none."""
+        A complete non-idempotent request goes on at the node that has it; if it still waits for one, it is not offered
+        to any."""
         self.client_gone = True
         if self.route is None or self.route.idempotent or not self.body_complete:
             self._abort("the client is gone")
@@ -179,7 +184,7 @@
             self._stop_waiting()
 
     def on_half_close(self, now: float) -> None:
-        """The client has ended its side, and may have left: go on, but be offered to no node much later."""
+        """The client has half-closed and may be gone: go on, but don't offer the request to a node much later."""
         self.offer_until = now + OFFER_AFTER_HALF_CLOSE_S
 
     def _abort(self, why: str) -> None:
--- a/knotwalk/edge/intake.py
+++ b/knotwalk/edge/intake.py
@@ -1,4 +1,4 @@
-"""The beginning of a request at an edge: its route, whose it is, its operation and its deadline; or what refuses it."""
+"""The first step of a request at an edge: its route, tenant, operation and deadline, or a refusal."""
 
 from __future__ import annotations
 
@@ -12,33 +12,34 @@
 from knotwalk.edge.request_head import RequestHead
 from knotwalk.edge.tenant_check import UNAUTHORIZED, WITHHELD_HEADERS, check_key
 
-# Seconds after which a client that was refused since keys can't be judged comes back, by then to another edge.
-KEYS_WAIT = 0.1
-CONTRACT = "tenants"  # the part of the rules that keys of tenants belong to
+# Retry-After of a client that is refused because keys can't be checked; it retries at another edge.
+KEYS_RETRY_S = 0.1
+TENANTS_CONTRACT = "tenants"  # the contract that tenant keys belong to
 NO_HEADERS: frozenset[bytes] = frozenset()
 
 
 class Intake:
-    """Takes in requests whose head was read, by the view, clock and lease that the forwarder has."""
+    """Prepares requests whose head was read, with the cluster view, clock and lease of the forwarder."""
 
     def __init__(self, forwarder: Forwarder):
         self.forwarder = forwarder
         self.view, self.clock, self.freshness = forwarder.view, forwarder.clock, forwarder.freshness
-        self.by_contract = CONTRACT in forwarder.settings.contracts
+        self.tenants_in_force = TENANTS_CONTRACT in forwarder.settings.contracts
 
     @property
-    def withheld(self) -> frozenset[bytes]:
-        """Headers of clients, in lower case, that go to no node.
+    def withheld_headers(self) -> frozenset[bytes]:
+        """Client headers, in lower case, that are not forwarded.
 
-        Where keys of tenants are in force, also while the configuration here holds no tenants: a newer one may."""
-        return WITHHELD_HEADERS if self.by_contract or self.view.tenant_keys.tenants else NO_HEADERS
+        Where the tenants contract is in force, this holds even if the configuration here has no tenants: a newer one
+        may have some."""
+        return WITHHELD_HEADERS if self.tenants_in_force or self.view.tenant_keys.tenants else NO_HEADERS
 
-    def judges_keys(self, now: float) -> bool:
-        """Whether requests that need a key can be taken; true where none needs one."""
+    def can_check_keys(self, now: float) -> bool:
+        """Whether requests that need a key can be accepted; true if none needs one."""
         return not self.view.tenant_keys.tenants or self.freshness.can_accept(now)
 
     def begin(self, exchange: Exchange, head: RequestHead) -> None:
-        """Find a request's route, whose it is, and its deadline; what can't be served is told so at once."""
+        """Set a request's route, tenant and deadline; a request that can't be served is answered at once."""
         index = self.view.index
         if index is None:
             exchange.respond(503, "not ready", 0.2)
@@ -49,26 +50,26 @@
             self.forwarder.counts["no route"] += 1
             exchange.respond(404, "no route")
             return
-        if not self._admit(exchange, route, head):
+        if not self._check_tenant(exchange, route, head):
             return
-        mistake = self.forwarder.routed(exchange, route, head.shard_key)
-        left = route.timeout
+        error = self.forwarder.set_route(exchange, route, head.shard_key)
+        time_left = route.timeout
         if head.deadline is not None:
             try:
-                left = min(left, float(head.deadline) / 1000)
+                time_left = min(time_left, float(head.deadline) / 1000)
             except ValueError:
-                mistake = mistake or "Deadline-Ms must be a number"
-            if not left >= 0:
-                mistake = mistake or "Deadline-Ms must be a number"
-        if mistake:
+                error = error or "Deadline-Ms must be a number"
+            if not time_left >= 0:
+                error = error or "Deadline-Ms must be a number"
+        if error:
             self.forwarder.counts["mistake"] += 1
-            exchange.respond(400, mistake)
+            exchange.respond(400, error)
             return
-        exchange.deadline = exchange.started_at + left
-        exchange.timer = asyncio.get_running_loop().call_later(left, exchange.expire)
+        exchange.deadline = exchange.started_at + time_left
+        exchange.timer = asyncio.get_running_loop().call_later(time_left, exchange.expire)
 
-    def _admit(self, exchange: Exchange, route: Route, head: RequestHead) -> bool:
-        """Note whose a request is and its operation; False if it was refused for its key, or for the lack of one."""
+    def _check_tenant(self, exchange: Exchange, route: Route, head: RequestHead) -> bool:
+        """Set a request's tenant and operation; False if it was refused because of its key or the lack of one."""
         check = check_key(route, self.view.tenant_keys, head.authorization or b"", self.freshness, self.clock())
         if check.status == UNAUTHORIZED:
             self.forwarder.counts["no key, or one that nobody holds"] += 1
@@ -76,8 +77,8 @@
             return False
         if check.status:
             self.forwarder.counts[KEYS_UNSURE] += 1
-            exchange.keep_alive = False  # its client goes on by another connection, to an edge that knows
-            exchange.respond(check.status, KEYS_UNSURE, jittered_retry_after(KEYS_WAIT, self.forwarder.rng.random()))
+            exchange.keep_alive = False  # its client reconnects, to an edge that knows the keys
+            exchange.respond(check.status, KEYS_UNSURE, jittered_retry_after(KEYS_RETRY_S, self.forwarder.rng.random()))
             return False
         exchange.priority = route.priority
         if check.tenant is not None:
--- a/knotwalk/edge/node_answer.py
+++ b/knotwalk/edge/node_answer.py
@@ -1,4 +1,4 @@
-"""A node's answer as this edge holds it, and who takes it or gives a request's body piece by piece."""
+"""A node's answer, and the interfaces by which answers and request bodies are streamed."""
 
 from __future__ import annotations
 
@@ -22,62 +22,62 @@
 
 
 class Sink(Protocol):
-    """Who takes an answer that is passed on as it comes."""
+    """Receives a streamed answer."""
 
     def data(self, data: bytes) -> None:
-        """A piece of the body."""
+        """Receive a part of the body."""
 
     def ended(self) -> None:
-        """The answer is whole."""
+        """The answer is complete."""
 
     def cut(self, why: str) -> None:
-        """The answer will not become whole."""
+        """The answer will not be completed."""
 
 
 class Source(Protocol):
-    """Who passes a request's body on as it comes."""
+    """Provides a streamed request body."""
 
     def writable(self, on: bool) -> None:
-        """Whether more of the body can be taken for now."""
+        """Resume (`on`) or pause sending the body."""
 
 
 class Stream(Protocol):
-    """Where the rest of an answer comes from that is passed on as it comes: a connection to a node."""
+    """Provides the rest of a streamed answer: a connection to a node."""
 
     def take(self, sink: Sink) -> None:
-        """Give the rest to `sink`, beginning with what has come."""
+        """Deliver the rest to `sink`, starting with what is buffered."""
 
     def flow(self, on: bool) -> None:
-        """Whether more is wanted for now."""
+        """Resume (`on`) or pause the delivery."""
 
     def abort(self, why: str = "dropped") -> None:
-        """Break off: nothing that comes later counts."""
+        """Abort: ignore everything that arrives later."""
 
 
 class Answer:
-    """A node's answer, whole or beginning. `end` tells what it proves; a lost one has `why` and no status."""
+    """A node's answer, complete or its beginning. `outcome` is what it proves; a lost one has `why` and no status."""
 
     __slots__ = ("outcome", "why", "status", "headers", "body", "length", "is_complete", "stream", "node", "load")
 
     def __init__(self, outcome: TryOutcome, why: str = "") -> None:
         self.outcome, self.why = outcome, why
         self.status = 0
-        self.headers: list[tuple[bytes, bytes]] = []  # end-to-end ones, as they came
+        self.headers: list[tuple[bytes, bytes]] = []  # end-to-end headers, as received
         self.body = b""
-        self.length: int | None = None  # bytes of the body as told, None if in chunks
+        self.length: int | None = None  # Content-Length of the body, None if chunked
         self.is_complete = True
-        self.stream: Stream | None = None  # where the rest comes from, if not whole
+        self.stream: Stream | None = None  # source of the rest, if not complete
         self.node: Node | None = None
         self.load: tuple[int, int, int] | None = None  # running, waiting, slots
 
     @property
     def refused_with_capacity(self) -> bool:
-        """Whether the node turned a request away as a full one does, while it tells free slots."""
+        """Whether the node refused a request as if it were full while it reported free slots."""
         return self.status in (429, 503) and self.load is not None and self.load[0] < self.load[2]
 
 
 def read_load(value: bytes) -> tuple[int, int, int] | None:
-    """Read a node's load as it tells it: running, waiting, slots; None if it makes no sense."""
+    """Parse a `Server-Load` header: running, waiting, slots; None if it is invalid."""
     try:
         running, waiting, slots = (int(part) for part in value.split(b","))
     except ValueError:
--- a/knotwalk/edge/node_connection_state.py
+++ b/knotwalk/edge/node_connection_state.py
@@ -1,4 +1,4 @@
-"""The state of one connection to a node: the request it carries, its phase, and how it is broken off."""
+"""The state of one connection to a node: the request it carries, its phase, and how it is aborted."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 from knotwalk.edge.node_answer import Answer, Sink, Source
 from knotwalk.runtime.errors import PeerError
 
-# Idle seconds of a connection whose node told no time: nodes that close within less than a second can't tell it.
-IDLE_GUESS = 0.6
+# Idle timeout of a connection whose node sent none: Keep-Alive has whole seconds, so that a node that closes in less
+# than a second can't state it.
+DEFAULT_IDLE_S = 0.6
 
 
 class Phase(Enum):
@@ -23,12 +24,12 @@
 
     OPENING = "opening"
     IDLE = "idle"
-    WAITING = "waiting"  # a request was sent, no head of its answer yet
-    ANSWERING = "answering"  # its answer's head was read
+    WAITING = "waiting"  # a request was sent, the head of its answer was not read yet
+    ANSWERING = "answering"  # the head of its answer was read
     CLOSED = "closed"
 
 
-ALLOWED = {
+PHASE_TRANSITIONS = {
     Phase.OPENING: {Phase.IDLE, Phase.CLOSED},
     Phase.IDLE: {Phase.WAITING, Phase.CLOSED},
     Phase.WAITING: {Phase.ANSWERING, Phase.CLOSED},
@@ -38,23 +39,23 @@
 
 
 class NodeConnectionState(asyncio.Protocol):
-    """What is known of one connection to a node; reading answers and sending requests are built on it."""
+    """The state of one connection to a node; base of the answer reader and the connection."""
 
-    def __init__(self, node: Node, clock: Callable[[], float], changed: Callable[[NodeConnectionState], None]):
-        self.node, self.clock, self.changed = node, clock, changed
+    def __init__(self, node: Node, clock: Callable[[], float], on_change: Callable[[NodeConnectionState], None]):
+        self.node, self.clock, self.on_change = node, clock, on_change
         self.phase = Phase.OPENING
         self.transport: asyncio.Transport | None = None
-        self.used = 0  # requests sent on it
+        self.requests_sent = 0  # requests sent on it
         self.idle_since = 0.0
-        self.idle_time = IDLE_GUESS  # seconds that it is kept
-        self.previous = b""  # id of the request before
-        self.nameless = False  # an answer without id came on it: an extra one could not be told apart
+        self.idle_time = DEFAULT_IDLE_S  # seconds for which it is kept open when idle
+        self.previous_attempt = b""  # id of the previous request
+        self.answered_without_id = False  # an answer without id arrived on it: a duplicate could not be recognized
         self.parser = httptools.HttpResponseParser(self)
         self._poll = select.poll()
-        self._clear()
+        self._reset()
 
-    def _clear(self) -> None:
-        """Forget the request that was carried."""
+    def _reset(self) -> None:
+        """Clear the state of the request that was carried."""
         self.attempt, self.method = b"", b""
         self.waiter: asyncio.Future[Answer] | None = None
         self.sink: Sink | None = None
@@ -66,34 +67,36 @@
         self.answer: Answer | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._head_size = self._fed = 0
-        self._gathered: list[bytes] = []
+        self._buffered: list[bytes] = []
         self._size = 0
         self._skipping = self._interim = self._done = False
-        self._closing = self._named = False
+        self._closing = self._has_id = False
 
     def _to(self, phase: Phase) -> None:
-        """The one place where the state changes."""
-        if phase not in ALLOWED[self.phase]:
-            raise PeerError("connection", f"{self.node.id}", f"from {self.phase.value} to {phase.value}")
+        """Change the phase; PeerError if the transition is not allowed."""
+        if phase not in PHASE_TRANSITIONS[self.phase]:
+            raise PeerError(
+                "connection", f"{self.node.id}", f"invalid transition from {self.phase.value} to {phase.value}"
+            )
         self.phase = phase
 
     def abort(self, why: str = "dropped") -> None:
-        """Break off: nothing that comes later counts."""
+        """Abort: ignore everything that arrives later."""
         if self.phase is Phase.CLOSED:
             return
         self._lose(why)
 
     def _lose(self, why: str) -> None:
-        """The connection ends here; whoever waits is told why."""
+        """Close the connection; the pending request is lost for the reason `why`."""
         self._to(Phase.CLOSED)
         if self.transport is not None:
             self.transport.abort()
         waiter, sink, source = self.waiter, self.sink, self.source
-        self._clear()
+        self._reset()
         if waiter is not None and not waiter.done():
             waiter.set_result(Answer(TryOutcome.LOST, why))
         elif sink is not None:
             sink.cut(why)
         if source is not None:
             source.writable(True)
-        self.changed(self)
+        self.on_change(self)
--- a/knotwalk/edge/operations.py
+++ b/knotwalk/edge/operations.py
@@ -1,6 +1,6 @@
-"""Requests that a limit or an `Operation-Key` binds, at an edge: let run, refused, or answered as the first try was.
+"""Requests that need admission by a core, for a limit or an `Operation-Key`: run, refused, or answered as before.
 
-What follows from a core's answer is decided by `operation_steps`; calls to cores are `admission_calls`'.
+`operation_steps` decides what follows from a core's response; `admission_calls` makes the calls to cores.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 from knotwalk.admission.admission import jittered_retry_after
 from knotwalk.configuration.objects import Configuration
-from knotwalk.edge.admission_calls import AdmissionCalls, Asked
+from knotwalk.edge.admission_calls import AdmissionCalls, AskResult
 from knotwalk.edge.exchange import Exchange
-from knotwalk.edge.forwarder import HANDS_WAIT, Forwarder
+from knotwalk.edge.forwarder import HANDOVER_RETRY_S, Forwarder
 from knotwalk.edge.forwarding_state import CLIENT_ROUND_TRIP_S, max_wait_until
 from knotwalk.edge.operation_steps import (
     CONFLICT_BEFORE_DEADLINE_S,
@@ -33,25 +33,26 @@
 from knotwalk.runtime.settings import Settings
 from knotwalk.shared_state.messages import Admission, AdmissionAsk, AdmissionTold, Ending, operation_id
 
-CONTRACT = "keys"  # the part of the rules by which requests of keyed routes are operations
-# Seconds that an ask for an operation in work may take.
+KEYS_CONTRACT = "keys"  # the contract by which requests on keyed routes are operations
+# Timeout of a repeated ask for an operation in work.
 REPEATED_ASK_TIMEOUT_S = 0.3
-# Seconds after an ask for a claim within which the request is sent: claims hold longer than their window by more.
+# Time after an ask for a claim within which the request must be sent: claims are held beyond their window by more than
+# that.
 SEND_WITHIN_S = 8.0
 
 
 class Refusals(Protocol):
-    """Tenants that are over their limit, as this edge was told."""
+    """Tenants that are over their limit, according to the cores' responses."""
 
     def refused_for(self, now: float, tenant: str) -> float | None:
-        """Seconds after which a client of a tenant that is refused without an ask may come back; else 0 or None."""
+        """Seconds after which the client may retry if the tenant is refused without asking; otherwise 0 or None."""
 
     def record(self, now: float, tenant: str, retry_after: float) -> None:
-        """A core told that the tenant is over its limit."""
+        """Record that the tenant is over its limit."""
 
 
-class Running:
-    """The run of an operation at this edge; repeats that come here wait for its end."""
+class RunningOperation:
+    """The run of an operation at this edge; repeats that arrive here wait for its end."""
 
     def __init__(self, attempt: str, cores: tuple[str, ...]):
         self.attempt, self.cores = attempt, cores
@@ -59,7 +60,7 @@
 
 
 class Operations:
-    """Carries bound requests. `needs_ask` tells whether a limit binds a tenant's requests."""
+    """Handles requests that need admission. `needs_ask` returns whether a limit applies to a tenant's requests."""
 
     def __init__(
         self,
@@ -70,15 +71,15 @@
         refusals: Refusals,
     ):
         self.forwarder, self.calls, self.needs_ask, self.refusals = forwarder, calls, needs_ask, refusals
-        self.keyed = CONTRACT in settings.contracts
-        self.running: dict[str, Running] = {}
+        self.keyed = KEYS_CONTRACT in settings.contracts
+        self.running: dict[str, RunningOperation] = {}
         self._number = count(1)
 
-    def ask_of(self, exchange: Exchange) -> AdmissionAsk | None:
-        """What must be asked before the request may run, None if nothing binds it.
+    def ask_for(self, exchange: Exchange) -> AdmissionAsk | None:
+        """The ask that must be granted before the request may run; None if it needs no admission.
 
-        The attempt is a number of this life: a client's id may come twice, and each request that bears it is a try of
-        its own."""
+        The attempt is a number of this process: a client's id may arrive twice, and each request with it is an attempt
+        of its own."""
         configuration = self.forwarder.view.configuration
         limited = configuration is not None and bool(exchange.tenant) and self.needs_ask(configuration, exchange.tenant)
         keyed = self.keyed and bool(exchange.operation) and exchange.route is not None and exchange.route.keyed
@@ -88,11 +89,11 @@
         operation = operation_id(exchange.tenant, exchange.operation) if keyed else ""
         return AdmissionAsk(exchange.tenant if limited else "", operation, attempt)
 
-    async def carry(self, exchange: Exchange) -> None:
-        """Carry a request to its answer, asking for leave first where something binds it."""
-        ask = self.ask_of(exchange)
+    async def forward(self, exchange: Exchange) -> None:
+        """Forward a request, after its admission if it needs one."""
+        ask = self.ask_for(exchange)
         if ask is None:
-            await self.forwarder.carry(exchange)
+            await self.forwarder.forward(exchange)
             return
         now = self.forwarder.clock()
         if ask.tenant and (wait := self.refusals.refused_for(now, ask.tenant)):
@@ -101,25 +102,25 @@
         await self._admit(exchange, ask)
 
     async def _admit(self, exchange: Exchange, ask: AdmissionAsk) -> None:
-        """Ask until something follows."""
-        cores: tuple[str, ...] = ()  # that may have granted the ask
+        """Ask until there is a decision, then run or answer the request."""
+        cores: tuple[str, ...] = ()  # cores that may have granted the ask
         in_work_at: float | None = None
         deadlines = _deadlines(exchange)
-        since = self.forwarder.clock()  # of the asks that may have been granted, the first
+        first_asked_at = self.forwarder.clock()  # when the first ask was sent that may have been granted
         while True:
-            asked = await self._ask(ask, in_work_at is not None, deadlines)
-            cores = tuple(dict.fromkeys((*cores, *asked.cores)))
+            result = await self._ask(ask, in_work_at is not None, deadlines)
+            cores = tuple(dict.fromkeys((*cores, *result.cores)))
             now = self.forwarder.clock()
-            if asked.told.admission is Admission.IN_WORK:
+            if result.response.admission is Admission.IN_WORK:
                 in_work_at = now
-            follows = admission_step(asked.told, in_work_at, now, deadlines)
-            if exchange.client_gone and follows in (AdmissionStep.WAIT, AdmissionStep.FORWARD):
-                follows = AdmissionStep.REFUSE
-            if follows is AdmissionStep.FORWARD and ask.operation in self.running:
-                follows = (
+            next_step = admission_step(result.response, in_work_at, now, deadlines)
+            if exchange.client_gone and next_step in (AdmissionStep.WAIT, AdmissionStep.FORWARD):
+                next_step = AdmissionStep.REFUSE
+            if next_step is AdmissionStep.FORWARD and ask.operation in self.running:
+                next_step = (
                     AdmissionStep.WAIT
-                )  # two tries asked side by side, and the other one runs here: it has the claim
-            if follows is not AdmissionStep.WAIT:
+                )  # two requests asked concurrently, and the other one runs here: it has the claim
+            if next_step is not AdmissionStep.WAIT:
                 break
             pause = (
                 self.forwarder.rng.uniform(MIN_REPEAT_PAUSE_S, MAX_REPEAT_PAUSE_S)
@@ -128,19 +129,19 @@
             )
             await asyncio.sleep(max(0.0, min(pause, exchange.deadline - now)))
             if not cores:
-                since = self.forwarder.clock()
-        if follows is AdmissionStep.FORWARD and not ask.operation:
-            await self.forwarder.carry(exchange)
-        elif follows is AdmissionStep.FORWARD:
-            exchange.offer_until = min(exchange.offer_until, since + SEND_WITHIN_S)
+                first_asked_at = self.forwarder.clock()
+        if next_step is AdmissionStep.FORWARD and not ask.operation:
+            await self.forwarder.forward(exchange)
+        elif next_step is AdmissionStep.FORWARD:
+            exchange.offer_until = min(exchange.offer_until, first_asked_at + SEND_WITHIN_S)
             await self._run(exchange, ask, cores)
         else:
             if ask.operation and cores:
                 self.calls.end(cores, ask.operation, ask.attempt, Ending.NEVER_RAN)
-            self._settle(exchange, ask, follows, asked.told)
+            self._answer_without_running(exchange, ask, next_step, result.response)
 
-    async def _ask(self, ask: AdmissionAsk, in_work: bool, deadlines: AdmissionDeadlines) -> Asked:
-        """One ask; a repeat of what runs at this edge waits for its end instead."""
+    async def _ask(self, ask: AdmissionAsk, in_work: bool, deadlines: AdmissionDeadlines) -> AskResult:
+        """Ask once; a repeat of an operation that runs at this edge waits for its end instead."""
         running = self.running.get(ask.operation) if ask.operation else None
         now = self.forwarder.clock()
         if running is not None:
@@ -148,54 +149,56 @@
                 async with asyncio.timeout(max(0.0, deadlines.until - now)):
                     ended = await asyncio.shield(running.ended)
             except TimeoutError:
-                return Asked(AdmissionTold(Admission.IN_WORK))
-            if (told := ended.as_response()) is not None:
-                return Asked(told)
+                return AskResult(AdmissionTold(Admission.IN_WORK))
+            if (response := ended.as_response()) is not None:
+                return AskResult(response)
             now = self.forwarder.clock()
         until = min(now + REPEATED_ASK_TIMEOUT_S, deadlines.until) if in_work else deadlines.late
         return await self.calls.ask(ask, until)
 
     async def _run(self, exchange: Exchange, ask: AdmissionAsk, cores: tuple[str, ...]) -> None:
-        """Carry an operation that is granted, and tell how it ended: as unknown, should the carrying fail."""
-        running = self.running[ask.operation] = Running(ask.attempt, cores)
+        """Forward a granted operation and report how it ended; as unknown if forwarding fails."""
+        running = self.running[ask.operation] = RunningOperation(ask.attempt, cores)
         ended = RunEnd(Ending.UNKNOWN)
         try:
             service = self.forwarder.service(exchange.service)
-            ended = run_end(*await self.forwarder.carry(exchange, service.deduplicates))
+            ended = run_end(*await self.forwarder.forward(exchange, service.deduplicates))
         finally:
             del self.running[ask.operation]
             self.calls.end(cores, ask.operation, ask.attempt, ended.ending, ended.answer)
             running.ended.set_result(ended)
 
-    def _settle(self, exchange: Exchange, ask: AdmissionAsk, follows: AdmissionStep, told: AdmissionTold) -> None:
-        """Answer a request that does not run."""
+    def _answer_without_running(
+        self, exchange: Exchange, ask: AdmissionAsk, next_step: AdmissionStep, response: AdmissionTold
+    ) -> None:
+        """Answer a request that is not forwarded."""
         forwarder = self.forwarder
-        if follows is AdmissionStep.LIMITED:
-            self.refusals.record(forwarder.clock(), ask.tenant, told.retry_after)
-            self._over_limit(exchange, told.retry_after)
-        elif follows is AdmissionStep.ANSWER:
-            assert told.answer is not None
-            forwarder.note(exchange, "answered as the first try")
-            exchange.respond_with(repeated(told.answer, exchange.attempt))
-        elif follows is AdmissionStep.CONFLICT:
-            forwarder.note(exchange, "refused: its operation is in work")
+        if next_step is AdmissionStep.LIMITED:
+            self.refusals.record(forwarder.clock(), ask.tenant, response.retry_after)
+            self._over_limit(exchange, response.retry_after)
+        elif next_step is AdmissionStep.ANSWER:
+            assert response.answer is not None
+            forwarder.count_request(exchange, "answered as the first try")
+            exchange.respond_with(repeated(response.answer, exchange.attempt))
+        elif next_step is AdmissionStep.CONFLICT:
+            forwarder.count_request(exchange, "refused: its operation is in work")
             exchange.respond(409, "the operation is in work")
-        elif follows is AdmissionStep.FAIL:
-            forwarder.note(exchange, "unknown: the operation's answer is lost")
+        elif next_step is AdmissionStep.FAIL:
+            forwarder.count_request(exchange, "unknown: the operation's answer is lost")
             exchange.respond(502, "the operation may have run, its answer is lost")
         else:
-            forwarder.note(exchange, "refused: not admitted in time")
-            wait = jittered_retry_after(max(told.retry_after, HANDS_WAIT), forwarder.rng.random())
+            forwarder.count_request(exchange, "refused: not admitted in time")
+            wait = jittered_retry_after(max(response.retry_after, HANDOVER_RETRY_S), forwarder.rng.random())
             exchange.respond(503, "not admitted in time", wait)
 
     def _over_limit(self, exchange: Exchange, wait: float) -> None:
-        self.forwarder.note(exchange, "refused: over its tenant's limit")
+        self.forwarder.count_request(exchange, "refused: over its tenant's limit")
         if exchange.stage is Stage.RUNNING:
             exchange.respond(429, "over the limit", wait)
 
 
 def _deadlines(exchange: Exchange) -> AdmissionDeadlines:
-    """How long a request may wait to be admitted, as its client sees it."""
+    """The times by which a request must be admitted, as seen by its client."""
     assert exchange.route is not None
     until = exchange.deadline - CONFLICT_BEFORE_DEADLINE_S
     late = exchange.started_at + max(0.0, exchange.route.target_latency * LATE_ADMISSION_PART - CLIENT_ROUND_TRIP_S)
--- a/knotwalk/edge/request_head.py
+++ b/knotwalk/edge/request_head.py
@@ -91,7 +91,11 @@
 
 
 def read_head(
-    method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], is_http_11: bool, withheld: frozenset[bytes]
+    method: bytes,
+    target: bytes,
+    headers: Iterable[tuple[bytes, bytes]],
+    is_http_11: bool,
+    withheld_headers: frozenset[bytes],
 ) -> RequestHead:
     """The head of a request; RequestRefusedError if it can't be served. `withheld` headers (lower case) are dropped."""
     if not target.startswith(b"/"):
@@ -99,7 +103,7 @@
     head = RequestHead(target, is_http_11)
     head.forwarded_lines += (method, b" ", target, b" HTTP/1.1\r\n")
     named_headers = [(name, name.lower(), value) for name, value in headers]
-    dropped = REPLACED_HEADERS | withheld
+    dropped = REPLACED_HEADERS | withheld_headers
     for _, lower_name, value in named_headers:
         if lower_name == b"connection":
             dropped = dropped | ({token.strip().lower() for token in value.split(b",")} - PROTECTED_HEADERS)
--- a/knotwalk/edge/view_poller.py
+++ b/knotwalk/edge/view_poller.py
@@ -1,4 +1,4 @@
-"""An edge's link to the core: one waiting call to one core that is fresh; news go into the cluster view."""
+"""Keeps an edge's cluster view up to date by long-polling one fresh core at a time."""
 
 from __future__ import annotations
 
@@ -13,21 +13,25 @@
 from knotwalk.runtime.errors import PeerError
 from knotwalk.runtime.logs import clock, log_info, log_warning
 
-POLL_WAIT_S = 1.0  # seconds a core holds a call without news: also the pace of reports
-FIRST_POLL_WAIT_S = (
-    0.25  # the same for the first call to a core, which may be dark: as long as a core waits to be fresh
-)
-POLL_TIMEOUT_S = 0.6  # beyond the wait; then the core is left for another
-RETRY_PAUSE_S = 0.03  # between tries at cores, growing to
+# Time for which a core holds a call when it has no updates; also the interval of load reports.
+POLL_WAIT_S = 1.0
+# The same for the first call to a core, which may be dead: as long as a core waits to become fresh.
+FIRST_POLL_WAIT_S = 0.25
+# Timeout of a call beyond its wait; after it another core is called.
+POLL_TIMEOUT_S = 0.6
+# Pause between calls to cores that fail, growing up to the maximum.
+RETRY_PAUSE_S = 0.03
 MAX_RETRY_PAUSE_S = 0.3
-MAX_RETRY_PAUSE_WITHOUT_VIEW_S = (
-    0.06  # the same while there is nothing to serve by: a port that refuses costs a millisecond to ask
-)
-AVOID_FAILED_CORE_S = 10.0  # seconds in which a core that failed is not chosen only because it is near
+# The maximum while there is no view to serve with: a call to a port that refuses costs only a millisecond.
+MAX_RETRY_PAUSE_WITHOUT_VIEW_S = 0.06
+# Time for which a failed core is not preferred for being in the same zone.
+AVOID_FAILED_CORE_S = 10.0
 
 
 class ViewPoller:
-    """Keeps `cluster view` and `freshness` up to date. `report` gives what to tell; `on_news` hears of topics."""
+    """Keeps `view` and `freshness` up to date.
+
+    `report` returns the load report to send; `on_update` gets the changed topics and the number of edges."""
 
     def __init__(
         self,
@@ -38,41 +42,41 @@
         seed: int,
         zone: str,
         report: Callable[[], dict],
-        on_news: Callable[[set[str], int], None],
+        on_update: Callable[[set[str], int], None],
         freshness: Freshness | None = None,
     ):
         self.edge, self.view, self.caller, self.seeds = edge, view, caller, seeds
-        self.report, self.on_news = report, on_news
+        self.report, self.on_update = report, on_update
         self.freshness = freshness or Freshness(math.inf, False)
-        self.life = ""  # of this program, as its asks for admission name it
+        self.incarnation = ""  # id of this process, the same as in its admission requests
         self.random = random.Random(seed)
         self.zone = zone
-        self.zones: dict[str, str] = {}  # of cores that have answered: bytes between zones are priced
+        self.zones: dict[str, str] = {}  # zones of cores that have answered: traffic between zones costs money
         self.core: str | None = None
         self.fresh_core: str | None = None  # the core that answered the last call
-        self.tried: list[str] = []
-        self.failed_at: dict[str, float] = {}  # cores that failed us, and when: not gone back to for nearness alone
-        self.heard_at = float("-inf")  # when a fresh core last answered
+        self.tried_in_round: list[str] = []
+        self.failed_at: dict[str, float] = {}  # when cores failed; these are not preferred for their zone
+        self.last_heard_at = float("-inf")  # when a fresh core last answered
         self.reported_at = float("-inf")
         self.edges = 0
-        self.not_taken = 0  # configurations that a core told and that could not be taken here
+        self.rejected_configurations = 0  # configurations received that could not be applied
 
     def next_core(self) -> str | None:
-        """Another core than those tried in this round, those that failed us lately last; a new round when all were."""
-        known = list(dict.fromkeys([*self.view.cores, *self.seeds]))
-        if not known:
+        """A core not yet tried in this round, preferably without a recent failure; starts a new round if needed."""
+        cores = list(dict.fromkeys([*self.view.cores, *self.seeds]))
+        if not cores:
             return None
-        failed_at = [at for at in known if at not in self.tried]
-        if not failed_at:
-            self.tried, failed_at = [], known
-        failed_at = [at for at in failed_at if at not in self.failed_at] or failed_at
-        near = [at for at in failed_at if self.zones.get(at) == self.zone]
-        core = self.random.choice(near or failed_at)
-        self.tried.append(core)
+        candidates = [address for address in cores if address not in self.tried_in_round]
+        if not candidates:
+            self.tried_in_round, candidates = [], cores
+        candidates = [address for address in candidates if address not in self.failed_at] or candidates
+        same_zone = [address for address in candidates if self.zones.get(address) == self.zone]
+        core = self.random.choice(same_zone or candidates)
+        self.tried_in_round.append(core)
         return core
 
     async def run(self) -> None:
-        """Keep calling: one core, and another where that one fails."""
+        """Poll one core continually, and another when it fails."""
         pause = RETRY_PAUSE_S
         while True:
             if self.core is None:
@@ -82,75 +86,79 @@
                 await asyncio.sleep(pause * self.random.uniform(0.5, 1.0))
                 pause = min(MAX_RETRY_PAUSE_WITHOUT_VIEW_S if self.view.bare else MAX_RETRY_PAUSE_S, 1.5 * pause)
             else:
-                pause, self.tried = RETRY_PAUSE_S, []
-                self.core = self.nearer(self.core)
+                pause, self.tried_in_round = RETRY_PAUSE_S, []
+                self.core = self.prefer_same_zone(self.core)
 
-    def nearer(self, core: str) -> str:
-        """A core of this zone instead of one that is not, or one whose zone is not known yet, while there is any."""
+    def prefer_same_zone(self, core: str) -> str:
+        """Replace a core of another zone by one of this zone or of an unknown zone, if there is any."""
         if self.zones.get(core) == self.zone:
             return core
-        known = [
-            at for at in self.view.cores if self.zones.get(at, self.zone) == self.zone and at not in self.failed_at
+        cores = [
+            address
+            for address in self.view.cores
+            if self.zones.get(address, self.zone) == self.zone and address not in self.failed_at
         ]
-        return self.random.choice(known) if known else core
+        return self.random.choice(cores) if cores else core
 
-    def begin(self, now: float, core: str, provisional: dict | None) -> None:
-        """Serve for now by what a core that only just started holds, if there is nothing yet to serve by."""
+    def apply_provisional(self, now: float, core: str, provisional: dict | None) -> None:
+        """Serve provisionally with the view of a core that has just started, if there is no view yet."""
         try:
             changed = self.view.provide(now, provisional) if provisional else set()
         except (KeyError, TypeError, ValueError) as error:
-            log_warning("news not understood", core=core, why=f"{type(error).__name__} {error}")
+            log_warning("cluster view update not understood", core=core, why=f"{type(error).__name__} {error}")
             return
         if changed:
-            log_info("provisional", core=core, version=self.view.configuration.version)
-            self.on_news(changed, 0)  # a core that just started has not heard of all edges
+            log_info("serving with a provisional cluster view", core=core, version=self.view.configuration.version)
+            self.on_update(changed, 0)  # a core that has just started does not know all edges
 
     async def poll(self, core: str) -> bool:
-        """One call; whether the core is fit to be asked again."""
+        """Make one call; whether the core can be polled again."""
         now = clock()
         wait = self.freshness.poll_wait(POLL_WAIT_S) if core == self.fresh_core else FIRST_POLL_WAIT_S
         self.fresh_core = None
-        asked = {"edge": self.edge, "life": self.life, "wait": wait, **self.view.ask()}
+        request = {"edge": self.edge, "life": self.incarnation, "wait": wait, **self.view.ask()}
         if now - self.reported_at >= 0.9 * POLL_WAIT_S:
             self.reported_at = now
-            asked["report"] = self.report()
+            request["report"] = self.report()
         try:
-            told = await self.caller.json(
-                "POST", f"http://{core}/cluster-view", asked, wait + POLL_TIMEOUT_S, "cluster view"
+            response = await self.caller.json(
+                "POST", f"http://{core}/cluster-view", request, wait + POLL_TIMEOUT_S, "cluster view"
             )
         except PeerError as error:
             self.failed_at[core] = now
-            if self.core is not None and self.heard_at > now - 5:
-                log_warning("core left", core=core, why=str(error))
+            if self.core is not None and self.last_heard_at > now - 5:
+                log_warning("core failed, calling another", core=core, why=str(error))
             return False
-        asked_at, now = now, clock()
-        self.zones[core] = told.get("zone", "")
-        self.failed_at = {at: when for at, when in self.failed_at.items() if now - when < AVOID_FAILED_CORE_S}
-        if not told["fresh"]:
+        sent_at, now = now, clock()
+        self.zones[core] = response.get("zone", "")
+        self.failed_at = {address: when for address, when in self.failed_at.items() if now - when < AVOID_FAILED_CORE_S}
+        if not response["fresh"]:
             self.failed_at[core] = now
-            self.begin(now, core, told.get("provisional"))
+            self.apply_provisional(now, core, response.get("provisional"))
             return False
         changed: set[str] = set()
-        if news := told.get("news"):
+        if update := response.get("news"):
             try:
-                changed = self.view.apply(now, news)
+                changed = self.view.apply(now, update)
             except (KeyError, TypeError, ValueError) as error:
-                log_warning("news not understood", core=core, why=f"{type(error).__name__} {error}")
+                log_warning("cluster view update not understood", core=core, why=f"{type(error).__name__} {error}")
                 return False
-        lapsed = not self.freshness.can_accept(clock())
+        was_lapsed = not self.freshness.can_accept(clock())
         if not self.view.fault:
-            self.freshness.renew(asked_at, told.get("proven"))
-        renewed = lapsed and self.freshness.can_accept(clock())  # an edge that only this kept from serving begins
-        first = self.heard_at == float("-inf")
-        self.heard_at, self.edges = now, told["edges"]
-        if changed or first or renewed:
-            self.on_news(changed, self.edges)
+            self.freshness.renew(sent_at, response.get("proven"))
+        renewed = was_lapsed and self.freshness.can_accept(
+            clock()
+        )  # an edge that only lacked the lease begins to serve
+        is_first = self.last_heard_at == float("-inf")
+        self.last_heard_at, self.edges = now, response["edges"]
+        if changed or is_first or renewed:
+            self.on_update(changed, self.edges)
         if self.view.fault:
-            self.not_taken += 1
-            log_warning("configuration not taken", core=core, why=self.view.fault)
+            self.rejected_configurations += 1
+            log_warning("configuration not applied", core=core, why=self.view.fault)
             self.failed_at[core] = now
             return False
-        if first:
+        if is_first:
             log_info("core found", core=core)
         self.fresh_core = core
         return True
--- a/tests/simulation/connections.py
+++ b/tests/simulation/connections.py
@@ -260,14 +260,14 @@
         exchange.head = b"POST /x HTTP/1.1\r\nAttempt-Id: a%d\r\n" % number
         exchange.attempt, exchange.length, exchange.body_complete = b"a%d" % number, 0, True
         exchange.deadline = clock() + 0.5
-        forwarder.routed(exchange, Route("r", "h", "/", not careful, 0.5, 0.3, 1, (("s", 1.0),), 3), None)
+        forwarder.set_route(exchange, Route("r", "h", "/", not careful, 0.5, 0.3, 1, (("s", 1.0),), 3), None)
         exchange.transition_to(Stage.READY)
         exchange.transition_to(Stage.RUNNING)
         later = asyncio.get_running_loop().call_later
         timers = [later(chance.choice((0.03, 0.1, 0.5)), exchange.expire)]
         if chance.random() < LEAVES_PART:
             timers.append(later(chance.choice((0.0, 0.002, 0.01, 0.05)), _leave, calls, number, exchange))
-        await forwarder.carry(exchange)
+        await forwarder.forward(exchange)
         for timer in timers:
             timer.cancel()
         if exchange.answer is not None and exchange.answer.status == 200 and exchange.answer.body != b"%08d" % number:
--- a/tests/simulation/mistakes.py
+++ b/tests/simulation/mistakes.py
@@ -265,7 +265,7 @@
     "snapshot loses the configuration": _one(4, ReplicatedState, "from_dict", classmethod(_loses_state), 1),
     "an emptied disk founds again": _one(4, program, "opened", _founds_again, 24),
     "a refused connection ends a node": _one(4, Keeper, "answered", _refused_is_gone, 6),
-    "stale connection used again": _one(5, Connection, "ready", _ready_unasked),
+    "stale connection used again": _one(5, Connection, "is_ready", _ready_unasked),
     "answer of a node taken with its id unchecked": _one(5, AnswerReader, "_read_head", _any_answer),
     "answer of a core taken with its id unchecked": _one(5, caller.Connection, "on_headers_complete", _any_call),
     "sent again though a byte left": _one(5, forwarder, "next_step", _next_step_again),
--- a/tests/standins/cores.py
+++ b/tests/standins/cores.py
@@ -128,7 +128,7 @@
             raise PeerError(step, url, "the connection ended before the answer")
         return told
 
-    def keep_only(self, address: str) -> None:
+    def close_others(self, address: str) -> None:
         """As a caller's."""
 
     async def close(self) -> None:
--- a/tests/system/operations_case.py
+++ b/tests/system/operations_case.py
@@ -43,7 +43,7 @@
         self.calls = AdmissionCalls(
             "e", f"{id(self)}.{self.lives}", lambda: self.order, clock, 60.0, lambda: self.client_server.counts
         )
-        self.cores.living.add(self.calls.life)
+        self.cores.living.add(self.calls.incarnation)
         self.calls.lanes = [self.cores, self.cores]
         self.calls.idle = list(self.calls.lanes)
         self.refusals = NeverRefused()
@@ -54,7 +54,7 @@
             lambda configuration, tenant: True,
             self.refusals,
         )
-        self.client_server.carry = self._carry
+        self.client_server.forward = self._carry
         return self
 
     def _carry(self, exchange):
@@ -63,10 +63,10 @@
             exchange.operation = found[1].decode()
         found = TENANT.search(exchange.head)
         exchange.tenant = found[1].decode() if found else "t"
-        type(self.client_server).carry(self.client_server, exchange)
+        type(self.client_server).forward(self.client_server, exchange)
 
     async def end(self):
-        self.cores.living.discard(self.calls.life)
+        self.cores.living.discard(self.calls.incarnation)
         self.client_server.drain()
         await self.client_server.finished(0)
         self.client_server._sweep.cancel()
--- a/tests/system/test_admission_calls.py
+++ b/tests/system/test_admission_calls.py
@@ -241,7 +241,7 @@
         self.assertEqual(edge.cores()[0], "near")
 
     def test_two_lives_never_have_one_name(self):
-        self.assertNotEqual(*(self.edge("keys").admission_calls.life for _ in range(2)))
+        self.assertNotEqual(*(self.edge("keys").admission_calls.incarnation for _ in range(2)))
 
 
 class SeekingTest(unittest.IsolatedAsyncioTestCase):
@@ -345,12 +345,12 @@
 
     async def test_an_answer_comes_back_as_it_was_told(self):
         asked = await self.ask("a1")
-        self.assertEqual((asked.told, asked.cores), (AdmissionTold(Admission.RUN), tuple(self.known)))
+        self.assertEqual((asked.response, asked.cores), (AdmissionTold(Admission.RUN), tuple(self.known)))
         self.calls.end(asked.cores, OPERATION, "a1", Ending.ANSWERED, KEPT)
         while self.calls.ends.waiting:
             await asyncio.sleep(0.01)
         asked = await self.ask("a2")
-        self.assertEqual((asked.told.answer, asked.cores), (KEPT, ()))
+        self.assertEqual((asked.response.answer, asked.cores), (KEPT, ()))
 
     async def test_asks_that_come_while_calls_are_under_way_go_together(self):
         self.gate.clear()
@@ -361,39 +361,39 @@
         await asyncio.sleep(0.02)
         self.gate.set()
         for asked in await asyncio.gather(*asks):
-            self.assertIs(asked.told.admission, Admission.RUN)
+            self.assertIs(asked.response.admission, Admission.RUN)
         self.assertEqual(sorted(len(batch.asks) for batch in self.batches), [1, 1, 10])
 
     async def test_a_core_that_refuses_is_left_for_another(self):
         self.known.insert(0, "127.0.0.1:9")
         for at in range(3):
             asked = await self.ask(f"a{at}", str(at))
-            self.assertIs(asked.told.admission, Admission.RUN)
+            self.assertIs(asked.response.admission, Admission.RUN)
         self.assertEqual(asked.cores, (self.known[1],))  # it was asked alone, the other is left for a while
 
     async def test_cores_that_refuse_are_not_called_without_a_pause(self):
         self.known = ["127.0.0.1:9", "127.0.0.1:10"]
         asked = await self.calls.ask(AdmissionAsk("t", OPERATION, "a1"), clock() + 0.3)
-        self.assertIs(asked.told.admission, Admission.UNAVAILABLE)
+        self.assertIs(asked.response.admission, Admission.UNAVAILABLE)
         calls = sum(lane.calls for lane in self.calls.lanes)
         self.assertTrue(2 <= calls <= 20, calls)
         self.assertEqual(set(asked.cores), set(self.known))
 
     async def test_a_lane_keeps_one_connection(self):
         await self.ask("a1")
-        lane = next(lane for lane in self.calls.lanes if lane.kept)
-        lane.keep_only(self.known[0])
-        (kept,) = lane.kept.values()
-        lane.keep_only("127.0.0.1:9")
-        self.assertEqual((lane.kept, kept.transport.is_closing()), ({}, True))
+        lane = next(lane for lane in self.calls.lanes if lane.connections)
+        lane.close_others(self.known[0])
+        (kept,) = lane.connections.values()
+        lane.close_others("127.0.0.1:9")
+        self.assertEqual((lane.connections, kept.transport.is_closing()), ({}, True))
 
     async def test_a_lane_frees_its_descriptor_before_it_takes_another(self):
         await self.ask("a1")
-        lane = next(lane for lane in self.calls.lanes if lane.kept)
+        lane = next(lane for lane in self.calls.lanes if lane.connections)
         self.calls.idle = [lane]
         found = []
         for end in (lambda: setattr(self, "known", ["127.0.0.1:9"]), lambda: None):
-            (kept,) = lane.kept.values()
+            (kept,) = lane.connections.values()
             before = kept.transport.get_extra_info("socket")
             end()
 
@@ -465,5 +465,5 @@
                 with mock.patch.object(self.calls, "idle", [lane]):
                     ask = AdmissionAsk("t", OPERATION, "a1")
                     asked = await self.calls.ask(ask, clock() + 0.02)
-                self.assertIs(asked.told.admission, Admission.UNAVAILABLE)
+                self.assertIs(asked.response.admission, Admission.UNAVAILABLE)
                 self.assertTrue(asked.cores)
--- a/tests/system/test_caller.py
+++ b/tests/system/test_caller.py
@@ -106,7 +106,7 @@
             with self.subTest(data), self.assertRaises(PeerError):
                 await self.call((data, False))
                 if data == WELL + WELL:  # the call itself has its answer; what belongs to none must reach no other
-                    self.assertEqual(self.caller.kept, {})
+                    self.assertEqual(self.caller.connections, {})
                     raise PeerError("", "", "")
             self.assertEqual(await self.call((WELL, False)), {"a": 1})
 
@@ -126,9 +126,9 @@
     async def test_bytes_and_ends_while_idle_cost_no_call(self):
         for disturb in (lambda writer: writer.write(WELL.replace(b"1", b"9")), lambda writer: writer.close()):
             await self.call((WELL, False))
-            (kept,) = self.caller.kept.values()
+            (kept,) = self.caller.connections.values()
             disturb(self.writers[-1])
-            while kept.fit():
+            while kept.is_usable():
                 await asyncio.sleep(0)
             self.assertEqual(await self.call((WELL, False)), {"a": 1})
 
@@ -145,11 +145,11 @@
                 self.assertRaises(PeerError) as met,
             ):
                 await self.call(patience=60)
-            self.assertIn("no connection in time", str(met.exception))
-            self.assertEqual(list(self.caller.allowed.values()), [allowed])
-        self.caller.allowed = dict.fromkeys(self.caller.allowed, 60.0)
+            self.assertIn(f"not connected within {allowed / 2:g} s", str(met.exception))
+            self.assertEqual(list(self.caller.connect_timeouts.values()), [allowed])
+        self.caller.connect_timeouts = dict.fromkeys(self.caller.connect_timeouts, 60.0)
         self.assertEqual(await self.call((WELL, False)), {"a": 1})
-        self.assertEqual(self.caller.allowed, {})
+        self.assertEqual(self.caller.connect_timeouts, {})
 
     async def test_what_keeps_coming_is_waited_for_up_to_a_bound(self):
         """A large configuration on a slow link: given up in its midst, it began anew at each core and never came."""
--- a/tests/system/test_client_leaves.py
+++ b/tests/system/test_client_leaves.py
@@ -74,7 +74,7 @@
             if sent < BODY_MORE - PIECE and not client.writer.transport.get_write_buffer_size():
                 client.writer.write(bytes(PIECE))
                 sent += PIECE
-            return any("body" in c.holds for c in self.client_server.clients)
+            return any("body" in c.pause_reasons for c in self.client_server.clients)
 
         await until(unread, "the body stays unread")
 
@@ -84,7 +84,9 @@
     async def idle(self):
         """Nobody works and nothing is open any more."""
         await until(lambda: not self.working(), "nodes stop")
-        await until(lambda: not self.client_server.open and not self.client_server.clients, "the edge is rid of it")
+        await until(
+            lambda: not self.client_server.open_requests and not self.client_server.clients, "the edge is rid of it"
+        )
 
     # -- ways to go, at a request that is under way
 
@@ -117,7 +119,7 @@
                 client.ask("/i/", "b1", "POST", f"Content-Length: {BODY_MORE}\r\n", deadline=DEADLINE)
                 await self.fill(client)
                 leave(client)
-                await until(lambda: not self.client_server.open, "given up")
+                await until(lambda: not self.client_server.open_requests, "given up")
 
     async def test_nothing_is_begun_or_goes_on_whenever_it_leaves(self):
         """Over seeds: pipelines of both kinds left at any turn of the loop, by either way, before nodes that hold, shed
@@ -174,7 +176,7 @@
                 await until(lambda: len(self.heard_ends()) == 1, "its end has come")
                 self.client_server.view.configuration = configuration
                 for one in list(self.client_server.clients):
-                    one.begun()
+                    one.on_view_ready()
                 await until(self.working, "at work")
                 self.assertEqual([r.attempt for r in self.nodes[0].seen[2:]], ["stays"])
                 other.reset()
--- a/tests/system/test_edge.py
+++ b/tests/system/test_edge.py
@@ -175,10 +175,10 @@
         self.nodes[0].script = [lambda r, w: answer(r, extra="Keep-Alive: timeout=9\r\n")] * 3
         await self.ask("/n/")
         (connection,) = self.client_server.forwarder.pools["i-0"].idle
-        self.assertTrue(connection.ready(True))
+        self.assertTrue(connection.is_ready(True))
         self.nodes[0].writers[0].write(b"junk")
         select.select([connection.transport.get_extra_info("socket").fileno()], [], [], 5)
-        self.assertFalse(connection.ready(True))
+        self.assertFalse(connection.is_ready(True))
         self.assertEqual((await self.ask("/n/"))[0], 200)
         self.assertEqual(self.nodes[0].connections, 2)
 
--- a/tests/system/test_edge_ends.py
+++ b/tests/system/test_edge_ends.py
@@ -46,15 +46,15 @@
         client = await self.held("/i/")
         client.reset()
         await asyncio.wait_for(self.nodes[0].left.wait(), PATIENCE)
-        while self.client_server.open:
+        while self.client_server.open_requests:
             await asyncio.sleep(0)
         client = await self.held("/n/")
         client.reset()
         while self.client_server.clients:
             await asyncio.sleep(0)
-        self.assertEqual((self.client_server.open, self.nodes[0].gone), (1, [0]))
+        self.assertEqual((self.client_server.open_requests, self.nodes[0].gone), (1, [0]))
         self.go.set()
-        while self.client_server.open:
+        while self.client_server.open_requests:
             await asyncio.sleep(0)
         self.assertEqual((await self.ask("/n/"))[0], 200)
         self.assertEqual([r.connection for r in self.nodes[0].seen], [0, 1, 1])
@@ -70,7 +70,7 @@
             self.go.set()
             while self.client_server.clients:
                 await asyncio.sleep(0)
-        self.assertEqual((self.client_server.open, client.transport.write_eof.called), (0, True))
+        self.assertEqual((self.client_server.open_requests, client.transport.write_eof.called), (0, True))
 
     async def test_the_client_ends_its_side(self):
         """What it sent whole is still answered."""
@@ -104,7 +104,7 @@
         self.assertEqual((status, headers["connection"]), (200, "close"))
         await asyncio.wait_for(ending, PATIENCE)
         self.assertEqual(await client.rest(), b"")
-        self.assertEqual(self.client_server.open, 0)
+        self.assertEqual(self.client_server.open_requests, 0)
 
     async def test_a_drain_takes_in_who_waits_to_be_accepted(self):
         """Its handshake is the system's work: a busy edge that closed its gate reset such clients, asked or not."""
@@ -142,10 +142,10 @@
 
     async def test_a_client_of_an_edge_that_starts_is_read_once_there_is_a_picture(self):
         await self.begin()
-        table, self.view.configuration, self.client_server.started = self.view.configuration, None, False
+        table, self.view.configuration, self.client_server.view_ready = self.view.configuration, None, False
         client = await self.client()
         client.ask("/i/")
-        await wait_for(lambda: any(c.holds for c in self.client_server.clients))
+        await wait_for(lambda: any(c.pause_reasons for c in self.client_server.clients))
         self.assertEqual(self.runs(), 0)
         self.view.configuration = table
         self.client_server.view_changed({"config"})
@@ -154,10 +154,10 @@
     async def test_a_client_of_an_edge_without_a_picture_is_let_go_unread(self):
         """Closed with the request unread: it may be sent elsewhere, whatever its kind."""
         await self.begin()
-        self.view.configuration, self.client_server.started = None, False
+        self.view.configuration, self.client_server.view_ready = None, False
         client = await self.client()
         client.ask("/i/")
-        await wait_for(lambda: any(c.holds for c in self.client_server.clients))
+        await wait_for(lambda: any(c.pause_reasons for c in self.client_server.clients))
         for held in list(self.client_server.clients):
             held._give_up()
         with self.assertRaises((ConnectionResetError, asyncio.IncompleteReadError)):
@@ -199,7 +199,7 @@
         """A crowd on a machine of a dozen descriptors: none of the clients' answers is lost, and idle connections give
         way. Before, accepting failed a thousand times a second, and what was accepted found no descriptor to a node."""
         await self.begin(nodes=2)
-        self.client_server.connection_budget, self.client_server.forwarder.connection_slots.most = (
+        self.client_server.connection_budget, self.client_server.forwarder.connection_slots.max_open = (
             ConnectionBudget(4, 2, 2),
             2,
         )
--- a/tests/system/test_edge_passing.py
+++ b/tests/system/test_edge_passing.py
@@ -304,7 +304,7 @@
             self.assertIn(status, (200, 500, 502, 503))
             self.assertLessEqual(sum(r.attempt == id for node in self.nodes for r in node.seen), 2)
         self.assertGreater(sum(status == 200 for status, _ in found.values()), 40)
-        self.assertEqual(self.client_server.open, 0)
+        self.assertEqual(self.client_server.open_requests, 0)
         self.assertEqual({stats_of(node).in_flight for node in self.client_server.view.nodes.values()}, {0})
         for node in self.nodes:
             for r in node.seen:
--- a/tests/system/test_edge_reading.py
+++ b/tests/system/test_edge_reading.py
@@ -191,11 +191,11 @@
             await asyncio.sleep(0)
         now[0] += 4.0
         for client in list(self.client_server.clients):
-            client.look(now[0])
+            client.check_timeouts(now[0])
         self.assertEqual((await head.answer())[0], 408)
         now[0] += 12.0
         for client in list(self.client_server.clients):
-            client.look(now[0])
+            client.check_timeouts(now[0])
         self.assertEqual(await idle.rest(), b"")
         self.assertEqual((await body.answer())[0], 408)
         self.assertEqual(self.runs(), 0)
--- a/tests/system/test_edge_tenants.py
+++ b/tests/system/test_edge_tenants.py
@@ -40,7 +40,7 @@
         self.give(tenants)
         if proven:
             client_server.forwarder.freshness.renew(self.held.now(), 0.0)
-        client_server.started = client_server.serves
+        client_server.view_ready = client_server.can_serve
         return client_server
 
     def give(self, tenants):
@@ -128,7 +128,7 @@
         begun = []
         client_server = await self.begin()
         with mock.patch.object(
-            client_server, "carry", lambda exchange: (begun.append(exchange), exchange.respond(503, "", 0.1))
+            client_server, "forward", lambda exchange: (begun.append(exchange), exchange.respond(503, "", 0.1))
         ):
             for path, headers in (
                 ("/i/", token("k1")),
@@ -326,10 +326,10 @@
         )
         with mock.patch("knotwalk.edge.view_poller.clock", self.held.now):
             self.assertTrue(await view_poller.poll("core"))
-            self.assertFalse(client_server.started)
+            self.assertFalse(client_server.view_ready)
             asked = self.loop.create_task(self.status(headers=token("k1")))
             await turns()
             self.assertFalse(asked.done())
             self.assertTrue(await view_poller.poll("core"))
-        self.assertTrue(client_server.started)
+        self.assertTrue(client_server.view_ready)
         self.assertEqual((await asked, told.call_count), (200, 2))
--- a/tests/system/test_operations.py
+++ b/tests/system/test_operations.py
@@ -317,7 +317,7 @@
         first.reset()
         await asyncio.sleep(0.05)
         go.set()
-        await wait_for(lambda: not self.edges[0].client_server.open)
+        await wait_for(lambda: not self.edges[0].client_server.open_requests)
         await self.told()
         self.assertEqual((await self.ask("a2", 1))[0], 502)
         self.assertEqual(self.runs(), 1)
@@ -331,7 +331,7 @@
         await wait_for(lambda: self.cores[1].calls > 1)
         second.reset()
         began = self.loop.time()
-        await wait_for(lambda: not self.edges[1].client_server.open)
+        await wait_for(lambda: not self.edges[1].client_server.open_requests)
         self.assertLess(self.loop.time() - began, 1.0)
         go.set()
 
@@ -341,7 +341,7 @@
         first = await self.send("a1")
         await wait_for(lambda: self.edges[0].calls.idle == [self.cores])
         first.reset()
-        await wait_for(lambda: not self.edges[0].client_server.open)
+        await wait_for(lambda: not self.edges[0].client_server.open_requests)
         self.cores[0].pause = 0.0
         await self.told()
         self.assertEqual(self.runs(), 0)
--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -338,7 +338,9 @@
         with mock.patch.object(runtime_call, "spoilt", lambda protocol: not protocol.is_connected()):  # as aiohttp does
             self.assertTrue(await self.idle(Grant, mishaps.extra, 50))
             self.assertTrue(await self.idle(List, mishaps.extra, 0))
-        with mock.patch.object(edge_caller.Connection, "fit", lambda self: self.state is edge_caller.CallState.IDLE):
+        with mock.patch.object(
+            edge_caller.Connection, "is_usable", lambda self: self.state is edge_caller.CallState.IDLE
+        ):
             with mock.patch.object(edge_caller.Connection, "on_headers_complete", lambda self: None):
                 self.assertTrue(await self.idle(EdgeToCore, mishaps.extra, 0))
 
