--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -340,7 +340,9 @@
         ):  # as aiohttp does
             self.assertTrue(await self.idle(Grant, faulty_peer.extra, 50))
             self.assertTrue(await self.idle(List, faulty_peer.extra, 0))
-        with mock.patch.object(edge_caller.Connection, "fit", lambda self: self.state is edge_caller.CallState.IDLE):
+        with mock.patch.object(
+            edge_caller.Connection, "is_usable", lambda self: self.state is edge_caller.CallState.IDLE
+        ):
             with mock.patch.object(edge_caller.Connection, "on_headers_complete", lambda self: None):
                 self.assertTrue(await self.idle(EdgeToCore, faulty_peer.extra, 0))
 
