--- a/knotwalk/edge/__main__.py
+++ b/knotwalk/edge/__main__.py
@@ -40,7 +40,10 @@
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        settings.listen_address("data_plane"), settings.listen_address("readiness")  # fails early if an address is missing
+        (
+            settings.listen_address("data_plane"),
+            settings.listen_address("readiness"),
+        )  # fails early if an address is missing
         seed = crc32(f"{settings.node_name}{os.getpid()}{os.urandom(4).hex()}".encode())
         self.view = ClusterView()
         self.caller = Caller()
--- a/knotwalk/edge/edge_metrics.py
+++ b/knotwalk/edge/edge_metrics.py
@@ -78,7 +78,9 @@
     available: dict[tuple[str, ...], float] = {
         (name,): budget.available(now, client_server.edges) for name, budget in forwarder.budgets.items()
     }
-    yield Metric("knotwalk_edge_retry_room", MetricType.GAUGE, "further tries that may be made now", available, ("service",))
+    yield Metric(
+        "knotwalk_edge_retry_room", MetricType.GAUGE, "further tries that may be made now", available, ("service",)
+    )
     yield Metric(
         "knotwalk_edge_core_bytes",
         MetricType.COUNTER,
--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -234,7 +234,9 @@
                     lock = persistence.acquire_lock(path)
                     try:
                         table, key = persistence.load(path) or (table, key)
-                    except persistence.TableFileError as fault:  # the saved table is an optimization: a new epoch works without it
+                    except (
+                        persistence.TableFileError
+                    ) as fault:  # the saved table is an optimization: a new epoch works without it
                         self.log("saved table not used", f"{path}: {fault}; starting a new epoch")
                     self.keeper = persistence.TableWriter(self.loop, path, lock, table, key, self.log)
                 except persistence.TableFileError as fault:
