--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -21,7 +21,7 @@
 from docopt import docopt
 from standins.day import Day, Size, settings_of, storm
 from standins.platform import StandIn
-from standins.tapes import LIMITS, Tapes
+from standins.recordings import LIMITS, DayRecorder
 
 from knotwalk.decide import Conductor
 from knotwalk.net.conductor import Config, Host
@@ -51,9 +51,11 @@
 
 
 def taped(folder: str, seed: int, size: Size, seconds: float, every: float) -> Day:
-    tapes = Tapes(folder, every=every, most=64 << 20)
-    day = Day(seed, size, script=storm(seed, size, seconds), witness=tapes.witness, lives=tapes.lives).run(seconds)
-    tapes.close(day.now)
+    day_recorder = DayRecorder(folder, checkpoint_interval_s=every, max_segment_bytes=64 << 20)
+    day = Day(
+        seed, size, script=storm(seed, size, seconds), witness=day_recorder.record_round, lives=day_recorder.record_life
+    ).run(seconds)
+    day_recorder.close(day.now)
     return day
 
 
@@ -168,7 +170,7 @@
             "total": round((sum(b) + between) / sum(a), 3),
         },
         "round_us": {"median": round(1e6 * at(a, 0.5), 1), "p99": round(1e6 * at(a, 0.99), 1)},
-        "recorded_exact": outcome.exact and not recorder.lost_all,
+        "recorded_exact": outcome.exact and not recorder.total_lost,
     }
 
 
@@ -243,16 +245,16 @@
     import knotwalk.record.feed
     recorder = Recorder("n0", "i", "d", 5.0)
 def lives(now, module, settings, seed):
-    if recorder: recorder.life(now, module, settings, Limits(), seed, "start")
+    if recorder: recorder.record_life(now, module, settings, Limits(), seed, "start")
 rounds = 0
 def witness(now, inbox, orders, module):
     global rounds, most
     rounds += 1
     if recorder:
-        recorder.round(now, inbox, orders, module)
+        recorder.record_round(now, inbox, orders, module)
         if len(recorder.rounds) > 100:
-            recorder.settle()
-            if len(recorder.waiting) > recorder.room - 400000: del recorder.waiting[:]
+            recorder.pack_rounds()
+            if len(recorder.waiting) > recorder.max_waiting_bytes - 400000: del recorder.waiting[:]
     if rounds % 200 == 0:
         most = max(most, int(open("/proc/self/statm").read().split()[1]) * os.sysconf("SC_PAGE_SIZE"))
 size = Size(66, 130, 130, 220.0, 3)
@@ -284,7 +286,7 @@
     """A writer killed again and again: what was lost, and whether it is said."""
     import knotwalk.record.feed as module
 
-    module.AGAIN_FIRST = module.AGAIN_MOST = 0.01
+    module.MIN_RESTART_DELAY_S = module.MAX_RESTART_DELAY_S = 0.01
     chance, loop, lines = Random(7), Loop(), []
     with tempfile.TemporaryDirectory() as folder:
         recorder = Recorder("n0", "i", "digest", 20.0)
@@ -296,14 +298,14 @@
         )
 
         def witness(now: float, inbox: list, orders: list, held: Conductor) -> None:
-            recorder.round(now, inbox, orders, held)
+            recorder.record_round(now, inbox, orders, held)
 
         day = Day(
             4,
             FLEET,
             script=storm(4, FLEET, 1e5),
             witness=witness,
-            lives=lambda now, m, s, seed: recorder.life(now, m, s, LIMITS, seed, "start"),
+            lives=lambda now, m, s, seed: recorder.record_life(now, m, s, LIMITS, seed, "start"),
         )
 
         def turn(seconds: float) -> None:
@@ -332,7 +334,7 @@
         feed.process.wait(60)
         recording = Recording([folder])
         outcome = exact.replay(recording)
-        held = sum(x.lot.frames for x in recording.incarnations["i"])
+        held = sum(x.header.frame_count for x in recording.incarnations["i"])
         said = sum(x.frames for x in outcome.losses)
         return {
             "kills": kills,
@@ -349,14 +351,14 @@
 
     loop = Loop()
     with tempfile.TemporaryDirectory() as folder:
-        recorder = Recorder("n0", "i", "digest", 60.0, room=1 << 17)  # soon full
+        recorder = Recorder("n0", "i", "digest", 60.0, max_waiting_bytes=1 << 17)  # soon full
         feed = Feed(loop, recorder, [folder, "n0", "i", str(1 << 20), "3600", str(1 << 40)], lambda kind, text="": None)
         taken: dict[bool, list[float]] = {True: [], False: []}
         still = False
 
         def witness(now: float, inbox: list, orders: list, held: Conductor) -> None:
             begun = time.perf_counter()
-            recorder.round(now, inbox, orders, held)
+            recorder.record_round(now, inbox, orders, held)
             taken[still].append(time.perf_counter() - begun)
 
         day = Day(
@@ -364,7 +366,7 @@
             GROWN,
             script=storm(5, GROWN, 1e5),
             witness=witness,
-            lives=lambda now, m, s, seed: recorder.life(now, m, s, LIMITS, seed, "start"),
+            lives=lambda now, m, s, seed: recorder.record_life(now, m, s, LIMITS, seed, "start"),
         )
         assert feed.process is not None
         for still in (False, True, False):
--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -264,7 +264,7 @@
     def record_conductor_start(self, reason: str) -> None:
         """Record the start of a new conductor, if recording."""
         if self.recorder:
-            self.recorder.life(
+            self.recorder.record_life(
                 self.loop.now(),
                 self.conductor,
                 self.config.settings,
@@ -304,12 +304,12 @@
             self.conductor.decide(now, inbox, order_log or out)
         except Exception:  # any failure: see restart_after_failure
             if order_log and self.recorder:
-                self.recorder.failed(now, inbox, order_log.orders, traceback.format_exc(limit=-3))
+                self.recorder.record_failure(now, inbox, order_log.orders, traceback.format_exc(limit=-3))
             self.restart_after_failure(inbox)
         else:
             self.order_sender.add_orders(out.orders)
             if order_log and self.recorder:
-                self.recorder.round(now, inbox, order_log.orders, self.conductor)
+                self.recorder.record_round(now, inbox, order_log.orders, self.conductor)
             if order_log and self.publisher:
                 if out.orders:  # relay and publisher share one message budget for each proxy
                     self.publisher.hub.charge(now, self.relay_stream.proxies)
--- a/knotwalk/record/__init__.py
+++ b/knotwalk/record/__init__.py
@@ -1,5 +1,5 @@
-"""Recordings of what a conductor met and ordered.
+"""Recordings of what a conductor received and ordered: their format, recorder, writer process, reader and export.
 
-Owns their format, the way from the loop to the writer's process, and the reader. It must never decide for the module,
-wait for a disk on the loop, or claim to hold what it does not: what is missing is said by number and time.
+Recording must never influence decisions or block the event loop on a disk. A recording must never claim to hold what it
+does not: whatever is missing is reported by frame number and time.
 """
--- a/knotwalk/record/command.py
+++ b/knotwalk/record/command.py
@@ -1,40 +1,44 @@
-"""The command `knotwalk record`: what files hold, whether they are whole, and the same as Parquet.
+"""The command `knotwalk record`: summarizes recordings, verifies them, and exports them to Parquet.
 
-Reads recordings and changes none; exports go to a folder of their own.
+It never changes a recording; exports are written to a separate folder.
 """
 
 import json
 import sys
 
 from knotwalk.record import format
-from knotwalk.record.reader import Loss, Recording, Unusable
+from knotwalk.record.reader import Loss, Recording, UnusableRecordingError
 
-WHOLE, UNUSABLE, DAMAGED = 0, 2, 3
+EXIT_OK, EXIT_UNUSABLE, EXIT_DAMAGED = 0, 2, 3
 
 
 def info(recording: Recording) -> dict:
-    """What the files hold, by their heads alone."""
-    told = []
+    """Summarize the files from their headers, without reading the blocks."""
+    incarnations = []
     for incarnation, blocks in recording.incarnations.items():
         segments = [x for x in recording.segments if x.incarnation == incarnation]
-        told.append(
+        incarnations.append(
             {
                 "incarnation": incarnation,
                 "segments": len(segments),
                 "bytes": sum(x.size for x in segments),
-                "closed": all(x.whole for x in segments),
+                "closed": all(x.is_complete for x in segments),
                 "blocks": len(blocks),
-                "frames": sum(x.lot.frames for x in blocks),
-                "checkpoints": sum(x.lot.flags & format.CHECKED for x in blocks),
-                "begun": blocks[0].lot.begun if blocks else None,
-                "ended": blocks[-1].lot.ended if blocks else None,
+                "frames": sum(x.header.frame_count for x in blocks),
+                "checkpoints": sum(x.header.flags & format.STARTS_WITH_CHECKPOINT for x in blocks),
+                "begun": blocks[0].header.begins_at if blocks else None,
+                "ended": blocks[-1].header.ends_at if blocks else None,
             }
         )
-    return {"conductor": recording.conductor, "incarnations": told, "faults": [str(x) for x in recording.faults]}
+    return {
+        "conductor": recording.conductor,
+        "incarnations": incarnations,
+        "faults": [str(x) for x in recording.faults],
+    }
 
 
 def verify(recording: Recording) -> dict:
-    """Read every block; what is damaged or missing."""
+    """Read every block and report what is damaged or missing."""
     losses, frames = [], 0
     for incarnation, blocks in recording.incarnations.items():
         for event in recording.events(blocks):
@@ -54,36 +58,38 @@
 
 
 def record(options: dict) -> int:
-    """`knotwalk record`, with docopt's options; the exit code."""
+    """Run `knotwalk record` with docopt's options and return the exit code."""
     try:
         recording = Recording(options["RECORDING"], options["--conductor"])
         if options["info"]:
-            told = info(recording)
+            summary = info(recording)
         elif options["verify"]:
-            told = verify(recording)
+            summary = verify(recording)
         else:
             from knotwalk.record.export import export
 
-            told = export(recording, options["--into"])
-    except Unusable as fault:
-        print(f"knotwalk: {fault}", file=sys.stderr)
-        return UNUSABLE
-    except OSError as fault:
-        print(f"knotwalk: {fault.filename}: {fault.strerror}", file=sys.stderr)
-        return UNUSABLE
-    except ImportError as fault:
-        print(f"knotwalk: {fault.name} is not installed; pip install 'knotwalk[replay]' brings it", file=sys.stderr)
-        return UNUSABLE
+            summary = export(recording, options["--into"])
+    except UnusableRecordingError as error:
+        print(f"knotwalk: {error}", file=sys.stderr)
+        return EXIT_UNUSABLE
+    except OSError as error:
+        print(f"knotwalk: {error.filename}: {error.strerror}", file=sys.stderr)
+        return EXIT_UNUSABLE
+    except ImportError as error:
+        print(
+            f"knotwalk: {error.name} is not installed; install it with pip install 'knotwalk[replay]'", file=sys.stderr
+        )
+        return EXIT_UNUSABLE
     if options["--json"]:
-        print(json.dumps(told, default=str))
+        print(json.dumps(summary, default=str))
     else:
-        show(told)
-    return DAMAGED if told["faults"] or told.get("losses") else WHOLE
+        show(summary)
+    return EXIT_DAMAGED if summary["faults"] or summary.get("losses") else EXIT_OK
 
 
-def show(told: dict) -> None:
-    """Plain lines."""
-    for name, value in told.items():
+def show(summary: dict) -> None:
+    """Print a summary as lines of text."""
+    for name, value in summary.items():
         if isinstance(value, list):
             for row in value:
                 print(
--- a/knotwalk/record/export.py
+++ b/knotwalk/record/export.py
@@ -1,7 +1,7 @@
-"""Recordings as Parquet: one file a table, for whatever else the operators ask of a day.
+"""Exports recordings to Parquet, one file per table, for analysis with other tools.
 
-Owns the tables' columns, which may only grow. It reads recordings and writes to a folder of its own; pyarrow is loaded
-with it, so nothing of the daemon may import it.
+Columns may be added to the tables, but never removed or changed. This module imports pyarrow, so the daemon must not
+import it.
 """
 
 import json
@@ -13,9 +13,9 @@
 from knotwalk.record import format
 from knotwalk.record.reader import Loss, Recording
 
-ROWS = 1 << 16  # rows kept before they are written: a day must not fill the memory
+MAX_BUFFERED_ROWS = 1 << 16  # per table, before they are written: a recorded day may not fit in memory
 
-# Tables of an export: columns and their types, in pyarrow's words.
+# Columns of each table, with their types as pyarrow aliases.
 TABLES = {
     "rounds": {
         "incarnation": "string",
@@ -77,14 +77,14 @@
 }
 
 
-class Export:
-    """Tables on their way into Parquet files."""
+class Exporter:
+    """Buffers rows of each table and writes them to Parquet files."""
 
     def __init__(self, folder: Path):
         folder.mkdir(parents=True, exist_ok=True)
-        alias = pyarrow.type_for_alias
+        type_for_alias = pyarrow.type_for_alias
         self.schemas = {
-            name: pyarrow.schema([(column, alias(kind)) for column, kind in columns.items()])
+            name: pyarrow.schema([(column, type_for_alias(kind)) for column, kind in columns.items()])
             for name, columns in TABLES.items()
         }
         self.writers = {
@@ -94,9 +94,9 @@
         self.rows: dict[str, list[tuple]] = {name: [] for name in TABLES}
         self.counts = dict.fromkeys(TABLES, 0)
 
-    def put(self, table: str, *row: object) -> None:
+    def add_row(self, table: str, *row: object) -> None:
         self.rows[table].append(row)
-        if len(self.rows[table]) >= ROWS:
+        if len(self.rows[table]) >= MAX_BUFFERED_ROWS:
             self.flush(table)
 
     def flush(self, table: str) -> None:
@@ -116,42 +116,48 @@
             self.flush(table)
             writer.close()
 
-    def event(self, incarnation: str, event: list | Loss) -> None:
+    def add_event(self, incarnation: str, event: list | Loss) -> None:
         if isinstance(event, Loss):
-            self.put("losses", incarnation, event.since, event.until, event.frames, event.why)
+            self.add_row("losses", incarnation, event.since, event.until, event.frames, event.why)
             return
         kind, number, at, *rest = event
         if kind == format.LIFE:
             life = rest[0]
-            self.put("lives", incarnation, at, life["why"], life["seed"], life["policy"], json.dumps(life["settings"]))
+            self.add_row(
+                "lives", incarnation, at, life["why"], life["seed"], life["policy"], json.dumps(life["settings"])
+            )
         if kind not in (format.ROUND, format.FAILED):
             return
-        self.put("rounds", incarnation, number, at, len(rest[0]), len(rest[1]), kind == format.FAILED)
-        for name, f in rest[0]:
+        self.add_row("rounds", incarnation, number, at, len(rest[0]), len(rest[1]), kind == format.FAILED)
+        for name, arguments in rest[0]:
             if name == "heard":
-                self.put("heard", incarnation, at, *f[:6], f[6].get("utilization"), f[6].get("qps"))
+                self.add_row(
+                    "heard", incarnation, at, *arguments[:6], arguments[6].get("utilization"), arguments[6].get("qps")
+                )
             elif name == "wanted":
-                self.put("wanted", incarnation, at, *f)
+                self.add_row("wanted", incarnation, at, *arguments)
             elif name == "listed":
-                for entry in f[2]:
-                    self.put("listed", incarnation, at, f[0], *entry)
-        for name, f in rest[1]:
+                for entry in arguments[2]:
+                    self.add_row("listed", incarnation, at, arguments[0], *entry)
+        for name, arguments in rest[1]:
             if name == "line":
-                self.put("orders", incarnation, at, name, f[0], f[1], None, f[2], None)
+                self.add_row("orders", incarnation, at, name, arguments[0], arguments[1], None, arguments[2], None)
             elif name == "admit":
-                self.put("orders", incarnation, at, name, f[0], None, f[1], f[2], f[3])
+                self.add_row(
+                    "orders", incarnation, at, name, arguments[0], None, arguments[1], arguments[2], arguments[3]
+                )
             elif name == "withdraw":
-                self.put("orders", incarnation, at, name, None, f[0], None, float(f[1]), None)
+                self.add_row("orders", incarnation, at, name, None, arguments[0], None, float(arguments[1]), None)
             elif name in ("receipt", "wake"):
-                self.put("orders", incarnation, at, name, None, None, None, float(f[0]), None)
+                self.add_row("orders", incarnation, at, name, None, None, None, float(arguments[0]), None)
 
 
 def export(recording: Recording, folder: str) -> dict:
-    out = Export(Path(folder))
+    exporter = Exporter(Path(folder))
     try:
         for incarnation, blocks in recording.incarnations.items():
             for event in recording.events(blocks):
-                out.event(incarnation, event)
+                exporter.add_event(incarnation, event)
     finally:
-        out.close()
-    return {"folder": folder, "rows": out.counts, "faults": [str(x) for x in recording.faults]}
+        exporter.close()
+    return {"folder": folder, "rows": exporter.counts, "faults": [str(x) for x in recording.faults]}
--- a/knotwalk/record/feed.py
+++ b/knotwalk/record/feed.py
@@ -1,7 +1,6 @@
-"""The feed: carries a recorder's bytes to the writer's process, on the conductor's loop.
+"""Starts the writer process and sends it a recorder's bytes, on the conductor's event loop.
 
-Owns the process and the socket to it. It decides nothing about rounds and must never wait: what the socket does not
-take stays with the recorder, which has a bound.
+It must never block: what the socket does not accept stays in the recorder, whose buffer is bounded.
 """
 
 import selectors
@@ -17,63 +16,64 @@
 from knotwalk.net.loop import Loop
 from knotwalk.record.recorder import Recorder
 
-PACE = 0.1  # seconds between sends: what a kill -9 of the conductor may cost
-AGAIN_FIRST, AGAIN_MOST = 0.5, 30.0  # seconds before a writer that died is started again; doubles
-STEADY = 60.0  # seconds after which one that runs has proven itself
-CLOSE = 0.4  # seconds that an orderly end waits for the last bytes: SIGKILL comes 0.7 s later
+SEND_INTERVAL_S = 0.1  # between sends; a kill -9 of the conductor loses up to this much
+# The delay before a writer that exited is restarted; it doubles with each attempt.
+MIN_RESTART_DELAY_S, MAX_RESTART_DELAY_S = 0.5, 30.0
+STABLE_AFTER_S = 60.0  # a writer that ran this long resets the restart delay
+CLOSE_TIMEOUT_S = 0.4  # for sending the last bytes at a shutdown: the platform sends SIGKILL 0.7 s later
 
 
 class Feed:
-    """One writer at a time."""
+    """Runs one writer process at a time."""
 
     def __init__(self, loop: Loop, recorder: Recorder, arguments: list[str], log: Log):
         self.loop, self.recorder, self.log, self.arguments = loop, recorder, log, arguments
         self.sock: socket.socket | None = None
         self.process: subprocess.Popen | None = None
-        self.wait, self.begun, self.told_lost = AGAIN_FIRST, 0.0, False
-        self.said = msgpack.Unpacker(max_buffer_size=1 << 16)
+        self.restart_delay_s, self.started_at, self.has_reported_stop = MIN_RESTART_DELAY_S, 0.0, False
+        self.unpacker = msgpack.Unpacker(max_buffer_size=1 << 16)
         self.start()
-        self.due()
+        self.send_periodically()
 
     def start(self) -> None:
         try:
-            ours, theirs = socket.socketpair()
-        except OSError as fault:
-            self.again(f"no descriptors: {fault.strerror}")
+            local_end, writer_end = socket.socketpair()
+        except OSError as error:
+            self.schedule_restart(f"cannot open a socket to the writer: {error.strerror}")
             return
         try:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "knotwalk.record.writer", *self.arguments],
-                stdin=theirs.fileno(),
+                stdin=writer_end.fileno(),
                 stdout=subprocess.DEVNULL,
             )
-        except OSError as fault:
-            ours.close()
-            self.again(f"no process: {fault.strerror}")
+        except OSError as error:
+            local_end.close()
+            self.schedule_restart(f"cannot start the writer: {error.strerror}")
             return
         finally:
-            theirs.close()
-        ours.setblocking(False)
-        self.sock, self.begun = ours, self.loop.now()
-        self.said = msgpack.Unpacker(max_buffer_size=1 << 16)
-        self.loop.selector.register(ours, selectors.EVENT_READ, self)
+            writer_end.close()
+        local_end.setblocking(False)
+        self.sock, self.started_at = local_end, self.loop.now()
+        self.unpacker = msgpack.Unpacker(max_buffer_size=1 << 16)
+        self.loop.selector.register(local_end, selectors.EVENT_READ, self)
         self.flush()
 
-    def again(self, why: str) -> None:
-        self.recorder.cut(self.loop.now(), why)
-        self.lose(why)
-        if self.loop.now() > self.begun + STEADY:
-            self.wait = AGAIN_FIRST
-        self.loop.call_later(self.wait, self.start)
-        self.wait = min(AGAIN_MOST, 2 * self.wait)
+    def schedule_restart(self, reason: str) -> None:
+        self.recorder.discard_waiting(self.loop.now(), reason)
+        self.report_stop(reason)
+        if self.loop.now() > self.started_at + STABLE_AFTER_S:
+            self.restart_delay_s = MIN_RESTART_DELAY_S
+        self.loop.call_later(self.restart_delay_s, self.start)
+        self.restart_delay_s = min(MAX_RESTART_DELAY_S, 2 * self.restart_delay_s)
 
-    def lose(self, why: str) -> None:
-        if not self.told_lost:
-            self.told_lost = True
-            self.log("recording stands still", why)
+    def report_stop(self, reason: str) -> None:
+        if not self.has_reported_stop:
+            self.has_reported_stop = True
+            self.log("recording stopped", reason)
 
     def handle_events(self, _events: int) -> None:
-        """The writer has said something, or died."""
+        """Read what the writer reports, or notice that it exited."""
         assert self.sock is not None
         try:
             data = self.sock.recv(4096)
@@ -82,36 +82,36 @@
         except OSError:
             data = b""
         if not data:
-            self.gone()
+            self.handle_writer_exit()
             return
-        self.said.feed(data)
-        for what, *rest in self.said:
-            if what == "lost":
-                self.recorder.hold(self.loop.now(), str(rest[0]))
-                self.lose(str(rest[0]))
+        self.unpacker.feed(data)
+        for kind, *rest in self.unpacker:
+            if kind == "lost":
+                self.recorder.suspend(self.loop.now(), str(rest[0]))
+                self.report_stop(str(rest[0]))
             else:
-                self.recorder.release()
+                self.recorder.end_suspension()
 
-    def gone(self) -> None:
+    def handle_writer_exit(self) -> None:
         assert self.sock is not None and self.process is not None
         self.loop.selector.unregister(self.sock)
         self.sock.close()
         self.sock = None
-        code = self.process.poll()  # a zombie, if it has not quite ended: the next start reaps it
-        self.again(f"the writer ended, exit code {code}")
+        code = self.process.poll()  # None if it has not quite exited; the next start reaps it
+        self.schedule_restart(f"the writer exited with code {code}")
 
-    def due(self) -> None:
-        """Every PACE: say what has changed, and send what was recorded since."""
+    def send_periodically(self) -> None:
+        """Every SEND_INTERVAL_S, send what was recorded and log whether recording has stopped or resumed."""
         self.flush()
         if self.recorder.gap:
-            self.lose(self.recorder.gap[1])
-        elif self.told_lost and self.sock:
-            self.told_lost = False
-            self.log("recording goes on", f"{self.recorder.lost_all} rounds lost so far")
-        self.loop.call_later(PACE, self.due)
+            self.report_stop(self.recorder.gap[1])
+        elif self.has_reported_stop and self.sock:
+            self.has_reported_stop = False
+            self.log("recording resumed", f"{self.recorder.total_lost} rounds lost so far")
+        self.loop.call_later(SEND_INTERVAL_S, self.send_periodically)
 
     def flush(self) -> None:
-        self.recorder.settle()
+        self.recorder.pack_rounds()
         waiting = self.recorder.waiting
         while waiting and self.sock:
             try:
@@ -120,15 +120,15 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                return  # its end is read, and told, at the next turn
+                return  # handle_events reads the end of the stream and reports it
             del waiting[:sent]
 
     def close(self, clock: Callable[[], float] = time.monotonic) -> None:
-        """The program ends: give the last bytes a moment, no longer than the platform's patience."""
-        self.recorder.end(self.loop.now())
-        end = clock() + CLOSE
+        """At shutdown, send the last bytes for up to CLOSE_TIMEOUT_S."""
+        self.recorder.record_end(self.loop.now())
+        end = clock() + CLOSE_TIMEOUT_S
         if self.sock:
-            self.sock.settimeout(CLOSE)
+            self.sock.settimeout(CLOSE_TIMEOUT_S)
             try:
                 while self.recorder.waiting and clock() < end:
                     sent = self.sock.send(self.recorder.waiting)
--- a/knotwalk/record/format.py
+++ b/knotwalk/record/format.py
@@ -1,6 +1,7 @@
-"""The format of a recording: frames, blocks, segments. docs/formats/recording.md has it in words.
+"""The binary format of a recording: frames, blocks and segments; docs/formats/recording.md describes it.
 
-Owns the bytes. Fed values or bytes, it knows no file; it must never take a damaged block for a whole one.
+A frame is one event (a round, a checkpoint, ...), a block is a compressed run of frames, and a segment is one file of
+blocks. This module encodes and decodes bytes and opens no files. It must never accept a damaged block as intact.
 """
 
 import struct
@@ -11,19 +12,22 @@
 import msgpack
 
 FORMAT = 1
-# Kinds of frames. Each is a list [kind, number, time, ...]; numbers of an incarnation count up by one.
-LIFE, ROUND, FAILED, CHECK, GAP, END = range(6)
+# Kinds of frames. Each frame is a list [kind, number, time, ...]; numbers start at 0 for each incarnation (run of the
+# process) and increase by one. LIFE marks the creation of a Conductor object, of which an incarnation may have several.
+LIFE, ROUND, FAILED, CHECKPOINT, GAP, END = range(6)
 KINDS = ("life", "round", "failed", "checkpoint", "gap", "end")
 
-MAGIC, BLOCK, INDEX = b"KNOTWALK", b"KWB1", b"KWX1"
-HEAD = struct.Struct("<8sHII")  # magic, format, bytes of the map, its checksum
-# magic, flags, bytes, bytes unpacked, frames, first number, first and last time, checksum of the payload, of this
-LOT = struct.Struct("<4sHIIIQddII")
-CHECKED = 1  # flag: the first frame is a checkpoint
-PAYLOAD_MOST = 1 << 28  # bytes of a block unpacked: a damaged length must not fill the memory
-
-# What each position of a handler or order holds: n a name, kept once a block; l a load report; e list entries.
-# A code is a place in these tables, so they may only grow at the end.
+SEGMENT_MAGIC, BLOCK_MAGIC, INDEX_MAGIC = b"KNOTWALK", b"KWB1", b"KWX1"
+SEGMENT_HEADER = struct.Struct("<8sHII")  # magic, format version, length and CRC-32 of the msgpack map that follows
+# magic, flags, payload bytes, decompressed bytes, frame count, first frame number, first and last time, CRC-32 of the
+# payload, CRC-32 of this header
+BLOCK_HEADER = struct.Struct("<4sHIIIQddII")
+STARTS_WITH_CHECKPOINT = 1  # flag: the first frame is a checkpoint
+MAX_PAYLOAD_BYTES = 1 << 28  # limit on a decompressed block, so that a damaged length can't exhaust memory
+
+# The encoding of each argument of a handler or order: n is a name, stored once per block; l is a load report (dict by
+# name); e is a list of server entries; a dot is stored as it is. An entry's code is its position in these tables, so
+# entries may only be appended.
 HANDLERS = {
     "listed": "..e",
     "list_failed": "",
@@ -40,49 +44,49 @@
 ORDERS = {"line": ".n.", "admit": "....", "withdraw": "n.", "receipt": ".", "watch": "", "wake": ".", "note": "."}
 
 
-class Damaged(Exception):
-    """Bytes that are no whole block or segment; the text says what is wrong."""
+class DamagedError(Exception):
+    """The bytes are not an intact block or segment; the message says what is wrong."""
 
 
-class Names:
-    """The names of one block: each is kept once, and a frame holds its place."""
+class NameTable:
+    """The string table of one block: each name is stored once, and frames hold its position."""
 
     def __init__(self, names: Iterable[str] = ()):
         self.names = list(names)
-        self.places = {name: k for k, name in enumerate(self.names)}
+        self.positions = {name: k for k, name in enumerate(self.names)}
 
-    def place(self, name: str) -> int:
-        if name not in self.places:
-            self.places[name] = len(self.names)
+    def position_of(self, name: str) -> int:
+        if name not in self.positions:
+            self.positions[name] = len(self.names)
             self.names.append(name)
-        return self.places[name]
+        return self.positions[name]
 
-    def packed(self, rows: Iterable, table: dict[str, str]) -> list:
-        """Handlers or orders as lists that begin with their code; what the table lacks goes by its name."""
-        codes, out, place = {name: k for k, name in enumerate(table)}, [], self.place
+    def pack_rows(self, rows: Iterable, table: dict[str, str]) -> list:
+        """Encode handlers or orders as lists that begin with their code, or with their name if the table lacks them."""
+        codes, encoded, position_of = {name: k for k, name in enumerate(table)}, [], self.position_of
         for name, arguments in rows:
             shape = table.get(name)
             if shape is None or len(shape) != len(arguments):
-                out.append([name, *arguments])
+                encoded.append([name, *arguments])
                 continue
             row = [codes[name]]
             for kind, value in zip(shape, arguments):
                 if kind == "n":
-                    value = place(value)
+                    value = position_of(value)
                 elif kind == "l":
-                    value = [x for k, v in value.items() for x in (place(k), v)]
+                    value = [x for k, v in value.items() for x in (position_of(k), v)]
                 elif kind == "e":
-                    value = [[place(e[0]), place(e[1]), place(e[2]), *e[3:]] for e in value]
+                    value = [[position_of(e[0]), position_of(e[1]), position_of(e[2]), *e[3:]] for e in value]
                 row.append(value)
-            out.append(row)
-        return out
+            encoded.append(row)
+        return encoded
 
-    def unpacked(self, rows: Iterable, table: dict[str, str]) -> list:
-        """The opposite: (name, arguments) as the module takes them."""
-        known, out, names = list(table.items()), [], self.names
+    def unpack_rows(self, rows: Iterable, table: dict[str, str]) -> list:
+        """Decode rows of `pack_rows` to (name, arguments) pairs."""
+        known, decoded, names = list(table.items()), [], self.names
         for code, *values in rows:
             if isinstance(code, str):
-                out.append((code, tuple(values)))
+                decoded.append((code, tuple(values)))
                 continue
             name, shape = known[code]
             if "n" in shape or "l" in shape or "e" in shape:
@@ -94,36 +98,36 @@
                         values[k] = {names[flat[i]]: flat[i + 1] for i in range(0, len(flat), 2)}
                     elif kind == "e":
                         values[k] = [(names[e[0]], names[e[1]], names[e[2]], *e[3:]) for e in values[k]]
-            out.append((name, tuple(values)))
-        return out
+            decoded.append((name, tuple(values)))
+        return decoded
 
 
-class Lot(NamedTuple):
-    """What stands in the head of a block."""
+class BlockHeader(NamedTuple):
+    """The fields of a block's header, in their order on disk."""
 
     flags: int
-    size: int  # bytes of the payload as it lies there
-    whole: int  # bytes unpacked
-    frames: int
-    first: int  # number of the first frame
-    begun: float
-    ended: float
-    check: int
-
-
-def block(frames: list[list], compress: Callable[[bytes], bytes]) -> bytes:
-    """Frames as one block. Frames hold inbox as (handler, arguments) and orders as (order, arguments)."""
-    names, out = Names(), []
+    payload_bytes: int  # compressed
+    decompressed_bytes: int
+    frame_count: int
+    first_number: int  # of the first frame
+    begins_at: float  # time of the first frame, seconds
+    ends_at: float  # time of the last frame
+    payload_crc: int
+
+
+def encode_block(frames: list[list], compress: Callable[[bytes], bytes]) -> bytes:
+    """Encode frames as one block. Inboxes hold (handler, arguments), orders (order, arguments) pairs."""
+    names, encoded = NameTable(), []
     for frame in frames:
         if frame[0] in (ROUND, FAILED):
-            frame = [*frame[:3], names.packed(frame[3], HANDLERS), names.packed(frame[4], ORDERS), *frame[5:]]
-        out.append(frame)
+            frame = [*frame[:3], names.pack_rows(frame[3], HANDLERS), names.pack_rows(frame[4], ORDERS), *frame[5:]]
+        encoded.append(frame)
     pack = msgpack.Packer()
-    raw = b"".join([pack.pack(names.names), *map(pack.pack, out)])
+    raw = b"".join([pack.pack(names.names), *map(pack.pack, encoded)])
     payload = compress(raw)
-    head = LOT.pack(
-        BLOCK,
-        CHECKED if frames[0][0] == CHECK else 0,
+    head = BLOCK_HEADER.pack(
+        BLOCK_MAGIC,
+        STARTS_WITH_CHECKPOINT if frames[0][0] == CHECKPOINT else 0,
         len(payload),
         len(raw),
         len(frames),
@@ -136,66 +140,66 @@
     return head[:-4] + struct.pack("<I", zlib.crc32(head[:-4])) + payload
 
 
-def lot_of(data: bytes) -> Lot:
-    """The head of a block; raises Damaged."""
-    if len(data) < LOT.size:
-        raise Damaged("the file ends within the head of a block")
-    magic, *rest, check = LOT.unpack(data[: LOT.size])
-    if magic != BLOCK or check != zlib.crc32(data[: LOT.size - 4]) or rest[2] > PAYLOAD_MOST:
-        raise Damaged("no head of a block, or a damaged one")
-    return Lot(*rest)
+def parse_block_header(data: bytes) -> BlockHeader:
+    """Parse a block's header; raises DamagedError."""
+    if len(data) < BLOCK_HEADER.size:
+        raise DamagedError("file truncated within a block header")
+    magic, *rest, check = BLOCK_HEADER.unpack(data[: BLOCK_HEADER.size])
+    if magic != BLOCK_MAGIC or check != zlib.crc32(data[: BLOCK_HEADER.size - 4]) or rest[2] > MAX_PAYLOAD_BYTES:
+        raise DamagedError("block header missing or damaged")
+    return BlockHeader(*rest)
 
 
-def frames_of(lot: Lot, payload: bytes, expand: Callable[[bytes, int], bytes]) -> Iterator[list]:
-    """The frames of a block; raises Damaged before the first if any of it is."""
-    if len(payload) != lot.size:
-        raise Damaged("the file ends within a block")
-    if zlib.crc32(payload) != lot.check:
-        raise Damaged("a block's checksum differs")
+def decode_frames(header: BlockHeader, payload: bytes, decompress: Callable[[bytes, int], bytes]) -> Iterator[list]:
+    """Decode the frames of a block; if any part is damaged, raises DamagedError before the first frame."""
+    if len(payload) != header.payload_bytes:
+        raise DamagedError("file truncated within a block")
+    if zlib.crc32(payload) != header.payload_crc:
+        raise DamagedError("block checksum mismatch")
     try:
-        parts = msgpack.Unpacker(max_buffer_size=PAYLOAD_MOST, strict_map_key=False)
-        parts.feed(expand(payload, lot.whole))
-        names = Names(next(parts))
+        parts = msgpack.Unpacker(max_buffer_size=MAX_PAYLOAD_BYTES, strict_map_key=False)
+        parts.feed(decompress(payload, header.decompressed_bytes))
+        names = NameTable(next(parts))
         rows = list(parts)
-    except Exception as fault:  # a checksum that fits bytes which do not unpack: another writer's mistake
-        raise Damaged(f"a block does not unpack: {fault}") from None
-    if len(rows) != lot.frames:
-        raise Damaged(f"a block of {len(rows)} frames says that it has {lot.frames}")
+    except Exception as error:  # the checksum matches but the content is invalid: written by a faulty writer
+        raise DamagedError(f"block cannot be decoded: {error}") from None
+    if len(rows) != header.frame_count:
+        raise DamagedError(f"block holds {len(rows)} frames, but its header says {header.frame_count}")
     for frame in rows:
         if frame[0] in (ROUND, FAILED):
-            frame[3] = names.unpacked(frame[3], HANDLERS)
-            frame[4] = names.unpacked(frame[4], ORDERS)
+            frame[3] = names.unpack_rows(frame[3], HANDLERS)
+            frame[4] = names.unpack_rows(frame[4], ORDERS)
         yield frame
 
 
-def header(told: dict) -> bytes:
-    """The head of a segment."""
-    body = msgpack.packb(told)
-    return HEAD.pack(MAGIC, FORMAT, len(body), zlib.crc32(body)) + body
+def encode_segment_header(fields: dict) -> bytes:
+    """Encode the header of a segment."""
+    body = msgpack.packb(fields)
+    return SEGMENT_HEADER.pack(SEGMENT_MAGIC, FORMAT, len(body), zlib.crc32(body)) + body
 
 
-def header_of(data: bytes) -> tuple[dict, int]:
-    """What the head of a segment says, and where its blocks begin; raises Damaged."""
-    if len(data) < HEAD.size or data[:8] != MAGIC:
-        raise Damaged("no recording")
-    _, format, size, check = HEAD.unpack(data[: HEAD.size])
+def parse_segment_header(data: bytes) -> tuple[dict, int]:
+    """Return the fields of a segment's header and the offset of its first block; raises DamagedError."""
+    if len(data) < SEGMENT_HEADER.size or data[:8] != SEGMENT_MAGIC:
+        raise DamagedError("not a recording")
+    _, format, size, check = SEGMENT_HEADER.unpack(data[: SEGMENT_HEADER.size])
     if format != FORMAT:
-        raise Damaged(f"a recording of format {format}; this version reads {FORMAT}")
-    body = data[HEAD.size : HEAD.size + size]
+        raise DamagedError(f"recording has format {format}; this version reads format {FORMAT}")
+    body = data[SEGMENT_HEADER.size : SEGMENT_HEADER.size + size]
     if len(body) != size or zlib.crc32(body) != check:
-        raise Damaged("the head of the segment is damaged")
-    return msgpack.unpackb(body), HEAD.size + size
+        raise DamagedError("segment header damaged")
+    return msgpack.unpackb(body), SEGMENT_HEADER.size + size
 
 
-def index(rows: list[list]) -> bytes:
-    """What closes a whole segment: offset and head of each block, found from the file's end."""
+def encode_index(rows: list[list]) -> bytes:
+    """Encode the index at the end of a closed segment: the offset and header fields of each block."""
     body = msgpack.packb(rows)
-    return INDEX + body + struct.pack("<II4s", len(body), zlib.crc32(body), INDEX)
+    return INDEX_MAGIC + body + struct.pack("<II4s", len(body), zlib.crc32(body), INDEX_MAGIC)
 
 
-def index_of(tail: bytes) -> list[list] | None:
-    """The index, if these last bytes of a file end with a whole one."""
-    if len(tail) < 16 or tail[-4:] != INDEX:
+def parse_index(tail: bytes) -> list[list] | None:
+    """Parse the index at the end of a file's last bytes; None if there is no intact one."""
+    if len(tail) < 16 or tail[-4:] != INDEX_MAGIC:
         return None
     size, check, _ = struct.unpack("<II4s", tail[-12:])
     body = tail[-12 - size : -12]
--- a/knotwalk/record/reader.py
+++ b/knotwalk/record/reader.py
@@ -1,6 +1,6 @@
-"""The reader: frames out of segments, with whatever is missing or damaged told by place, number and time.
+"""Reads frames from segment files, and reports what is missing or damaged by file offset, frame number and time.
 
-Reads files and changes none. It must never hand out a frame of a damaged block, or pass over a loss in silence.
+It changes no files. It must never return a frame of a damaged block, or skip missing frames without reporting a loss.
 """
 
 import os
@@ -11,107 +11,107 @@
 import zstandard
 
 from knotwalk.record import format
-from knotwalk.record.format import CHECK, END, Damaged, Lot
+from knotwalk.record.format import CHECKPOINT, END, BlockHeader, DamagedError
 
-TAIL = 1 << 22  # bytes at a file's end in which its index is looked for
+MAX_INDEX_BYTES = 1 << 22  # the index is searched for in this many bytes at the end of a file
 
 
 DAMAGED = "damaged, missing or never written"
-CUT_OFF = "this life was cut off: what it met after its last block is not here"
+CUT_OFF = "this incarnation was cut off: what followed its last block is missing"
 
 
-class Unusable(Exception):
-    """Files that are no recording, or not one; the text says what is wrong."""
+class UnusableRecordingError(Exception):
+    """The files hold no recording, or several; the message says what is wrong."""
 
 
 class Fault(NamedTuple):
-    """Damage that was found."""
+    """Damage found in a file."""
 
     file: str
-    at: int  # bytes from the file's start
-    what: str
+    offset: int  # bytes from the start of the file
+    description: str
 
     def __str__(self) -> str:
-        return f"{self.file} at {self.at}: {self.what}"
+        return f"{self.file} at {self.offset}: {self.description}"
 
 
 class Block(NamedTuple):
-    """Where a block lies."""
+    """The location and header of a block."""
 
     path: Path
-    at: int
-    lot: Lot
+    offset: int  # of the header, bytes from the start of the file
+    header: BlockHeader
 
     def frames(self) -> Iterator[list]:
-        """Its frames; raises Damaged before the first."""
+        """Read and decode the frames; raises DamagedError before the first if the block is damaged."""
         with self.path.open("rb") as file:
-            file.seek(self.at + format.LOT.size)
-            payload = file.read(self.lot.size)
-        expand = zstandard.ZstdDecompressor().decompress
-        return format.frames_of(self.lot, payload, lambda data, whole: expand(data, max_output_size=whole))
+            file.seek(self.offset + format.BLOCK_HEADER.size)
+            payload = file.read(self.header.payload_bytes)
+        decompress = zstandard.ZstdDecompressor().decompress
+        return format.decode_frames(self.header, payload, lambda data, size: decompress(data, max_output_size=size))
 
 
 class Segment:
-    """One file."""
+    """One file of a recording."""
 
     def __init__(self, path: Path):
         self.path = path
         self.faults: list[Fault] = []
         self.size = path.stat().st_size
         with path.open("rb") as file:
-            self.told, start = format.header_of(file.read(1 << 20))
+            self.header, start = format.parse_segment_header(file.read(1 << 20))
             try:
-                self.conductor, self.incarnation = str(self.told["conductor"]), str(self.told["incarnation"])
-                self.number = int(self.told["segment"])
+                self.conductor, self.incarnation = str(self.header["conductor"]), str(self.header["incarnation"])
+                self.number = int(self.header["segment"])
             except (KeyError, ValueError, TypeError):
-                raise Damaged("the head of the segment names no conductor, incarnation or number") from None
-            file.seek(max(0, self.size - TAIL))
-            rows = format.index_of(file.read())
-            self.whole = rows is not None  # closed in order
+                raise DamagedError("segment header lacks the conductor, incarnation or segment number") from None
+            file.seek(max(0, self.size - MAX_INDEX_BYTES))
+            rows = format.parse_index(file.read())
+            self.is_complete = rows is not None  # the index is written when a segment is closed
             if rows is not None:
-                self.blocks = [Block(path, at, Lot(*lot)) for at, *lot in rows]
+                self.blocks = [Block(path, offset, BlockHeader(*header)) for offset, *header in rows]
             else:
                 self.blocks = list(self.scan(file, start))
 
-    def scan(self, file, at: int) -> Iterator[Block]:
-        """Block by block, from head to head; past damage, on to the next whole head."""
-        while at < self.size:
-            file.seek(at)
+    def scan(self, file, offset: int) -> Iterator[Block]:
+        """Find the blocks of a file without an index; after damage, continue at the next intact block header."""
+        while offset < self.size:
+            file.seek(offset)
             try:
-                lot = format.lot_of(file.read(format.LOT.size))
-                if at + format.LOT.size + lot.size > self.size:
-                    raise Damaged("the file ends within a block")
-            except Damaged as fault:
-                self.faults.append(Fault(self.path.name, at, str(fault)))
-                at = self.next_head(file, at + 1)
+                header = format.parse_block_header(file.read(format.BLOCK_HEADER.size))
+                if offset + format.BLOCK_HEADER.size + header.payload_bytes > self.size:
+                    raise DamagedError("file truncated within a block")
+            except DamagedError as error:
+                self.faults.append(Fault(self.path.name, offset, str(error)))
+                offset = self.next_header(file, offset + 1)
                 continue
-            yield Block(self.path, at, lot)
-            at += format.LOT.size + lot.size
+            yield Block(self.path, offset, header)
+            offset += format.BLOCK_HEADER.size + header.payload_bytes
 
-    def next_head(self, file, at: int) -> int:
-        file.seek(at)
+    def next_header(self, file, offset: int) -> int:
+        file.seek(offset)
         data = file.read()
-        place = -1
-        while (place := data.find(format.BLOCK, place + 1)) >= 0:
+        position = -1
+        while (position := data.find(format.BLOCK_MAGIC, position + 1)) >= 0:
             try:
-                format.lot_of(data[place : place + format.LOT.size])
-                return at + place
-            except Damaged:
+                format.parse_block_header(data[position : position + format.BLOCK_HEADER.size])
+                return offset + position
+            except DamagedError:
                 continue
         return self.size
 
 
 class Loss(NamedTuple):
-    """Rounds that the recording does not hold."""
+    """Frames that are missing from the recording."""
 
-    since: float  # time of the last frame before it
-    until: float  # and of the first after it; infinity: nothing follows
-    frames: int  # missing by their numbers; 0: unknown, at the end of a life that was cut off
+    since: float  # time of the last frame before the loss, Unix seconds
+    until: float  # time of the first frame after it; infinity if none follows
+    frames: int  # number of missing frames; 0 if unknown, at the end of an incarnation without an end frame
     why: str
 
 
 class Recording:
-    """All that some files hold of one conductor."""
+    """All frames of one conductor in a set of files."""
 
     def __init__(self, paths: Iterable[str | os.PathLike], conductor: str | None = None):
         self.faults: list[Fault] = []
@@ -119,72 +119,76 @@
         for path in self.files(paths):
             try:
                 segments.append(Segment(path))
-            except (Damaged, OSError) as fault:
-                self.faults.append(Fault(path.name, 0, str(fault)))
+            except (DamagedError, OSError) as error:
+                self.faults.append(Fault(path.name, 0, str(error)))
         names = sorted({x.conductor for x in segments})
         if conductor is None and len(names) > 1:
-            raise Unusable(f"recordings of {len(names)} conductors, {', '.join(names)}: name one")
+            raise UnusableRecordingError(
+                f"recordings of {len(names)} conductors, {', '.join(names)}: choose one with --conductor"
+            )
         if conductor is not None and conductor not in names:
-            raise Unusable(f"no recording of {conductor}" + (f"; there is {', '.join(names)}" if names else ""))
+            raise UnusableRecordingError(
+                f"no recording of {conductor}" + (f"; there is {', '.join(names)}" if names else "")
+            )
         if not segments:
-            raise Unusable("; ".join(map(str, self.faults)) or "no recording there")
+            raise UnusableRecordingError("; ".join(map(str, self.faults)) or "no recording found")
         self.conductor = conductor or names[0]
-        # By number, not by time: a clock may be set back between two lives.
+        # Sorted by number, not by time: the clock may be set back between two incarnations.
         self.segments = sorted((x for x in segments if x.conductor == self.conductor), key=lambda x: x.number)
         self.faults += [f for x in self.segments for f in x.faults]
-        # Segments of two lives may lie between each other while an old one is not quite dead.
+        # Segments of two incarnations may alternate: the writer of the old one may still run when the new one starts.
         self.incarnations: dict[str, list[Block]] = {}
         for x in self.segments:
             self.incarnations.setdefault(x.incarnation, []).extend(x.blocks)
 
     @staticmethod
     def files(paths: Iterable[str | os.PathLike]) -> list[Path]:
-        found: list[Path] = []
+        found_files: list[Path] = []
         for path in map(Path, paths):
             if not path.exists():
-                raise Unusable(f"{path}: no such file or folder")
-            found += sorted(path.glob("*.kwr")) if path.is_dir() else [path]
-        return list(dict.fromkeys(found))
+                raise UnusableRecordingError(f"{path}: no such file or folder")
+            found_files += sorted(path.glob("*.kwr")) if path.is_dir() else [path]
+        return list(dict.fromkeys(found_files))
 
     def frames(self, blocks: Iterable[Block]) -> Iterator[list]:
-        """The frames of blocks that can be read; what cannot is added to the faults."""
+        """Read the frames of all intact blocks; damaged ones are added to `faults`."""
         for x in blocks:
             try:
                 yield from x.frames()
-            except Damaged as fault:
-                self.faults.append(Fault(x.path.name, x.at, str(fault)))
+            except DamagedError as error:
+                self.faults.append(Fault(x.path.name, x.offset, str(error)))
 
-    def events(self, blocks: Iterable[Block], first: int = 0, then: Block | None = None) -> Iterator[list | Loss]:
-        """Frames in order, and a Loss wherever numbers are missing between them, from number `first` on and up to
-        the block `then`, with which others go on."""
+    def events(self, blocks: Iterable[Block], first: int = 0, next_block: Block | None = None) -> Iterator[list | Loss]:
+        """Read frames in order, with a Loss wherever frame numbers are missing. Numbers are expected to begin with
+        `first` and to reach up to `next_block`, the block after these; None if these are the last."""
         expected, last, kind = first, float("-inf"), END
         for frame in self.frames(blocks):
             if frame[1] < expected:
-                continue  # a block that lies there twice
+                continue  # a duplicate block
             if frame[1] > expected:
                 why = frame[5] if frame[0] == format.GAP else DAMAGED
                 yield Loss(last, frame[2], frame[1] - expected, why)
             expected, last, kind = frame[1] + 1, frame[2], frame[0]
             yield frame
-        if then is not None and then.lot.first > expected:
-            yield Loss(last, then.lot.begun, then.lot.first - expected, DAMAGED)
-        elif then is None and kind != END:
+        if next_block is not None and next_block.header.first_number > expected:
+            yield Loss(last, next_block.header.begins_at, next_block.header.first_number - expected, DAMAGED)
+        elif next_block is None and kind != END:
             yield Loss(last, float("inf"), 0, CUT_OFF)
 
     def parts(self, incarnation: str) -> list[list[Block]]:
-        """The blocks of an incarnation, cut before each checkpoint: what a replay may begin with."""
+        """The blocks of an incarnation, split before each checkpoint: a replay can begin with any part."""
         parts: list[list[Block]] = []
         for x in self.incarnations[incarnation]:
-            if x.lot.flags & format.CHECKED or not parts:
+            if x.header.flags & format.STARTS_WITH_CHECKPOINT or not parts:
                 parts.append([])
             parts[-1].append(x)
         return parts
 
     @staticmethod
     def checkpoint(x: Block) -> list | None:
-        """The checkpoint frame with which a block begins."""
+        """The checkpoint frame that a block begins with; None if there is none or the block is damaged."""
         try:
             frame = next(x.frames(), None)
-        except Damaged:
+        except DamagedError:
             return None
-        return frame if frame and frame[0] == CHECK else None
+        return frame if frame and frame[0] == CHECKPOINT else None
--- a/knotwalk/record/recorder.py
+++ b/knotwalk/record/recorder.py
@@ -1,7 +1,7 @@
-"""The recorder: turns rounds into frames within a bound of memory, and says what it had to drop.
+"""Encodes rounds as frames in a bounded buffer, and records which frames it had to drop.
 
-Owns numbers, lives, checkpoints and gaps. It does no I/O: whoever carries its bytes takes them from `waiting`. It must
-never hold more than its room, drop part of a round, or go on after a loss without a checkpoint.
+It does no I/O: the caller takes the bytes from `waiting`. It must never buffer more than its limit, drop part of a
+round, or continue after dropped frames without a checkpoint.
 """
 
 import struct
@@ -11,125 +11,140 @@
 from knotwalk import state
 from knotwalk.decide import Conductor
 from knotwalk.interface import Settings
-from knotwalk.record.format import CHECK, END, FAILED, GAP, LIFE, ROUND
+from knotwalk.record.format import CHECKPOINT, END, FAILED, GAP, LIFE, ROUND
 from knotwalk.rules import Limits
 
-ROOM = 1 << 20  # bytes that may wait: some seconds of a storm at the grown size
-ROUNDS = 4096  # that may wait to be packed: a loop does fewer in the tenth of a second that they wait
-LENGTH = struct.Struct("<I")
+MAX_WAITING_BYTES = 1 << 20  # a few seconds of the heaviest load at the largest tested size
+MAX_WAITING_ROUNDS = 4096  # not yet packed; the loop runs fewer than this between two sends, 0.1 s apart
+LENGTH_PREFIX = struct.Struct("<I")
 
 
 class Recorder:
-    """One incarnation's recording, on the conductor's side."""
-
-    def __init__(self, name: str, incarnation: str, policy: str, every: float, room: int = ROOM):
-        self.name, self.incarnation, self.policy, self.every, self.room = name, incarnation, policy, every, room
+    """Records one incarnation, within the conductor's process."""
+
+    def __init__(
+        self,
+        name: str,
+        incarnation: str,
+        policy: str,
+        checkpoint_interval_s: float,
+        max_waiting_bytes: int = MAX_WAITING_BYTES,
+    ):
+        self.name, self.incarnation, self.policy, self.checkpoint_interval_s, self.max_waiting_bytes = (
+            name,
+            incarnation,
+            policy,
+            checkpoint_interval_s,
+            max_waiting_bytes,
+        )
         self.waiting = bytearray()
-        self.rounds: list[tuple] = []  # not yet packed: that is done between rounds
+        self.rounds: list[tuple] = []  # not yet packed: packing is deferred to the time between rounds
         self.number = 0  # of the next frame
-        self.gap: tuple[float, str] | None = None  # since when rounds are dropped, and why
-        self.lost = self.lost_all = 0  # rounds dropped in this gap, and in those that are over
-        self.held = False  # whether the writer has said that its disk takes nothing
-        self.checked = float("-inf")  # when the last checkpoint went
-        self.life_told: dict = {}
+        self.gap: tuple[float, str] | None = None  # when dropping began and why, while frames are dropped
+        self.lost = self.total_lost = 0  # frames dropped in this gap, and in all gaps that ended
+        self.is_suspended = False  # the writer has reported that it can't write to its disk
+        self.last_checkpoint_at = float("-inf")  # time of the last checkpoint
+        self.life_fields: dict = {}
         self.pack = msgpack.Packer().pack
 
-    def put(self, kind: int, now: float, *rest: object) -> bool:
-        """Add a frame, whole or not at all; either way it has used up its number."""
+    def add_frame(self, kind: int, now: float, *rest: object) -> bool:
+        """Add a frame, or drop it if it does not fit; it takes up a number in either case."""
         number, self.number = self.number, self.number + 1
         try:
             data = self.pack([kind, number, now, *rest])
-        except (TypeError, ValueError, OverflowError) as fault:
-            return self.drop(now, f"a frame that cannot be packed: {fault}")
-        if len(self.waiting) + len(data) + LENGTH.size > self.room:
-            return self.drop(now, "the writer is behind")
-        self.waiting += LENGTH.pack(len(data))
+        except (TypeError, ValueError, OverflowError) as error:
+            return self.drop_frame(now, f"frame cannot be packed: {error}")
+        if len(self.waiting) + len(data) + LENGTH_PREFIX.size > self.max_waiting_bytes:
+            return self.drop_frame(now, "the writer is behind")
+        self.waiting += LENGTH_PREFIX.pack(len(data))
         self.waiting += data
         return True
 
-    def drop(self, now: float, why: str) -> bool:
-        self.gap = self.gap or (now, why)
+    def drop_frame(self, now: float, reason: str) -> bool:
+        self.gap = self.gap or (now, reason)
         self.lost += 1
         return False
 
-    def settle(self) -> None:
-        """Pack the rounds that wait for it."""
+    def pack_rounds(self) -> None:
+        """Pack the rounds that were recorded since the last call."""
         rounds, self.rounds = self.rounds, []
         for now, inbox, orders in rounds:
             if self.gap:
                 self.number += 1
                 self.lost += 1
             else:
-                self.put(ROUND, now, inbox, orders)
-
-    def life(self, now: float, module: Conductor, settings: Settings, limits: Limits, seed: int, why: str) -> None:
-        """A module's life begins, in the state in which it is; `why`: start, reload or failed."""
-        self.life_told = {
-            "why": why,
+                self.add_frame(ROUND, now, inbox, orders)
+
+    def record_life(
+        self, now: float, module: Conductor, settings: Settings, limits: Limits, seed: int, reason: str
+    ) -> None:
+        """Record that a Conductor object was created, and its state; `reason` is start, reload or failed."""
+        self.life_fields = {
+            "why": reason,
             "seed": f"{seed:x}",
             "settings": state.settings_to_dict(settings),
             "limits": limits._asdict(),
             "policy": self.policy,
         }
-        self.settle()
-        if self.gap is None and self.put(LIFE, now, self.life_told):
-            self.check(now, module)
+        self.pack_rounds()
+        if self.gap is None and self.add_frame(LIFE, now, self.life_fields):
+            self.record_checkpoint(now, module)
 
-    def check(self, now: float, module: Conductor) -> None:
-        self.settle()
-        self.checked = now
-        self.put(CHECK, now, state.snapshot(module), self.life_told)
+    def record_checkpoint(self, now: float, module: Conductor) -> None:
+        self.pack_rounds()
+        self.last_checkpoint_at = now
+        self.add_frame(CHECKPOINT, now, state.snapshot(module), self.life_fields)
 
-    def round(self, now: float, inbox: list, orders: list, module: Conductor) -> None:
-        """A round, after it: what came in, and what was ordered as (order, arguments). Neither may change later."""
+    def record_round(self, now: float, inbox: list, orders: list, module: Conductor) -> None:
+        """Record a finished round. `orders` holds (order, arguments) pairs; neither list may change later."""
         if self.gap:
             self.number += 1
             self.lost += 1
             self.resume(now, module)
             return
         self.rounds.append((now, inbox, orders))
-        if now >= self.checked + self.every or len(self.rounds) >= ROUNDS:
-            self.settle()
-            if not self.gap and now >= self.checked + self.every:
-                self.check(now, module)
-
-    def failed(self, now: float, inbox: list, orders: list, text: str) -> None:
-        """A round in which the decisions failed; a new life follows."""
-        self.settle()
+        if now >= self.last_checkpoint_at + self.checkpoint_interval_s or len(self.rounds) >= MAX_WAITING_ROUNDS:
+            self.pack_rounds()
+            if not self.gap and now >= self.last_checkpoint_at + self.checkpoint_interval_s:
+                self.record_checkpoint(now, module)
+
+    def record_failure(self, now: float, inbox: list, orders: list, text: str) -> None:
+        """Record a round in which the decisions raised an exception; a LIFE frame follows."""
+        self.pack_rounds()
         if self.gap:
             self.number += 1
             self.lost += 1
         else:
-            self.put(FAILED, now, inbox, orders, text)
+            self.add_frame(FAILED, now, inbox, orders, text)
 
     def resume(self, now: float, module: Conductor) -> None:
-        """Go on after a loss, once half of the room is free: what was lost, and the state it goes on in."""
-        if self.held or len(self.waiting) > self.room // 2 or self.gap is None:
+        """Resume after dropped frames, once half of the buffer is free, with a GAP frame and a checkpoint."""
+        if self.is_suspended or len(self.waiting) > self.max_waiting_bytes // 2 or self.gap is None:
             return
-        (since, why), self.gap = self.gap, None
-        if self.put(GAP, now, since, self.lost, why):
-            self.check(now, module)
-        if self.gap:  # not even that fits
-            self.gap = since, why
+        (since, reason), self.gap = self.gap, None
+        if self.add_frame(GAP, now, since, self.lost, reason):
+            self.record_checkpoint(now, module)
+        if self.gap:  # these did not fit either
+            self.gap = since, reason
         else:
-            self.lost_all, self.lost = self.lost_all + self.lost, 0
+            self.total_lost, self.lost = self.total_lost + self.lost, 0
 
-    def hold(self, now: float, why: str) -> None:
-        """The disk takes nothing: rounds are dropped until release()."""
-        self.settle()
-        self.gap, self.held = self.gap or (now, why), True
+    def suspend(self, now: float, reason: str) -> None:
+        """Drop rounds until end_suspension(), because the writer can't write to its disk."""
+        self.pack_rounds()
+        self.gap, self.is_suspended = self.gap or (now, reason), True
 
-    def release(self) -> None:
-        self.held = False
+    def end_suspension(self) -> None:
+        self.is_suspended = False
 
-    def cut(self, now: float, why: str) -> None:
-        """The writer is gone, and what waits for it, perhaps in the midst of a frame, is void."""
-        self.settle()
+    def discard_waiting(self, now: float, reason: str) -> None:
+        """Discard the buffer because the writer exited; the first frame in it may have been sent in part."""
+        self.pack_rounds()
         self.waiting.clear()
-        self.gap, self.held = self.gap or (now, why), False
+        self.gap, self.is_suspended = self.gap or (now, reason), False
 
-    def end(self, now: float) -> None:
-        """The program ends in order."""
-        self.settle()
+    def record_end(self, now: float) -> None:
+        """Record an orderly end of the program."""
+        self.pack_rounds()
         if self.gap is None:
-            self.put(END, now)
+            self.add_frame(END, now)
--- a/knotwalk/replay/command.py
+++ b/knotwalk/replay/command.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from knotwalk.record.reader import Loss, Recording, Unusable as UnusableRecording
+from knotwalk.record.reader import Loss, Recording, UnusableRecordingError
 from knotwalk.replay import change, exact, verdict
 from knotwalk.replay.model import Failed, Model, Run
 from knotwalk.replay.past import Past
@@ -91,7 +91,7 @@
 
 
 def begins(recording: Recording) -> float:
-    times = [x.lot.begun for blocks in recording.incarnations.values() for x in blocks]
+    times = [x.header.begins_at for blocks in recording.incarnations.values() for x in blocks]
     if not times:
         raise change.Unusable("the recording holds no whole block")
     return times[0]
@@ -101,7 +101,7 @@
     past = Past()
     for incarnation in recording.incarnations:
         parts = recording.parts(incarnation)
-        kept = [p for p in parts if p[-1].lot.ended >= since and p[0].lot.begun <= until]
+        kept = [p for p in parts if p[-1].header.ends_at >= since and p[0].header.begins_at <= until]
         for event in within(recording, [x for p in kept for x in p], until):
             past.feed(event)
     past.losses = [x for x in past.losses if x.since > float("-inf")]
@@ -283,7 +283,7 @@
                 raise change.Unusable("--html shows a what-if: --set or --policy is wanted with it")
             write(options["--html"], _work["past"], v, _work["tried"].names, recording.conductor)
             say(f"written: {options['--html']}")
-    except (UnusableRecording, change.Unusable, SnapshotError, Failed) as fault:
+    except (UnusableRecordingError, change.Unusable, SnapshotError, Failed) as fault:
         print(f"knotwalk: {' '.join(str(fault).split())}", file=sys.stderr)
         return UNUSABLE
     except OSError as fault:
--- a/knotwalk/replay/exact.py
+++ b/knotwalk/replay/exact.py
@@ -12,7 +12,7 @@
 from knotwalk import state
 from knotwalk.decide import Conductor
 from knotwalk.order_log import OrderLog
-from knotwalk.record.format import CHECK, FAILED, LIFE, ROUND
+from knotwalk.record.format import CHECKPOINT, FAILED, LIFE, ROUND
 from knotwalk.record.reader import Block, Loss, Recording
 from knotwalk.state import SnapshotError
 
@@ -122,7 +122,7 @@
             elif event[0] == ROUND:
                 if self.module is not None:
                     self.round(event)
-            elif event[0] == CHECK:
+            elif event[0] == CHECKPOINT:
                 self.check(event)
             elif event[0] == LIFE:
                 self.life(event)
@@ -205,17 +205,17 @@
     wanted = [
         p
         for k, p in enumerate(parts)
-        if p[-1].lot.ended >= since and p[0].lot.begun <= until or k + 1 == len(parts) == 1
+        if p[-1].header.ends_at >= since and p[0].header.begins_at <= until or k + 1 == len(parts) == 1
     ]
     if not wanted:
         return
     after = parts.index(wanted[-1]) + 1
     then = parts[after][0] if after < len(parts) else None
-    weight = sum(x.lot.size for p in wanted for x in p) / max(1, jobs)
+    weight = sum(x.header.payload_bytes for p in wanted for x in p) / max(1, jobs)
     run: list[list[Block]] = []
     for k, part in enumerate(wanted):
         run.append(part)
-        if sum(x.lot.size for p in run for x in p) >= weight or k + 1 == len(wanted):
+        if sum(x.header.payload_bytes for p in run for x in p) >= weight or k + 1 == len(wanted):
             following = wanted[k + 1][0] if k + 1 < len(wanted) else then
             yield [x for p in run for x in p], following
             run = []
@@ -236,7 +236,7 @@
     player = Player(incarnation, make)
     events = recording.events(blocks, first, then)
     for event in events:
-        if not isinstance(event, Loss) and event[2] > until and event[0] != CHECK:
+        if not isinstance(event, Loss) and event[2] > until and event[0] != CHECKPOINT:
             break
         player.play([event])
     else:
@@ -267,7 +267,7 @@
         first = 0 if since == float("-inf") else None  # what the budget removed at the front is a loss too
         # Some runs a job, so that none waits long for the last.
         for blocks, then in chunks(recording, incarnation, jobs if jobs < 2 else 4 * jobs, since, until):
-            work.append((incarnation, blocks, blocks[0].lot.first if first is None else first, then, until))
+            work.append((incarnation, blocks, blocks[0].header.first_number if first is None else first, then, until))
             first = None
     players: list[Player] = []
     faults = [str(f) for f in recording.faults]
--- a/knotwalk/replay/past.py
+++ b/knotwalk/replay/past.py
@@ -11,7 +11,7 @@
 
 from knotwalk import state
 from knotwalk.interface import Settings
-from knotwalk.record.format import CHECK, FAILED, LIFE, ROUND
+from knotwalk.record.format import CHECKPOINT, FAILED, LIFE, ROUND
 from knotwalk.record.reader import Loss
 from knotwalk.replay.day_parts import LATE_LEAST, Host, Life, Met, Report, Steps, in_time
 from knotwalk.rules import Limits
@@ -75,7 +75,7 @@
                     limits_read(life["limits"]),
                 )
             )
-        elif kind == CHECK and (not self.lives or self.blind):
+        elif kind == CHECKPOINT and (not self.lives or self.blind):
             self.begin(now, rest[0], rest[1])
         elif kind in (ROUND, FAILED) and not self.blind:
             self.round(now, rest[0], rest[1])
--- a/knotwalk/replay/verdict.py
+++ b/knotwalk/replay/verdict.py
@@ -11,7 +11,7 @@
 
 from knotwalk import state
 from knotwalk.interface import Settings
-from knotwalk.record.format import CHECK, FAILED, LIFE, ROUND
+from knotwalk.record.format import CHECKPOINT, FAILED, LIFE, ROUND
 from knotwalk.record.reader import Loss
 from knotwalk.replay.model import SPAN, Run
 from knotwalk.replay.past import Past, limits_read, worth
@@ -38,7 +38,7 @@
             if rest[0]["why"] == "start":
                 rules.restart()
             blind = False
-        elif kind == CHECK and blind:
+        elif kind == CHECKPOINT and blind:
             settings, limits = state.settings_from_dict(rest[1]["settings"]), limits_read(rest[1]["limits"])
             if rules is None:
                 rules = RuleChecker(settings, limits)
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -14,7 +14,7 @@
 from standins.edges import Site, certificates, most_within
 from standins.hubs import SMALL, filled
 from standins.platform import PATIENCE, SETTINGS, StandIn
-from standins.tapes import replayed
+from standins.recordings import replayed
 
 from knotwalk.net.loop import Loop
 from knotwalk.pubsub import front, keep, wire
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -7,7 +7,7 @@
 
 import pytest
 from standins.day import Day, Size, settings_of, storm
-from standins.tapes import Tapes
+from standins.recordings import DayRecorder
 
 from knotwalk.decide import Conductor
 from knotwalk.interface import Settings
@@ -22,18 +22,18 @@
 
 
 def taped(folder, seed, size, seconds, script=None, settings=None, every=15.0, **options):
-    tapes = Tapes(folder, every=every)
+    day_recorder = DayRecorder(folder, checkpoint_interval_s=every)
     day = Day(
         seed,
         size,
         settings,
         script=storm(seed, size, seconds, 15) if script is None else script,
-        witness=tapes.witness,
-        lives=tapes.lives,
+        witness=day_recorder.record_round,
+        lives=day_recorder.record_life,
         **options,
     )
     day.run(seconds)
-    tapes.close(day.now)
+    day_recorder.close(day.now)
     return day, Recording([folder])
 
 
@@ -41,7 +41,7 @@
     script = [(9.0, "restart"), (20.0, "reload"), *storm(2, SMALL, 40.0, 5)]
     script[1] = (20.0, "come_anew")
     day_settings = settings_of(SMALL)
-    tapes = Tapes(tmp_path, every=7.0)
+    day_recorder = DayRecorder(tmp_path, checkpoint_interval_s=7.0)
 
     class Anew(Day):
         def come_anew(self):
@@ -51,28 +51,32 @@
             old, self.settings = self.module, self.settings._replace(messages_most=5)
             self.module = Conductor(self.settings, 77)
             carry_over(old, self.module)
-            tapes.lives(self.now, self.module, self.settings, 77, "reload")
+            day_recorder.record_life(self.now, self.module, self.settings, 77, "reload")
             inbox = [("joined", (edge.id,)) for edge in self.edges if edge.joined]
             for k, lines in self.store.items():
                 inbox += [("given", (k,)), *(("held", (k, s, w)) for s, w in lines.items())]
             self.round([*inbox, ("listed", (True, False, [x.entry() for x in self.machines.values()]))])
 
-    day = Anew(2, SMALL, day_settings, script=script, witness=tapes.witness, lives=tapes.lives).run(40.0)
-    tapes.close(day.now)
+    day = Anew(
+        2, SMALL, day_settings, script=script, witness=day_recorder.record_round, lives=day_recorder.record_life
+    ).run(40.0)
+    day_recorder.close(day.now)
     outcome = exact.replay(Recording([tmp_path]), jobs=3)
     assert outcome.exact and outcome.lives == 3 and not outcome.losses and outcome.joints >= 3
 
 
 def test_a_failed_decision_fails_again_and_the_next_life_goes_on(tmp_path, monkeypatch):
-    tapes = Tapes(tmp_path, every=7.0)
-    day = Day(4, SMALL, script=storm(4, SMALL, 30.0, 5), witness=tapes.witness, lives=tapes.lives).run(20.0)
+    day_recorder = DayRecorder(tmp_path, checkpoint_interval_s=7.0)
+    day = Day(
+        4, SMALL, script=storm(4, SMALL, 30.0, 5), witness=day_recorder.record_round, lives=day_recorder.record_life
+    ).run(20.0)
     bad = [("held", (0, "s1", "heavy"))]  # a weight that is no figure
     with pytest.raises(TypeError) as fault:
         day.module.decide(day.now + 0.1, bad, exact.OrderLog())
-    tapes.recorder.failed(day.now + 0.1, bad, [], f"TypeError: {fault.value}")
+    day_recorder.recorder.record_failure(day.now + 0.1, bad, [], f"TypeError: {fault.value}")
     day.at(day.now + 0.2, day.begin)
     day.run(10.0)
-    tapes.close(day.now)
+    day_recorder.close(day.now)
     outcome = exact.replay(Recording([tmp_path]))
     assert outcome.exact and outcome.failures == 1 and outcome.lives == 2 and not outcome.losses
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 from helpers import PLAIN
 from hypothesis import given, settings, strategies as st
 from standins.day import Day, Size, storm
-from standins.tapes import LIMITS
+from standins.recordings import LIMITS
 
 from knotwalk.rules import RuleChecker
 
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from standins.platform import PATIENCE, SETTINGS, StandIn, call, run
-from standins.tapes import replayed
+from standins.recordings import replayed
 
 from knotwalk.net.close_reason import CloseReason
 from knotwalk.net.conductor import Config, ConfigError, Host
@@ -447,7 +447,7 @@
         config, Log(open(os.devnull, "w")), OperatorSettings(RecordSettings(True, str(tmp_path / "r"), checkpoint=1.0))
     )
     host.record_conductor_start("start")
-    assert host.recorder.life_told["why"] == "start"
+    assert host.recorder.life_fields["why"] == "start"
     host.enqueue("given", 0)
     host.enqueue("held", 0, "a", "heavy")
     host.run_round()
