--- a/knotwalk/edge/__main__.py
+++ b/knotwalk/edge/__main__.py
@@ -88,18 +88,20 @@
             self.client_server.edges = edges
         self.client_server.view_changed(changed)
         if self.view.whole and not self.ending.asked:
-            self.readiness.begin(clock())
+            self.readiness.on_view_ready(clock())
 
     async def run(self) -> None:
         """Serve until shutdown is requested, then finish the requests that were read."""
         self.ending.listen()
-        readiness_server = await readiness.listen(*self.settings.at("readiness"), lambda: self.readiness.at(clock()))
+        readiness_server = await readiness.listen(
+            *self.settings.at("readiness"), lambda: self.readiness.is_ready(clock())
+        )
         await self.client_server.start()
         serving_metrics = asyncio.get_running_loop().create_task(self.serve_metrics())
         polling = asyncio.get_running_loop().create_task(self.view_poller.run())
         await self.ending.wait(polling)
         log_info("shutting down")
-        self.readiness.end()
+        self.readiness.stop()
         self.client_server.drain()
         # Requests that were read are finished while the cluster view is still updated; the last 0.5 s are for the last
         # bytes.
@@ -122,7 +124,7 @@
         await metrics.listen(
             self.settings.ip_address,
             self.settings.metrics_port,
-            lambda: edge_metrics(clock(), self.readiness.at(clock()), self.client_server, self.view_poller),
+            lambda: edge_metrics(clock(), self.readiness.is_ready(clock()), self.client_server, self.view_poller),
         )
 
     def reload(self, settings: Settings) -> None:
--- a/knotwalk/edge/admission_calls.py
+++ b/knotwalk/edge/admission_calls.py
@@ -95,7 +95,7 @@
         self.asks: list[PendingAsk] = []
         self.ends = PendingEnds(window)
         self.failed: dict[str, float] = {}  # when cores failed
-        self.patience = CALL_TIMEOUT_S
+        self.timeout_s = CALL_TIMEOUT_S
         self.sending_ends = False  # a call with ends only is in progress
         self.ask_seconds = 0.0  # total duration of asks
         self._timer: asyncio.TimerHandle | None = None
@@ -105,18 +105,18 @@
         """Ask until there is a response.
 
         After `until` (monotonic clock) it is UNAVAILABLE, and the `cores` of the result may have granted the ask."""
-        begun = self.clock()
+        started_at = self.clock()
         pending = PendingAsk(ask, until, asyncio.get_running_loop().create_future())
         self.asks.append(pending)
         self._start_calls()
-        timer = asyncio.get_running_loop().call_later(max(0.0, until - begun), _set_no_answer, pending.response)
+        timer = asyncio.get_running_loop().call_later(max(0.0, until - started_at), _set_no_answer, pending.response)
         try:
             response = await pending.response
         finally:
             timer.cancel()
             if pending in self.asks:
                 self.asks.remove(pending)
-        self._count_duration(response, self.clock() - begun)
+        self._count_duration(response, self.clock() - started_at)
         refused_by = "" if response.admission in (Admission.RUN, Admission.UNAVAILABLE) else pending.answered_by
         return AskResult(response, tuple(core for core in dict.fromkeys(pending.cores) if core != refused_by))
 
@@ -189,14 +189,20 @@
         due = self.ends.due(now)
         core = self._best_core() if self.asks else None
         if core is not None:
-            ends_with_asks = end_batches.batch_with_asks([one.end for one in self.ends.ready(now, core)])
-            if self.sending_ends or all(one.end in ends_with_asks for one in due) or len(self.idle) == len(self.lanes):
+            ends_with_asks = end_batches.batch_with_asks([pending.end for pending in self.ends.ready(now, core)])
+            if (
+                self.sending_ends
+                or all(pending.end in ends_with_asks for pending in due)
+                or len(self.idle) == len(self.lanes)
+            ):
                 batch, self.asks = self.asks[:MAX_ASKS], self.asks[MAX_ASKS:]
                 return Call(core, batch, ends_with_asks)
         if self.sending_ends or not due:
             return None
-        to = min(due, key=lambda one: self._is_avoided(one.core)).core
-        return Call(to, [], end_batches.batch_alone([one.end for one in due if one.core == to]))
+        target_core = min(due, key=lambda pending: self._is_avoided(pending.core)).core
+        return Call(
+            target_core, [], end_batches.batch_alone([pending.end for pending in due if pending.core == target_core])
+        )
 
     def _best_core(self) -> str | None:
         """The core to ask: the best of those that have not failed lately, otherwise the best of all."""
@@ -208,44 +214,44 @@
 
     async def _call(self, lane: Caller, call: Call) -> None:
         core, batch, ends = call.core, call.asks, call.ends
-        message = EdgeBatch(self.edge, self.incarnation, [one.ask for one in batch], ends).to_json()
-        patience = self.patience + end_batches.transfer_time(len(batch), ends, self.link_mbps)
-        begun = self.clock()
+        message = EdgeBatch(self.edge, self.incarnation, [pending.ask for pending in batch], ends).to_json()
+        timeout_s = self.timeout_s + end_batches.transfer_time(len(batch), ends, self.link_mbps)
+        started_at = self.clock()
         try:
             if lane.close_others(core):
                 await asyncio.sleep(0)  # the descriptor for the next connection is only free after that
-            payload = await lane.json("POST", f"http://{core}/admissions", message, patience, "admissions")
-            response = [AdmissionTold.from_json(one) for one in payload["told"]]
-            if len(response) != len(batch):
+            payload = await lane.json("POST", f"http://{core}/admissions", message, timeout_s, "admissions")
+            responses = [AdmissionTold.from_json(row) for row in payload["told"]]
+            if len(responses) != len(batch):
                 raise ValueError("number of responses differs from number of asks")
         except (PeerError, KeyError, TypeError, ValueError) as error:
-            self._call_failed(core, batch, error, self.clock() - begun >= patience)
+            self._call_failed(core, batch, error, self.clock() - started_at >= timeout_s)
         else:
             self.failed.pop(core, None)
-            self.patience = CALL_TIMEOUT_S
+            self.timeout_s = CALL_TIMEOUT_S
             self.ends.mark_accepted(core, ends)
-            for pending, one in zip(batch, response, strict=True):
+            for pending, response in zip(batch, responses, strict=True):
                 if not pending.response.done():
                     pending.answered_by = core
-                    pending.response.set_result(one)
+                    pending.response.set_result(response)
         finally:
             self.idle.append(lane)
             self.sending_ends = self.sending_ends and bool(batch)
-        if all(self._is_avoided(one) for one in self.cores()):
+        if all(self._is_avoided(core) for core in self.cores()):
             self._start_later(PAUSE_S)
         else:
             self._start_calls()
 
-    def _call_failed(self, core: str, batch: list[PendingAsk], error: Exception, too_slow: bool) -> None:
+    def _call_failed(self, core: str, batch: list[PendingAsk], error: Exception, timed_out: bool) -> None:
         """Handle a failed call, which timed out if `too_slow`: asks that have time left go to another core."""
         now = self.clock()
         self.counts()["asks lost"] += 1
         if not self._is_avoided(core):
             log_warning("admission call failed", core=core, why=str(error))
         self.failed[core] = now
-        if too_slow:
-            self.patience = min(MAX_CALL_TIMEOUT_S, 2 * self.patience)
-        self.asks[:0] = [one for one in batch if not one.response.done() and one.until > now]
+        if timed_out:
+            self.timeout_s = min(MAX_CALL_TIMEOUT_S, 2 * self.timeout_s)
+        self.asks[:0] = [pending for pending in batch if not pending.response.done() and pending.until > now]
 
 
 def _set_no_answer(response: asyncio.Future) -> None:
--- a/knotwalk/edge/caller.py
+++ b/knotwalk/edge/caller.py
@@ -186,9 +186,8 @@
         self.connections: dict[tuple[str, int], Connection] = {}
         self.calls = 0
         self.bytes: Counter[str] = Counter()  # uncompressed bytes of bodies, sent and received
-        self.connect_timeouts: dict[
-            tuple[str, int], float
-        ] = {}  # seconds for the next attempt, after one that timed out
+        # Seconds for the next attempt to connect, after one that timed out.
+        self.connect_timeouts: dict[tuple[str, int], float] = {}
 
     async def json(
         self, method: str, url: str, body: Any = None, timeout_s: float = CALL_TIMEOUT_S, step: str = "call"
--- a/knotwalk/edge/edge_metrics.py
+++ b/knotwalk/edge/edge_metrics.py
@@ -15,35 +15,35 @@
 
 def requests_metric(counts: Counter[str]) -> Figure:
     """Requests by outcome."""
-    found: dict[tuple[str, ...], float] = {}
+    samples: dict[tuple[str, ...], float] = {}
     for name, count in counts.items():
         ending, separator, priority = name.partition(PRIORITY_SEPARATOR)
         outcome, _, cause = ending.partition(": ")
         if separator:
-            found[outcome, cause, priority] = count
+            samples[outcome, cause, priority] = count
     return Figure(
         "knotwalk_edge_requests",
         Kind.COUNTER,
         "requests by how they ended, the cause, and the rank of their route",
-        found,
+        samples,
         ("outcome", "cause", "rank"),
     )
 
 
 def events_metric(counts: Counter[str]) -> Figure:
     """Other events: tries, connections, and requests that ended before they had a route."""
-    found: dict[tuple[str, ...], float] = {
+    samples: dict[tuple[str, ...], float] = {
         (name,): count for name, count in counts.items() if PRIORITY_SEPARATOR not in name
     }
-    return Figure("knotwalk_edge_events", Kind.COUNTER, "what was met with, by event", found, ("event",))
+    return Figure("knotwalk_edge_events", Kind.COUNTER, "what was met with, by event", samples, ("event",))
 
 
 def nodes_metric(view: ClusterView) -> Figure:
     """Nodes of the cluster view by state; a draining or ailing one is not counted as ready."""
-    found = Counter(
+    by_state = Counter(
         "draining" if node.draining else "ailing" if node.ailing else "ready" for node in view.nodes.values()
     )
-    samples: dict[tuple[str, ...], float] = {(state,): found[state] for state in ("ready", "draining", "ailing")}
+    samples: dict[tuple[str, ...], float] = {(state,): by_state[state] for state in ("ready", "draining", "ailing")}
     return Figure("knotwalk_edge_nodes", Kind.GAUGE, "nodes of the cluster view", samples, ("state",))
 
 
--- a/knotwalk/edge/operations.py
+++ b/knotwalk/edge/operations.py
@@ -117,9 +117,8 @@
             if exchange.client_gone and next_step in (AdmissionStep.WAIT, AdmissionStep.FORWARD):
                 next_step = AdmissionStep.REFUSE
             if next_step is AdmissionStep.FORWARD and ask.operation in self.running:
-                next_step = (
-                    AdmissionStep.WAIT
-                )  # two requests asked concurrently, and the other one runs here: it has the claim
+                # Two requests asked concurrently, and the other one runs here: it has the claim.
+                next_step = AdmissionStep.WAIT
             if next_step is not AdmissionStep.WAIT:
                 break
             pause = (
--- a/knotwalk/edge/readiness.py
+++ b/knotwalk/edge/readiness.py
@@ -25,27 +25,27 @@
         self.serving = False
         self._logged_ready = False
 
-    def begin(self, now: float) -> None:
+    def on_view_ready(self, now: float) -> None:
         """There is a cluster view to serve with, perhaps a newer one."""
         self.serving = True
-        self.at(now)
+        self.is_ready(now)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Accept no new connections from now on."""
         self.serving = False
 
-    def at(self, now: float) -> bool:
+    def is_ready(self, now: float) -> bool:
         """Whether the edge is ready; changes are logged."""
-        is_ready = self.serving and self.client_server.intake.can_check_keys(now)
-        if self.serving and is_ready != self._logged_ready:
-            self._logged_ready = is_ready
+        ready = self.serving and self.client_server.intake.can_check_keys(now)
+        if self.serving and ready != self._logged_ready:
+            self._logged_ready = ready
             view = self.client_server.view
             version = view.configuration.version if view.configuration else 0
-            if is_ready:
+            if ready:
                 log_info("ready", version=version, nodes=len(view.nodes))
             else:
                 log_warning("not ready: not sure of the keys in force", version=version)
-        return is_ready
+        return ready
 
 
 async def listen(host: str, port: int, ready: Callable[[], bool]) -> asyncio.Server:
--- a/tests/system/edge_case.py
+++ b/tests/system/edge_case.py
@@ -1,4 +1,4 @@
-"""An edge's front over scripted nodes on loopback, and clients of it: what its tests are built on."""
+"""Base of the edge's tests: a client server over scripted nodes on loopback, and clients of it."""
 
 import asyncio
 import time
@@ -8,21 +8,21 @@
 
 from knotwalk.edge.choose import stats_of
 
-# Seconds that an answer may take on a machine with much other work; who waits so long has failed.
+# Time that an answer may take on a busy machine; a test that waits for longer has failed.
 PATIENCE = 60
 
 
-async def wait_for(met):
-    """Give the loop turns until the condition is met."""
+async def wait_for(condition):
+    """Run the event loop until the condition is met."""
     end = time.monotonic() + PATIENCE
-    while not met():
+    while not condition():
         if time.monotonic() > end:
             raise AssertionError("the condition was not met")
         await asyncio.sleep(0)
 
 
 async def within(awaitable):
-    """What it gives, come within the machine's PATIENCE, also while the loop's time stands."""
+    """The result, within PATIENCE of real time, even while the loop's time stands still."""
     task = asyncio.ensure_future(awaitable)
     try:
         await wait_for(task.done)
@@ -32,13 +32,13 @@
 
 
 async def turns(count=100):
-    """Give the loop turns: timers that are due go off, and what was sent is read."""
+    """Run some iterations of the event loop: due timers fire, and what was sent is read."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 class EdgeCase(unittest.IsolatedAsyncioTestCase):
-    """A front, started by `begin`, and its clients; nothing may be left of an error at the end."""
+    """A client server, started by `begin`, and its clients; fails if the event loop reported any error."""
 
     async def asyncSetUp(self):
         self.loop = asyncio.get_running_loop()
@@ -55,7 +55,7 @@
         self.assertEqual(self.errors, [])
 
     async def end(self):
-        """End clients, nodes and the front, if there is one."""
+        """Stop clients, nodes and the client server, if there is one."""
         for client in self.clients:
             client.close()
         for node in self.nodes:
@@ -66,7 +66,7 @@
             self.client_server._sweep.cancel()
 
     async def begin(self, nodes=1, service="s", limits=None, capacity=4, table=None, **raw):
-        """A front over some of the stand-ins."""
+        """Start a client server over some of the scripted nodes."""
         self.view = view(
             [node.node(service, capacity=capacity) for node in self.nodes[:nodes]], table or routes(), limits
         )
@@ -114,12 +114,12 @@
 
 
 def twice(request, writer):
-    """The answer, and once more in the same breath."""
+    """The answer, and a duplicate of it in the same write."""
     return answer(request) + answer(request, b"again")
 
 
 def late_extra(body):
-    """The whole answer, and once more when the connection's next request has come, ahead of its answer."""
+    """The answer, and a duplicate of it once the next request on the connection has arrived, before its answer."""
 
     def act(request, writer):
         before = getattr(writer, "extra", b"")
--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -1,4 +1,4 @@
-"""What the end of a try proves, the budget of further tries, what is worth offering; and the choice of a node."""
+"""Outcomes of tries, the retry budget, whether to offer a request to a node, and the choice of a node."""
 
 import random
 import unittest
@@ -34,7 +34,7 @@
             (200, False, True): TryOutcome.ANSWERED,
             (200, False, False): TryOutcome.LOST,
             (204, False, True): TryOutcome.ANSWERED,
-            (200, True, True): TryOutcome.LOST,  # a success that says it did not run belongs to nobody
+            (200, True, True): TryOutcome.LOST,  # contradictory: a success that claims not to have run
             (503, True, False): TryOutcome.TURNED_AWAY,
             (429, True, False): TryOutcome.TURNED_AWAY,
             (400, True, False): TryOutcome.TURNED_AWAY,
@@ -56,7 +56,7 @@
                 self.assertIs(classify_answer(status, not_executed, sealed), end)
 
     def test_what_follows(self):
-        """Every case: no second run of what must not be repeated, no promise after it may have run."""
+        """All cases: a non-idempotent request never runs twice, and a request that may have run gets no promise."""
         for end in TryOutcome:
             for idempotent in (False, True):
                 for before in (False, True):
@@ -82,12 +82,12 @@
 
 
 class BudgetCase(unittest.TestCase):
-    def test_a_new_life_has_no_slack(self):
+    def test_a_restarted_edge_has_no_slack(self):
         budget = Budget(0.2, 10.0, 64, started_at=100.0)
         self.assertFalse(budget.take(109.0, 1))
         self.assertTrue(budget.take(111.0, 1))
 
-    def test_what_did_not_arrive_is_given_back(self):
+    def test_a_retry_that_reached_no_node_is_returned(self):
         budget = Budget(0.0, 10.0, 10, started_at=-100.0)
         for _ in range(50):
             self.assertTrue(budget.take(5.0, 1))
@@ -116,22 +116,24 @@
         some.floats(0.3, 3.0),
         some.floats(0, 0.6),
     )
-    def test_all_edges_together_stay_within_the_rule(self, seed, edges, rate, hunger, ratio, slack, swell, kills):
-        """Requests at uneven edges, each wanting up to three more tries; edges lose what they counted, start anew."""
-        luck = random.Random(seed)
+    def test_all_edges_together_stay_within_the_rule(
+        self, seed, edges, rate, retry_chance, ratio, slack, surge, restart_rate
+    ):
+        """Requests at unevenly loaded edges, each with up to three retries; some restart and lose counts."""
+        rng = random.Random(seed)
         window, length = 10.0, 45.0
         budgets = [Budget(ratio, window, slack, -100.0) for _ in range(edges)]
         arrivals, now = [], 0.0
         requests = []
         while now < length:
-            now += luck.expovariate(rate * (swell if 15 < now < 30 else 1.0))
-            if luck.random() < kills / rate:
-                budgets[luck.randrange(edges)] = Budget(ratio, window, slack, now)
-            budget = budgets[min(luck.randrange(edges), luck.randrange(edges))]
+            now += rng.expovariate(rate * (surge if 15 < now < 30 else 1.0))
+            if rng.random() < restart_rate / rate:
+                budgets[rng.randrange(edges)] = Budget(ratio, window, slack, now)
+            budget = budgets[min(rng.randrange(edges), rng.randrange(edges))]
             budget.request(now)
             requests.append(now)
             for _ in range(3):
-                if luck.random() < hunger and budget.take(now, edges):
+                if rng.random() < retry_chance and budget.take(now, edges):
                     arrivals.append(now)
 
         def within(times, first, last):
@@ -149,15 +151,15 @@
 
 
 class AdmissionCase(unittest.TestCase):
-    def test_load_told_is_others_only_and_fades(self):
+    def test_reported_load_is_that_of_other_edges_and_decays(self):
         stats = NodeStats()
         stats.in_flight = 2
         stats.record_load(10.0, running=2, waiting=3, slots=2)
-        self.assertEqual(stats.outstanding(10.0), 4)  # the answered request was among those told
+        self.assertEqual(stats.outstanding(10.0), 4)  # the report includes the answered request
         self.assertEqual(stats.outstanding(10.1 + LOAD_DECAY_S), 2)
 
     def test_a_node_that_is_always_full_is_not_taken_for_an_idle_one(self):
-        """An edge among many hears of a node once a second; by then its last word has faded, what it usually says has
+        """With many edges each gets a report about once a second: the last one has decayed by then, the usual load has
         not."""
         stats = NodeStats()
         for second in range(6):
@@ -166,31 +168,31 @@
         self.assertGreater(stats.usual_outstanding(5.0 + LOAD_DECAY_S), 2)
         self.assertAlmostEqual(stats.usual_outstanding(5.0 + USUAL_LOAD_DECAY_S), 0)
         stats.record_load(6.0, running=1, waiting=0, slots=2)
-        self.assertEqual(stats.usual_outstanding(6.0), 0)  # the last word counts alone while it is fresh
+        self.assertEqual(stats.usual_outstanding(6.0), 0)  # the last report counts alone while it is new
 
-    def test_the_lowest_rank_yields_where_it_would_be_late(self):
-        """Four in hand at two slots: 0.3 s to an answer. The aim binds the lowest rank, higher ones the deadline."""
-        offered = [worth_offering(4, 2, False, 0.12, 1.0, rank, target_latency=0.15) for rank in range(4)]
+    def test_the_lowest_priority_yields_where_it_would_be_late(self):
+        """Four outstanding at two slots: 0.3 s to an answer. The target latency limits the lowest priorities."""
+        offered = [worth_offering(4, 2, False, 0.12, 1.0, priority, target_latency=0.15) for priority in range(4)]
         self.assertEqual(offered, [True, True, False, False])
         self.assertTrue(worth_offering(4, 2, False, 0.12, 1.0, 2, target_latency=0.3))
         self.assertTrue(worth_offering(1, 2, False, 0.5, 1.0, 2, target_latency=0.15))  # a free slot is always worth it
 
-    def test_a_wrong_mean_is_put_right(self):
-        """Whatever the mean of work says, a free slot is offered a request; else nothing would be learned again."""
+    def test_a_wrong_mean_is_corrected(self):
+        """A free slot is offered a request whatever the mean work time, so that the mean can be corrected."""
         self.assertTrue(worth_offering(0, 2, False, work=60.0, time_left=0.5, priority=3))
         self.assertFalse(worth_offering(2, 2, False, work=60.0, time_left=0.5, priority=0))
 
-    def test_lower_ranks_give_up_earlier(self):
-        admitted = [worth_offering(9, 2, False, 0.1, 0.6, rank) for rank in range(4)]
+    def test_lower_priorities_give_up_earlier(self):
+        admitted = [worth_offering(9, 2, False, 0.1, 0.6, priority) for priority in range(4)]
         self.assertEqual(admitted, [True, True, False, False])
 
-    def test_a_full_node_is_left_alone(self):
+    def test_a_full_node_gets_no_request(self):
         self.assertFalse(worth_offering(10, 2, False, 0.001, 10.0, 0))
 
-    def test_trouble_grows_and_ends(self):
+    def test_a_failing_node_is_avoided_longer_each_time_until_it_answers(self):
         stats = NodeStats()
         stats.record_failure(0.0, reached=True)
-        self.assertEqual(stats.avoided_until, 0.0)  # one lost answer tells little
+        self.assertEqual(stats.avoided_until, 0.0)  # one lost answer is not enough evidence
         now = spans = 0
         for _ in range(8):
             stats.record_failure(now, reached=False)
@@ -201,7 +203,7 @@
         self.assertEqual(stats.avoided_until, 0.0)
 
     @given(some.floats(0, 100), some.floats(0, 1))
-    def test_come_back_is_short(self, wait, jitter):
+    def test_retry_after_is_short(self, wait, jitter):
         self.assertTrue(0.03 <= jittered_retry_after(wait, jitter) <= 0.4)
 
 
@@ -210,25 +212,25 @@
 
 
 class ChooseCase(unittest.TestCase):
-    luck = random.Random(7)
+    rng = random.Random(7)
 
     def picks(self, found, skip=(), now=10.0, size=0):
         return {
-            node.id if node else None for node in (pick_node(found, now, "a", self.luck, skip, size) for _ in range(60))
+            node.id if node else None for node in (pick_node(found, now, "a", self.rng, skip, size) for _ in range(60))
         }
 
-    def test_near_unless_clearly_worse(self):
+    def test_same_zone_unless_clearly_worse(self):
         found = nodes("a", "a", "b")
         self.assertEqual(self.picks(found), {"i-0", "i-1"})
         for node in found[:2]:
             stats_of(node).in_flight, stats_of(node).silent_since = 3, 10.0
         self.assertEqual(self.picks(found), {"i-2"})
-        self.assertEqual(self.picks(found, size=4096), {"i-0", "i-1"})  # bytes between zones are priced
+        self.assertEqual(self.picks(found, size=4096), {"i-0", "i-1"})  # traffic between zones costs money
         for node in found[:2]:
             stats_of(node).in_flight = 5
         self.assertEqual(self.picks(found, size=10**6), {"i-2"})
 
-    def test_draining_never_shunned_last(self):
+    def test_draining_never_avoided_last(self):
         found = nodes("a", "a", "a")
         found[0].draining = True
         stats_of(found[1]).record_failure(10.0, reached=False)
@@ -244,7 +246,7 @@
 
     def test_split_by_weight(self):
         route = Route("r", "h", "/", True, 1.0, 0.4, 0, (("x", 90.0), ("y", 10.0), ("z", 0.0)), 2)
-        drawn = [service_of(route, self.luck) for _ in range(4000)]
+        drawn = [service_of(route, self.rng) for _ in range(4000)]
         self.assertAlmostEqual(drawn.count("x") / 4000, 0.9, delta=0.03)
         self.assertNotIn("z", drawn)
 
--- a/tests/system/test_admission_calls.py
+++ b/tests/system/test_admission_calls.py
@@ -456,7 +456,7 @@
             self.calls.end(tuple(self.known), OPERATION, "e", Ending.ANSWERED, StoredAnswer(200, (), bytes(40_000)))
             while self.calls.ends.waiting:
                 await asyncio.sleep(0.001)
-        self.assertGreater(waited[0] - self.calls.patience, 40_000 * 8 / 2e6)
+        self.assertGreater(waited[0] - self.calls.timeout_s, 40_000 * 8 / 2e6)
 
     async def test_an_answer_that_makes_no_sense_is_none(self):
         for told in ({}, {"told": []}, {"told": [["walk", 0, None]]}, {"told": [["run", 0]]}, []):
--- a/tests/system/test_caller.py
+++ b/tests/system/test_caller.py
@@ -1,5 +1,4 @@
-"""An edge's calls to a core on loopback: every way in which an answer fails to come, at each byte, and the call after
-it."""
+"""An edge's calls to a core on loopback: every way in which an answer fails, at each byte, and the call after it."""
 
 import asyncio
 import json
@@ -23,9 +22,7 @@
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.url = f"http://127.0.0.1:{self.server.sockets[0].getsockname()[1]}/cluster-view"
         self.caller = Caller()
-        patched = mock.patch(
-            "knotwalk.edge.caller.CONNECT_TIMEOUT_S", 60.0
-        )  # a busy machine may stall a test for longer
+        patched = mock.patch("knotwalk.edge.caller.CONNECT_TIMEOUT_S", 60.0)  # a busy machine may stall for longer
         patched.start()
         self.addCleanup(patched.stop)
 
@@ -39,7 +36,7 @@
         self.assertEqual(self.errors, [])
 
     async def _serve(self, reader, writer):
-        """Each call gets the next of the script: bytes, and whether the connection then ends."""
+        """Answer each call with the next entry of the script: bytes, and whether to close the connection then."""
         self.writers.append(writer)
         try:
             while True:
@@ -78,7 +75,7 @@
                 self.assertEqual(await self.call((WELL, False)), {"a": 1})
 
     async def test_a_packed_answer_is_unpacked_and_one_that_is_not_whole_is_none(self):
-        """An edge's link of 2.5 Mbit/s took 0.4 s for each whole view, beside its clients' traffic."""
+        """Guards against uncompressed views: each took 0.4 s on a link of 2.5 Mbit/s, beside client traffic."""
         large = {"a": ["x" * 10] * 1000}
         data = pack(json.dumps(large).encode(), "deflate")
         head = b"HTTP/1.1 200 OK\r\ncontent-encoding: deflate\r\nContent-Length: %d\r\n\r\n"
@@ -105,7 +102,7 @@
         for data in bad:
             with self.subTest(data), self.assertRaises(PeerError):
                 await self.call((data, False))
-                if data == WELL + WELL:  # the call itself has its answer; what belongs to none must reach no other
+                if data == WELL + WELL:  # the call has its answer; the excess must not reach another call
                     self.assertEqual(self.caller.connections, {})
                     raise PeerError("", "", "")
             self.assertEqual(await self.call((WELL, False)), {"a": 1})
@@ -132,13 +129,13 @@
                 await asyncio.sleep(0)
             self.assertEqual(await self.call((WELL, False)), {"a": 1})
 
-    async def test_a_dark_machine_is_given_up_long_before_one_that_is_slow(self):
-        """Of edges that start with all, each that asked a core still dark lost 0.85 s."""
+    async def test_a_dead_machine_is_given_up_long_before_a_slow_one(self):
+        """Guards against a long connect timeout: at start, edges that called a core still down lost 0.85 s each."""
 
         async def dark(*given):
             await asyncio.Event().wait()
 
-        for allowed in (0.02, 0.04):  # and not so soon again, should it be there after all
+        for allowed in (0.02, 0.04):  # doubled, in case the core is alive but slow
             with (
                 mock.patch.object(self.loop, "create_connection", dark),
                 mock.patch("knotwalk.edge.caller.CONNECT_TIMEOUT_S", 0.01),
@@ -152,7 +149,7 @@
         self.assertEqual(self.caller.connect_timeouts, {})
 
     async def test_what_keeps_coming_is_waited_for_up_to_a_bound(self):
-        """A large configuration on a slow link: given up in its midst, it began anew at each core and never came."""
+        """A large configuration on a slow link: given up halfway, it started again at each core and never completed."""
         real, limits = asyncio.timeout, []
         for whole, wanted in ((1000.0, {"a": 1}), (-1.0, PeerError)):
             told, limits[:] = Connection(), []
--- a/tests/system/test_client_leaves.py
+++ b/tests/system/test_client_leaves.py
@@ -1,8 +1,8 @@
-"""Clients that leave while requests of theirs are under way: nodes stop, by whichever way the client went.
+"""Clients that leave while their requests are in progress: nodes stop working, however the client left.
 
-A client leaves by ending its side (as a plain close looks on the wire) or by a reset, at any step of a request, also
-while the edge reads nothing from it. What may be repeated is broken off at once; what must not is carried to its end.
-Nodes hold each request until its connection ends, so only the edge's word can end their work.
+A client leaves by closing its side (a full close looks the same on the wire) or by a reset, at any step of a request,
+also while the edge does not read from it. Idempotent requests are aborted at once, others are completed. Nodes hold
+each request until its connection ends, so that only the edge can end their work.
 """
 
 import asyncio
@@ -17,13 +17,13 @@
 from knotwalk.edge.client_state import MAX_PIPELINED
 from tests.system.edge_case import EdgeCase
 
-LONG = 60.0  # seconds of deadline and route time: none of them ends work here
-BOUND = 10.0  # seconds in which a calm or busy machine gets to what the edge should do within some tenths
-KINDS = ("/i/", "/ki/")  # undivided and keyed, both repeatable
+LONG = 60.0  # seconds of deadlines and route timeouts, which never expire here
+BOUND = 10.0  # seconds within which even a busy machine does what an edge should do in some tenths
+KINDS = ("/i/", "/ki/")  # routes of an unsharded and a sharded service, both idempotent
 DEADLINE = int(LONG * 1000)
 HELD = {"headers": "Shard-Key: 7\r\n", "deadline": DEADLINE}
-BODY_MORE = 1 << 26  # bytes of a body that no node takes: as long as the limits allow
-PIECE = 1 << 20  # bytes of it that the client sends at a time, until it is read no more
+BODY_MORE = 1 << 26  # bytes of a body that no node reads: as long as the limits allow
+PIECE = 1 << 20  # bytes that the client sends at a time, until they are not read any more
 
 
 async def until(met, what):
@@ -35,7 +35,7 @@
 
 
 class Holding(StandIn):
-    """A node at work on every request until its connection ends; `go` lets it answer."""
+    """A node that works on each request until its connection ends; `go` lets it answer."""
 
     def __init__(self, id):
         super().__init__(id)
@@ -57,7 +57,7 @@
 
 class LeavesCase(EdgeCase):
     async def begin(self, kind=Holding, count=1):
-        """A front over nodes of a kind, each in both services, with time for everything."""
+        """Start a client server over nodes of a kind, each in both services, with long deadlines."""
         await self.end()
         self.nodes = [await kind(f"i-{at}").start() for at in range(count)]
         nodes = [node.node(service, capacity=40) for service in ("s", "k") for node in self.nodes]
@@ -66,7 +66,7 @@
         self.client_server = await client_server(view(nodes, routes(timeout=LONG, aim=LONG)))
 
     async def fill(self, client):
-        """Send a body until it stays unread: sockets hold megabytes, how many differs from system to system."""
+        """Send a body until it stays unread: socket buffers hold megabytes, how many depends on the kernel."""
         sent = 0
 
         def unread():
@@ -82,15 +82,15 @@
         return [attempt for node in self.nodes for attempt in node.working]
 
     async def idle(self):
-        """Nobody works and nothing is open any more."""
+        """Wait until no node works on a request and nothing is open."""
         await until(lambda: not self.working(), "nodes stop")
         await until(
             lambda: not self.client_server.open_requests and not self.client_server.clients, "the edge is rid of it"
         )
 
-    # -- ways to go, at a request that is under way
+    # -- clients that leave while a request is in progress
 
-    async def test_a_close_stops_work_that_may_be_repeated(self):
+    async def test_a_close_aborts_idempotent_requests(self):
         await self.begin()
         for prefix in KINDS:
             for leave in (RawClient.close, RawClient.reset):
@@ -101,8 +101,8 @@
                     leave(client)
                     await self.idle()
 
-    async def test_a_close_is_heard_while_reading_pauses(self):
-        """A full pipeline, and a body that the node does not take: neither is read on, and the close is heard."""
+    async def test_a_close_is_detected_while_reading_is_paused(self):
+        """Reading pauses at a full pipeline, and at a body that the node does not read; a close is detected anyway."""
         await self.begin()
         for leave in (RawClient.close, RawClient.reset):
             with self.subTest("pipeline", leave=leave.__name__):
@@ -122,22 +122,24 @@
                 await until(lambda: not self.client_server.open_requests, "given up")
 
     async def test_nothing_is_begun_or_goes_on_whenever_it_leaves(self):
-        """Over seeds: pipelines of both kinds left at any turn of the loop, by either way, before nodes that hold, shed
-        or answer. In the end nobody works, nothing is open, and nothing that must not be repeated ran twice."""
+        """Over seeds: clients leave pipelines of both kinds at any iteration of the event loop, by close or reset.
+
+        Nodes hold, refuse or answer meanwhile. In the end no node works, nothing is open, and no non-idempotent
+        request ran twice."""
         await self.begin(Mixed, 3)
         for seed in range(40):
-            luck = random.Random(seed)
+            rng = random.Random(seed)
             for node in self.nodes:
-                node.luck = random.Random(seed)
+                node.rng = random.Random(seed)
                 node.seen.clear()
             client = await self.client()
-            for at in range(luck.randint(1, 5)):
-                prefix = luck.choice(("/i/", "/n/", "/ki/", "/kn/"))
-                client.ask(prefix, f"s{seed}-{at}", luck.choice(("GET", "POST")), "Shard-Key: 7\r\n", b"", DEADLINE)
-            for _ in range(luck.randrange(30)):
+            for at in range(rng.randint(1, 5)):
+                prefix = rng.choice(("/i/", "/n/", "/ki/", "/kn/"))
+                client.ask(prefix, f"s{seed}-{at}", rng.choice(("GET", "POST")), "Shard-Key: 7\r\n", b"", DEADLINE)
+            for _ in range(rng.randrange(30)):
                 await asyncio.sleep(0)
-            luck.choice((RawClient.close, RawClient.reset))(client)
-            # what must not be repeated is carried to its end: let it, once all else has stopped
+            rng.choice((RawClient.close, RawClient.reset))(client)
+            # non-idempotent requests are completed: allow it once all others have stopped
             await until(
                 lambda: all("n" in line for line in self.lines_at_work()), f"only single runs go on, seed {seed}"
             )
@@ -154,14 +156,14 @@
         return {attempt for node in self.nodes for attempt in node.refused}
 
     def lines_at_work(self):
-        """Targets of the requests that nodes work on."""
+        """Request lines of the requests that nodes work on."""
         at_work = set(self.working())
         return [r.line.split(" ")[1] for node in self.nodes for r in node.seen if r.attempt in at_work]
 
-    # -- before anything has begun
+    # -- clients that leave before their request is started
 
-    async def test_what_lay_unread_with_its_clients_end_behind_it_begins_nowhere(self):
-        """An edge without a cluster view reads nothing: once it has one, who has left meanwhile is not served."""
+    async def test_a_request_read_together_with_its_clients_end_is_not_started(self):
+        """An edge without a cluster view reads nothing; once it has one, clients that left meanwhile are not served."""
         await self.begin()
         configuration = self.client_server.view.configuration
         for leave in (RawClient.close, RawClient.reset):
@@ -173,7 +175,7 @@
                 other.ask("/i/", "stays", **HELD)
                 await until(lambda: len(self.client_server.clients) == 2, "both are connected")
                 leave(client)
-                await until(lambda: len(self.heard_ends()) == 1, "its end has come")
+                await until(lambda: len(self.ended_clients()) == 1, "its end has come")
                 self.client_server.view.configuration = configuration
                 for one in list(self.client_server.clients):
                     one.on_view_ready()
@@ -184,7 +186,7 @@
                 self.nodes[0].seen.clear()
 
     async def warm(self, count):
-        """Idle connections to the node, on which a request goes in the very turn in which it is carried."""
+        """Open idle connections to the node, on which a request is sent in the iteration in which it is forwarded."""
         clients = [await self.client() for _ in range(count)]
         for at, client in enumerate(clients):
             client.ask("/i/", f"w{at}", **HELD)
@@ -196,12 +198,12 @@
         self.nodes[0].go.clear()
         await self.idle()
 
-    def heard_ends(self):
-        """Clients whose end can be heard on their sockets, or has been."""
+    def ended_clients(self):
+        """Clients whose end is visible at their sockets or was already handled."""
         count = 2 - len(self.client_server.clients)
         return [1] * count + [one for one in self.client_server.clients if one._probe_peer_end() is not PeerEnd.NONE]
 
-    async def test_who_waits_for_a_node_is_offered_to_none_once_its_client_has_reset(self):
+    async def test_a_waiting_request_is_not_offered_to_a_node_once_its_client_has_reset(self):
         await self.begin()
         owners = self.client_server.view.shardings["k"]
         for prefix in ("/ki/", "/kn/"):
@@ -218,10 +220,10 @@
                     await asyncio.sleep(0)
                 self.assertEqual(self.nodes[0].seen, [])
 
-    # -- what stays
+    # -- requests that go on
 
-    async def test_what_must_not_be_repeated_is_carried_to_its_end_and_answered(self):
-        """The client ended one side only: it takes the answer. What it sent behind is not begun."""
+    async def test_a_non_idempotent_request_is_completed_and_answered(self):
+        """The client half-closed and still reads the answer. Requests that it sent after it are not started."""
         await self.begin()
         client = await self.client()
         client.ask("/n/", "one", "POST", deadline=DEADLINE)
@@ -239,7 +241,7 @@
 
 
 class Deaf(Holding):
-    """It takes connections, and reads nothing from them."""
+    """A node that accepts connections and reads nothing."""
 
     async def _serve(self, reader, writer):
         writer.transport.pause_reading()
@@ -247,14 +249,14 @@
 
 
 class Mixed(Holding):
-    """It holds, sheds or answers, by its luck."""
+    """A node that holds, refuses or answers at random."""
 
     def __init__(self, id):
         super().__init__(id)
-        self.luck, self.refused = random.Random(0), set()
+        self.rng, self.refused = random.Random(0), set()
 
     async def work(self, request, writer):
-        choice = self.luck.random()
+        choice = self.rng.random()
         if choice < 0.2:
             self.refused.add(request.attempt)
             return SHED
--- a/tests/system/test_edge.py
+++ b/tests/system/test_edge.py
@@ -1,7 +1,7 @@
-"""The clients' port of an edge against scripted nodes on loopback.
+"""An edge's client server against scripted nodes on loopback.
 
-Which node a request goes to, what becomes of each try, and whom keys lead to.
-Nothing sleeps: tests wait for what a stand-in has read or for what comes back; deadlines are some tens of milliseconds.
+Which node a request goes to, the outcome of each try, and the routing by shard key.
+Nothing sleeps: tests wait for what a scripted node has read or for an answer; deadlines are some tens of milliseconds.
 """
 
 import asyncio
@@ -27,23 +27,23 @@
 
 
 class TriesCase(EdgeCase):
-    """What becomes of a try, for requests that may be repeated and for those that may not."""
+    """The outcomes of a try, for idempotent and for other requests."""
 
     async def check(self, script, repeatable, single, nodes=1, path=""):
-        """Statuses for both kinds; and that what must not be repeated reached nodes as often as `single` says."""
+        """Check (status, requests that reached nodes) for idempotent requests (`repeatable`) and others (`single`)."""
         for prefix, idempotent in BOTH:
             self.reset(*script)
             status, headers, body = await self.ask(prefix + path, id=f"id{idempotent}")
-            wanted = repeatable if idempotent else single
+            expected = repeatable if idempotent else single
             with self.subTest(prefix=prefix):
-                self.assertEqual((status, self.runs()), wanted)
+                self.assertEqual((status, self.runs()), expected)
                 if status in (503, 429):
                     self.assertIn("retry-after", headers)
                 if status == 200:
                     self.assertEqual((headers["server-seal"], headers["attempt-id"]), ("s", f"id{idempotent}"))
 
     async def test_table(self):
-        """One node: what it does first, and (status, requests that reached it) for either kind."""
+        """One node: its first behaviour, and (status, requests that reached it) for idempotent requests and others."""
         await self.begin()
         table = {
             "ok": ([], (200, 1), (200, 1)),
@@ -61,7 +61,7 @@
             "no seal": ([lambda r, w: answer(r, seal=False)], (200, 2), (502, 1)),
             "no id": ([lambda r, w: answer(r).replace(b"Attempt-Id", b"Other")], (200, 2), (502, 1)),
             "another id": ([lambda r, w: answer(r, id="zz")], (200, 2), (502, 1)),
-            "a promise of a success": ([lambda r, w: answer(r, extra="Not-Executed: 1\r\n")], (200, 2), (502, 1)),
+            "a success that did not run": ([lambda r, w: answer(r, extra="Not-Executed: 1\r\n")], (200, 2), (502, 1)),
             "a shed with another id": (
                 [lambda r, w: answer(r, status="503 X", id="zz", extra="Not-Executed: 1\r\n")],
                 (200, 2),
@@ -79,7 +79,7 @@
                 await self.check(script, repeatable, single)
 
     async def test_another_node_after_a_refusal(self):
-        """With two nodes a refusal goes on to the other, for either kind; a lost answer only if it may be repeated."""
+        """With two nodes a refused request goes to the other one; after a lost answer only an idempotent one does."""
         await self.begin(2)
         for script, repeatable, single in (
             ([SHED], (503, 2), (503, 2)),
@@ -102,7 +102,7 @@
         self.assertEqual(self.runs(), 1)
 
     async def test_a_dead_node_costs_no_try_and_no_budget(self):
-        """A node whose port is closed: the other one runs it, whatever its kind; alone, the request may come back."""
+        """If the port of a node is closed, the other node runs the request; without another, the answer is 503."""
         await self.begin(2)
         self.nodes[0].server.close()
         for prefix, _ in BOTH * 3:
@@ -116,7 +116,7 @@
         self.assertEqual(self.client_server.forwarder.budgets["s"].retries.total, 0)
 
     async def test_silence_is_waited_out(self):
-        """A silent node is given up at the deadline, not before; then it may have run."""
+        """A node that does not answer is given up at the deadline, not before; the request may have run."""
         held = Held(self.loop)
         await self.begin(now=held.now)
         for prefix, _ in BOTH:
@@ -138,8 +138,8 @@
         status, headers, _ = await self.ask("/n/", deadline=2)
         self.assertEqual((status, self.runs()), (503, 0))
 
-    async def test_an_answer_come_late_is_nobodys(self):
-        """An extra answer to the request before, come while the next one waits: skipped, and the connection ends."""
+    async def test_a_late_duplicate_answer_is_skipped(self):
+        """A duplicate answer to the previous request while the next one waits is skipped; the connection is closed."""
         for prefix, _ in BOTH:
             with self.subTest(prefix):
                 await self.begin()
@@ -170,7 +170,7 @@
                 self.client_server._sweep.cancel()
 
     async def test_bytes_on_an_idle_connection_end_it(self):
-        """Unread bytes are seen before reuse, even if the loop has not got to them."""
+        """Unread bytes are detected before reuse, even if the event loop has not read them yet."""
         await self.begin()
         self.nodes[0].script = [lambda r, w: answer(r, extra="Keep-Alive: timeout=9\r\n")] * 3
         await self.ask("/n/")
@@ -183,7 +183,7 @@
         self.assertEqual(self.nodes[0].connections, 2)
 
     async def test_connections_are_used_again_while_fresh(self):
-        """Not at all beyond the idle time told; for what must not be repeated, not beyond half of it."""
+        """Not beyond the idle timeout of the node, and for non-idempotent requests not beyond half of it."""
         await self.begin()
         now = [0.0]
         self.client_server.forwarder.clock = lambda: now[0]
@@ -198,7 +198,7 @@
         self.assertEqual(used[3], 1)
         self.assertEqual(used[4], 2)
 
-    async def test_connection_close_and_nameless_refusals(self):
+    async def test_connection_close_and_refusals_without_id(self):
         await self.begin()
         self.nodes[0].script = [lambda r, w: answer(r, extra="Connection: close\r\n"), SHED]
         self.assertEqual((await self.ask("/n/"))[0], 200)
@@ -208,7 +208,7 @@
 
 
 class KeysCase(EdgeCase):
-    """Services divided by key."""
+    """Sharded services."""
 
     def key(self, key):
         return f"Shard-Key: {key}\r\n"
@@ -229,8 +229,8 @@
             self.assertEqual((await self.ask("/kn/", headers=headers))[0], 400)
         self.assertEqual(self.runs(), 0)
 
-    async def test_a_closed_line_is_waited_for_briefly(self):
-        """The line opens elsewhere while the request waits; if it stays closed, the client is told to come back."""
+    async def test_a_closed_slice_is_waited_for_briefly(self):
+        """The slice opens at another node while the request waits."""
         await self.begin(2, "k", table=routes(aim=4.0))
         line = self.view.shardings["k"].line(5)
         line.open = False
@@ -244,7 +244,7 @@
         self.assertEqual((await client.answer())[0], 200)
         self.assertEqual(len(self.nodes[1].seen), 1)
 
-    async def test_a_line_that_stays_closed(self):
+    async def test_a_slice_that_stays_closed(self):
         held = Held(self.loop)
         await self.begin(2, "k", table=routes(aim=0.1), now=held.now)
         self.view.shardings["k"].lines[0] = Line()
@@ -256,9 +256,9 @@
         self.assertEqual(status, 503)
         self.assertLess(float(headers["retry-after"]), 0.3)
 
-    async def test_a_refusal_reaches_its_client_within_a_quarter_of_the_aim(self):
-        """Whatever a request waits for that no node has had: its whole wait, and the way to the client, count
-        together."""
+    async def test_a_refusal_reaches_its_client_within_a_quarter_of_the_target_latency(self):
+        """The total wait of a request that no node has had, and the round trip to the client, stay within the limit,
+        whatever the request waits for."""
         await self.begin(1, "k", table=routes(aim=0.4))
         waits = []
 
@@ -271,13 +271,13 @@
         line.open = False
         self.assertEqual((await self.ask("/kn/", headers=self.key(0)))[0], 503)
         line.open = True
-        self.view.nodes["i-0"].address = ("127.0.0.1", 9)  # nobody listens
+        self.view.nodes["i-0"].address = ("127.0.0.1", 9)  # nothing listens there
         self.assertEqual((await self.ask("/kn/", headers=self.key(0)))[0], 503)
         self.assertEqual(len(waits), 2)
         self.assertLess(max(waits), 0.1 - 0.016)
 
     async def test_after_421_only_another_owner(self):
-        """The owner says that it has not the key: nobody is asked until the line changes."""
+        """The owner answers that it does not own the key: no node is tried until the slice has another owner."""
         await self.begin(2, "k", table=routes(aim=4.0))
         self.nodes[0].script = [ELSEWHERE]
         line = self.view.shardings["k"].line(0)
@@ -295,7 +295,7 @@
         await self.begin(2, "k", table=routes(aim=8.0), now=Held(self.loop).now)
         self.nodes[0].script = [SHED]
         asked = self.loop.create_task(self.ask("/ki/", headers=self.key(0)))
-        await wait_for(asked.done)  # while the time stands
+        await wait_for(asked.done)  # while the time stands still
         self.assertEqual((await asked)[0], 503)
         self.assertEqual(self.runs(), 1)
 
@@ -307,7 +307,7 @@
         self.nodes[0].script = [None] * 3
         self.assertEqual((await self.ask("/kn/", headers=self.key(0)))[0], 502)
 
-    async def test_a_draining_owner_gets_nothing_after_a_while(self):
+    async def test_a_draining_owner_gets_no_requests_after_a_while(self):
         held = Held(self.loop)
         await self.begin(1, "k", table=routes(aim=0.1), now=held.now)
         node = self.view.nodes["i-0"]
@@ -321,7 +321,7 @@
         self.assertEqual((await refused)[0], 503)
 
     async def test_a_silent_owner_gets_no_more(self):
-        """A dark machine says nothing: requests behind the first are told at once to come back."""
+        """A dead machine does not answer: requests after the first are refused."""
         held = Held(self.loop)
         await self.begin(1, "k", table=routes(aim=0.1), capacity=50, now=held.now)
         self.nodes[0].script = [lambda r, w: None]
@@ -342,7 +342,7 @@
         self.assertEqual((await first)[0], 504)
         self.assertEqual((await self.ask("/kn/", headers=self.key(0)))[0], 200)
 
-    async def test_draining_nodes_stand_in_when_there_are_no_others(self):
+    async def test_draining_nodes_are_used_when_there_are_no_others(self):
         held = Held(self.loop)
         await self.begin(2, table=routes(aim=1.0), now=held.now)
         for node in self.view.nodes.values():
@@ -373,11 +373,13 @@
         self.assertEqual(found["demand"], {"k": {0: 1, 1: 1}})
         self.assertEqual(found["nodes"]["i-0"], [2, 1, 4])
         self.assertEqual(found["nodes"]["i-1"][:6], [0, 0, 4, 1, 0, 0])
-        self.assertGreater(found["nodes"]["i-1"][6], 0.0)  # the answered one's seconds: all that it is judged by
+        self.assertGreater(
+            found["nodes"]["i-1"][6], 0.0
+        )  # seconds of the answered one: all that the core can judge the node by
         self.assertEqual(self.client_server.report(0.0), {"demand": {}, "nodes": {}, "bad": {}})
 
-    async def test_report_of_trouble(self):
-        """Lost and failed tries, and refusals by a node that tells free slots, are bad; by a full one they are not."""
+    async def test_report_of_failures(self):
+        """Lost and failed tries count as bad, and refusals by a node that reports free slots, not by a full one."""
         await self.begin(1, "k")
         shed = [
             lambda r, w, told=told: answer(r, status="503 X", extra=f"Not-Executed: 1\r\nServer-Load: {told}\r\n")
@@ -395,7 +397,7 @@
             self.assertEqual(self.client_server.report(0.0)["bad"].get("i-0"), bad, script)
 
     async def test_tally(self):
-        """How requests ended, by cause and rank; a dead owner is one that was not reached, also to who finds it so."""
+        """How requests ended, by cause and priority; one that finds its owner dead counts as not reached, too."""
         await self.begin(1, "k", table=routes(aim=1.0))
         self.nodes[0].script = [ELSEWHERE, SHED, None]
         for _ in range(4):
@@ -417,10 +419,10 @@
         self.assertEqual((found["sent"], found["not connected"]), (4, 1))
         self.assertEqual(self.client_server.forwarder.take_counts(), {})
 
-    async def test_the_lowest_rank_yields_at_a_node_that_is_usually_full(self):
-        """Its last word has faded: a higher rank is offered to it, the lowest gives way, told by when there is room."""
+    async def test_the_lowest_priority_yields_at_a_node_that_is_usually_full(self):
+        """Its last report has decayed: the highest priority is offered to it, the lowest is refused."""
         held = Held(self.loop)
-        for rank, wanted in ((0, 200), (2, 503)):
+        for rank, expected in ((0, 200), (2, 503)):
             table = [dataclasses.replace(route, priority=rank) for route in routes(aim=0.1)]
             await self.begin(1, "k", capacity=2, table=table, now=held.now)
             stats = stats_of(self.view.nodes["i-0"])
@@ -431,15 +433,15 @@
                 0.1,
             )
             asked = asyncio.ensure_future(self.ask("/ki/", headers=self.key(0)))
-            while not asked.done():  # time moves by what is done, not by how fast the machine does it
+            while not asked.done():  # time advances with the work done, not with the speed of the machine
                 await turns()
                 held.moment += 0.001
-            self.assertEqual((await asked)[0], wanted)
+            self.assertEqual((await asked)[0], expected)
             self.client_server.drain()
             await self.client_server.finished(0)
 
     async def test_full_by_what_is_known(self):
-        """An owner that told a long queue is not offered more than can be done in time."""
+        """An owner that reported a long queue is not offered more than it can do in time."""
         await self.begin(1, "k", capacity=2)
         self.nodes[0].load = "2,18,2"
         self.assertEqual((await self.ask("/kn/", headers=self.key(0)))[0], 200)
--- a/tests/system/test_edge_ends.py
+++ b/tests/system/test_edge_ends.py
@@ -1,7 +1,7 @@
-"""The clients' port of an edge against scripted nodes on loopback.
+"""An edge's client server against scripted nodes on loopback.
 
-Clients that leave, and the end of an edge.
-Nothing sleeps: tests wait for what a stand-in has read or for what comes back; deadlines are some tens of milliseconds.
+Clients that leave, draining, and a shortage of descriptors.
+Nothing sleeps: tests wait for what a scripted node has read or for an answer; deadlines are some tens of milliseconds.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class EndsCase(EdgeCase):
-    """Clients that leave, and the end of the program."""
+    """Clients that leave, draining, and a shortage of descriptors."""
 
     async def held(self, prefix, body=b""):
         self.go = asyncio.Event()
@@ -41,7 +41,7 @@
         return client
 
     async def test_the_client_leaves(self):
-        """A request that may be repeated is broken off; another is carried to its end."""
+        """An idempotent request is aborted; another one is completed."""
         await self.begin()
         client = await self.held("/i/")
         client.reset()
@@ -60,20 +60,20 @@
         self.assertEqual([r.connection for r in self.nodes[0].seen], [0, 1, 1])
 
     async def test_the_client_has_reset_before_the_last_answer(self):
-        """The system says so as our side is ended, ahead of the loop: the connection is over, and nothing fails."""
+        """The shutdown of the sending side fails before the event loop reports the reset: the connection just ends."""
         await self.begin()
         await self.held("/n/")
         (client,) = self.client_server.clients
         client.transport.write_eof = mock.Mock(side_effect=OSError(107, "not connected"))
-        self.client_server.draining = True  # so that the answer is the connection's last
+        self.client_server.draining = True  # so that the answer is the last on the connection
         with self.assertNoLogs(level="ERROR"):
             self.go.set()
             while self.client_server.clients:
                 await asyncio.sleep(0)
         self.assertEqual((self.client_server.open_requests, client.transport.write_eof.called), (0, True))
 
-    async def test_the_client_ends_its_side(self):
-        """What it sent whole is still answered."""
+    async def test_the_client_half_closes(self):
+        """A complete request is still answered."""
         await self.begin()
         client = await self.held("/n/")
         client.writer.write_eof()
@@ -84,7 +84,7 @@
         self.assertEqual(await client.rest(), b"")
 
     async def test_drain(self):
-        """What was read is finished and told to leave; idle connections end; no new ones come."""
+        """Requests that were read are finished, then their connections close; idle ones close; none is accepted."""
         await self.begin()
         idle = await self.client()
         idle.ask("/i/", "zero")
@@ -106,25 +106,24 @@
         self.assertEqual(await client.rest(), b"")
         self.assertEqual(self.client_server.open_requests, 0)
 
-    async def test_a_drain_takes_in_who_waits_to_be_accepted(self):
-        """Its handshake is the system's work: a busy edge that closed its gate reset such clients, asked or not."""
+    async def test_a_drain_accepts_connections_that_wait_in_the_queue(self):
+        """The kernel completes their handshake; closing the listening socket reset such clients."""
         await self.begin(table=routes(timeout=PATIENCE))
-        made = [
-            socket.create_connection(("127.0.0.1", self.client_server.port)) for _ in range(3)
-        ]  # the loop has no turn
+        # The event loop does not run meanwhile, so that none of them is accepted.
+        sockets = [socket.create_connection(("127.0.0.1", self.client_server.port)) for _ in range(3)]
         clients = []
         try:
-            for at, one in enumerate(made):
+            for at, one in enumerate(sockets):
                 one.sendall(b"GET /n/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: w%d\r\nDeadline-Ms: 60000\r\n\r\n" % at)
             self.client_server.drain()
             ending = asyncio.ensure_future(self.client_server.finished(self.client_server.clock() + PATIENCE))
-            clients += [RawClient(*await asyncio.open_connection(sock=one)) for one in made]
+            clients += [RawClient(*await asyncio.open_connection(sock=one)) for one in sockets]
             for at, client in enumerate(clients):
                 status, headers, _ = await asyncio.wait_for(client.answer(), PATIENCE)
                 self.assertEqual((status, headers["attempt-id"], headers["connection"]), (200, f"w{at}", "close"))
             await asyncio.wait_for(ending, PATIENCE)
         finally:
-            for one in clients or made:
+            for one in clients or sockets:
                 one.close()
 
     async def test_drain_has_an_end(self):
@@ -140,7 +139,7 @@
         self.go.set()
         self.assertEqual((await client.answer())[0], 200)
 
-    async def test_a_client_of_an_edge_that_starts_is_read_once_there_is_a_picture(self):
+    async def test_a_client_of_a_starting_edge_is_read_once_there_is_a_cluster_view(self):
         await self.begin()
         table, self.view.configuration, self.client_server.view_ready = self.view.configuration, None, False
         client = await self.client()
@@ -151,8 +150,8 @@
         self.client_server.view_changed({"config"})
         self.assertEqual((await asyncio.wait_for(client.answer(), PATIENCE))[0], 200)
 
-    async def test_a_client_of_an_edge_without_a_picture_is_let_go_unread(self):
-        """Closed with the request unread: it may be sent elsewhere, whatever its kind."""
+    async def test_a_client_of_an_edge_without_a_cluster_view_is_reset_unread(self):
+        """Since the request was not read, it may be sent elsewhere, idempotent or not."""
         await self.begin()
         self.view.configuration, self.client_server.view_ready = None, False
         client = await self.client()
@@ -165,7 +164,7 @@
         self.assertEqual(self.runs(), 0)
 
     async def crowd(self, count, gates):
-        """That many clients ask at once, while nodes do not answer until told to."""
+        """Requests of `count` clients at once, while nodes don't answer until their gates open."""
         gate = asyncio.Event()
 
         async def held(request, writer):
@@ -180,7 +179,7 @@
         return clients, gate
 
     async def test_no_room(self):
-        """Beyond the descriptors, connections end before anything is read of them."""
+        """Connections beyond the available descriptors are reset before anything is read from them."""
         await self.begin()
         self.client_server.connection_budget = ConnectionBudget(1, 1, 9)
         (first,), gate = await self.crowd(1, 1)
@@ -191,13 +190,15 @@
             await asyncio.wait_for(second.answer(), PATIENCE)
         gate.set()
         self.assertEqual(((await first.answer())[0], self.runs()), (200, 1))
-        third = await self.client()  # the first has been answered and lies idle: it makes room
+        third = await self.client()  # the first is answered and idle: it is closed to make room
         third.ask()
         self.assertEqual((await asyncio.wait_for(third.answer(), PATIENCE))[0], 200)
 
     async def test_few_descriptors_serve_many_clients(self):
-        """A crowd on a machine of a dozen descriptors: none of the clients' answers is lost, and idle connections give
-        way. Before, accepting failed a thousand times a second, and what was accepted found no descriptor to a node."""
+        """Many clients on a machine with a dozen descriptors: no answer is lost, and idle connections are closed.
+
+        Guards against accepting without a limit: accept() failed a thousand times a second, and accepted clients found
+        no descriptor for a connection to a node."""
         await self.begin(nodes=2)
         self.client_server.connection_budget, self.client_server.forwarder.connection_slots.max_open = (
             ConnectionBudget(4, 2, 2),
@@ -205,10 +206,12 @@
         )
         clients, gate = await self.crowd(4, 2)
         await wait_for(lambda: self.runs() == 2 and len(self.client_server.forwarder.connection_slots.waiting) == 2)
-        gate.set()  # two wait for a descriptor, not for a node: they go on as soon as one is free
+        gate.set()  # two requests wait for a descriptor, not for a node, and go on as soon as one is free
         heads = [(await asyncio.wait_for(client.answer(), PATIENCE))[:2] for client in clients]
         self.assertEqual([status for status, _ in heads], [200] * 4)
-        self.assertIn("close", [heads.get("connection") for _, heads in heads])  # past a part of them none is kept
+        self.assertIn(
+            "close", [heads.get("connection") for _, heads in heads]
+        )  # above a part of the budget no connection is kept
         self.assertLessEqual(self.client_server.forwarder.connection_slots.open, 2)
         for _ in range(12):
             self.assertEqual((await self.ask())[0], 200)
@@ -219,7 +222,7 @@
         self.assertLessEqual(len(self.client_server.clients), 4)
 
     async def test_no_descriptor_whatever_is_counted(self):
-        """A node can't be called for want of a descriptor: the request has not run, and is told so."""
+        """Without a descriptor for a connection to a node the request has not run, and the status says so."""
         await self.begin()
         client = await self.client()
         with mock.patch.object(connection_pool.socket, "socket", side_effect=OSError(24, "Too many open files")):
--- a/tests/system/test_edge_passing.py
+++ b/tests/system/test_edge_passing.py
@@ -1,7 +1,7 @@
-"""The clients' port of an edge against scripted nodes on loopback.
+"""An edge's client server against scripted nodes on loopback.
 
-Bodies and answers passed on, and nodes that misbehave at each point of an exchange.
-Nothing sleeps: tests wait for what a stand-in has read or for what comes back; deadlines are some tens of milliseconds.
+Forwarding of bodies and answers, and nodes that misbehave at each point of an exchange.
+Nothing sleeps: tests wait for what a scripted node has read or for an answer; deadlines are some tens of milliseconds.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class PassingCase(EdgeCase):
-    """What is sent on and what is passed back."""
+    """What is forwarded to nodes and what is passed back to clients."""
 
     async def test_request_unchanged(self):
         await self.begin()
@@ -108,8 +108,8 @@
                 self.reset()
                 self.assertEqual((await client.answer())[0], 200)
 
-    async def test_a_client_that_does_not_read_holds_the_node_up(self):
-        """Not more than some hundred kilobytes are taken from the node while nobody takes them from us."""
+    async def test_a_client_that_does_not_read_pauses_the_node(self):
+        """While the client does not read, only some hundred kilobytes are read from the node."""
         await self.begin()
         size, sent = 60_000_000, 0
 
@@ -131,11 +131,11 @@
         client.reader._limit = 1000
         client.ask()
         before = -1
-        while before != sent or not sent:  # until the node gets no further for 50 turns of the loop
+        while before != sent or not sent:  # until the node is stuck for 50 iterations of the event loop
             before = sent
             for _ in range(50):
                 await asyncio.sleep(0)
-        self.assertLess(sent, 25_000_000)  # buffers of the kernel, mostly
+        self.assertLess(sent, 25_000_000)  # mostly buffers of the kernel
         held = [c.transport.get_write_buffer_size() for c in self.client_server.clients]
         self.assertLess(max(held), 600_000)
         client.reader._limit = 1 << 22
@@ -146,7 +146,7 @@
         self.assertEqual(got, size)
 
     async def test_large_answers_in_order(self):
-        """Large answers that were there long before their turn, and small ones between them."""
+        """Large answers that were ready long before their turn, and small ones between them."""
         await self.begin(capacity=50)
         size = {"GET /i/0 HTTP/1.1": 90_000, "GET /i/2 HTTP/1.1": 70_000, "GET /i/3 HTTP/1.1": 300_000}
         held = asyncio.Event()
@@ -173,8 +173,8 @@
                 (200, f"id{at}", {b"id%d" % at}),
             )
 
-    async def test_a_cut_looks_cut(self):
-        """A streamed answer that ends early ends the client's connection, before its end."""
+    async def test_a_truncated_answer_is_recognizable(self):
+        """A streamed answer that ends early closes the client's connection before the answer is complete."""
         await self.begin()
         big = bytes(200_000)
         whole = lambda r: answer(r, big)  # noqa: E731
@@ -190,7 +190,9 @@
         self.reset(cut(in_chunks))
         client = await self.client()
         client.writer.write(b"GET /i/ HTTP/1.0\r\nHost: h\r\nAttempt-Id: q\r\n\r\n")
-        with self.assertRaises(ConnectionResetError):  # its end is the connection's: only a reset tells a cut
+        with self.assertRaises(
+            ConnectionResetError
+        ):  # the end of the connection ends it: only a reset shows that it is truncated
             while await client.reader.read(1 << 20):
                 pass
 
@@ -220,12 +222,12 @@
 
 
 class MishapsCase(EdgeCase):
-    """Nodes that misbehave at random under pipelining clients: the rules hold for every request."""
+    """Nodes that misbehave at random while clients pipeline requests: the rules hold for each request."""
 
-    def act(self, luck):
-        """What a node does with one request, and whether that counts as run."""
+    def act(self, rng):
+        """What a node does with one request, and whether that counts as a run."""
         body = lambda r: f"body of {r.attempt}".encode()  # noqa: E731
-        return luck.choice(
+        return rng.choice(
             [
                 (lambda r, w: answer(r, body(r), extra="Keep-Alive: timeout=9\r\n"), True),
                 (lambda r, w: answer(r, body(r), extra="Keep-Alive: timeout=9\r\n"), True),
@@ -253,12 +255,12 @@
         for seed in range(6):
             await self.mishaps(random.Random(seed))
 
-    async def mishaps(self, luck):
+    async def mishaps(self, rng):
         self.client_server = await client_server(view([node.node(capacity=50) for node in self.nodes]), now=self.now)
-        ran = []  # ids, in the order in which nodes began on them
+        ran = []  # ids, in the order in which nodes started them
         for node in self.nodes:
             node.seen.clear()
-            acts = [self.act(luck) for _ in range(400)]
+            acts = [self.act(rng) for _ in range(400)]
 
             def noting(act, runs):
                 def do(r, w):
@@ -278,11 +280,11 @@
             client = await self.client()
             sent, got = [], 0
             for at in range(25):
-                prefix = luck.choice(("/i/", "/n/"))
+                prefix = rng.choice(("/i/", "/n/"))
                 id = f"{name}.{at}{prefix[1]}"
-                client.ask(prefix + id, id, "POST", body=id.encode() * luck.randrange(3), deadline=3000)
+                client.ask(prefix + id, id, "POST", body=id.encode() * rng.randrange(3), deadline=3000)
                 sent.append(id)
-                while got < len(sent) and (prefix == "/n/" or luck.random() < 0.6):
+                while got < len(sent) and (prefix == "/n/" or rng.random() < 0.6):
                     status, headers, body = await within(client.answer())
                     self.assertEqual(headers["attempt-id"], sent[got])
                     found[sent[got]] = status, body
--- a/tests/system/test_edge_reading.py
+++ b/tests/system/test_edge_reading.py
@@ -1,7 +1,7 @@
-"""The clients' port of an edge against scripted nodes on loopback.
+"""An edge's client server against scripted nodes on loopback.
 
 Requests read from clients: heads, bodies, pipelines, and what is refused unread.
-Nothing sleeps: tests wait for what a stand-in has read or for what comes back; deadlines are some tens of milliseconds.
+Nothing sleeps: tests wait for what a scripted node has read or for an answer; deadlines are some tens of milliseconds.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 
 class ReadingCase(EdgeCase):
-    """What is read as a request, in which order it is answered, and what is not read."""
+    """What is accepted as a request, the order of answers, and what is refused unread."""
 
     async def test_pipelined_in_order(self):
-        """Later answers are ready first; they wait for their turn."""
+        """Later answers are ready first, and wait for their turn."""
         await self.begin()
         held = asyncio.Event()
 
@@ -43,8 +43,8 @@
         self.assertEqual([headers["attempt-id"] for _, headers, _ in found], [f"id{at}" for at in range(5)])
         self.assertEqual([body for _, _, body in found][1:], [b"GET /i/%d HTTP/1.1" % at for at in range(1, 5)])
 
-    async def test_what_must_not_be_repeated_waits_its_turn(self):
-        """It is not run before all ahead of it are answered: their answers could still end the connection."""
+    async def test_a_non_idempotent_request_waits_its_turn(self):
+        """It does not run before all before it are answered, since their answers could still close the connection."""
         await self.begin()
         held = asyncio.Event()
 
@@ -75,7 +75,7 @@
         self.assertLessEqual(len(pool.all), 16)
 
     async def test_smuggling(self):
-        """Whatever could be read in two ways is refused, and what lies behind it is not read."""
+        """A request that is ambiguous is refused, and nothing after it is read."""
         await self.begin(limits=Limits(max_header_bytes=2000, max_body_bytes=5000), now=Held(self.loop).now)
         start = b"POST /i/ HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\n"
         bodies = {
@@ -153,7 +153,7 @@
                     self.assertEqual([r.attempt for r in self.nodes[0].seen], ["f"] if lead else [])
 
     async def test_split_anywhere(self):
-        """Two requests in every pair of pieces: the same two requests."""
+        """Two requests split in two at each byte are read as the same two requests."""
         await self.begin()
         data = (
             b"\r\nPOST /n/a HTTP/1.1\r\nHost: h\r\nAttempt-Id: one\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -180,7 +180,7 @@
             self.assertEqual((await client.answer())[0], 404)
         self.assertEqual(self.runs(), 0)
 
-    async def test_slow_heads_bodies_and_idlers_end(self):
+    async def test_slow_heads_slow_bodies_and_idle_connections_end(self):
         await self.begin(limits=Limits(header_timeout=3.0, idle_timeout=15.0))
         now = [self.client_server.clock()]
         self.client_server.clock = lambda: now[0]
--- a/tests/system/test_edge_tenants.py
+++ b/tests/system/test_edge_tenants.py
@@ -1,4 +1,4 @@
-"""Keys of tenants at an edge: who is let through, what a node gets to see, and what an edge out of touch does."""
+"""Tenant keys at an edge: which requests are admitted, what nodes see, and an edge cut off from the cores."""
 
 import dataclasses
 import time
@@ -20,7 +20,7 @@
 
 
 def table():
-    """The usual routes; one that is public, and one whose requests bear an `Operation-Key`."""
+    """The usual routes, a public one, and a keyed one, whose requests have an `Operation-Key`."""
     usual = [dataclasses.replace(one, priority=1) for one in routes()]
     public = dataclasses.replace(usual[0], name="/p/", path_prefix="/p/", public=True)
     keyed = dataclasses.replace(usual[1], name="/o/", path_prefix="/o/", keyed=True)
@@ -32,7 +32,7 @@
 
 
 class TenantsCase(EdgeCase):
-    """An edge whose configuration holds tenants, in time that the test moves."""
+    """An edge whose configuration has tenants, with a clock that the test moves."""
 
     async def begin(self, nodes=1, tenants=TENANTS, bounds=BOUNDS, proven=True, **raw):
         self.held = Held(self.loop)
@@ -44,7 +44,7 @@
         return client_server
 
     def give(self, tenants):
-        """A configuration with these tenants is in force at the edge."""
+        """Put a configuration with these tenants in force at the edge."""
         found = self.view.configuration
         self.view.configuration = Configuration(
             found.version + 1, found.routes, {"s": Service("s"), "k": Service("k")}, Limits(), {}, dict(tenants)
@@ -52,7 +52,7 @@
         self.view.tenant_keys = TenantKeys(tenants)
 
     async def asked(self, path="/i/", headers="", **fields):
-        """Status and headers of the answer, and how many requests have reached nodes by it."""
+        """Status and headers of the answer, and the number of requests that reached nodes for it."""
         before = self.runs()
         status, told, _ = await self.ask(path, headers=headers, **fields)
         return status, told, self.runs() - before
@@ -65,9 +65,9 @@
 
 
 class KeyCase(TenantsCase):
-    """While the edge knows the newest configuration."""
+    """The edge knows the newest configuration."""
 
-    async def test_who_is_let_through(self):
+    async def test_which_requests_are_admitted(self):
         await self.begin()
         for path, headers, wanted in (
             ("/i/", token("k1"), 200),
@@ -111,12 +111,12 @@
         self.assertEqual(await self.status("/i/", token("k1") + "Tenant: mine\r\n"), 200)
         self.assertEqual((self.got()["authorization"], self.got()["tenant"]), ("Token k1", "mine"))
 
-    async def test_where_keys_are_in_force_headers_are_withheld_whatever_the_configuration_holds(self):
+    async def test_under_the_tenants_contract_headers_are_withheld_whatever_the_configuration(self):
         await self.begin(tenants={}, proven=False, active_contracts=["base", "tenants"])
         self.assertEqual(await self.status("/i/", token("k1") + "Tenant: mine\r\n"), 200)
         self.assertFalse({"authorization", "tenant"} & set(self.got()))
 
-    async def test_a_key_ends_with_the_configuration_that_drops_it_and_begins_with_the_one_that_brings_it(self):
+    async def test_a_key_is_valid_from_the_configuration_that_adds_it_until_the_one_that_removes_it(self):
         await self.begin()
         self.assertEqual(await self.status(headers=token("k2")), 200)
         self.give({"first": Tenant("first", ("k1", "k4"))})
@@ -124,7 +124,7 @@
         self.assertEqual(await self.status(headers=token("k4")), 200)
         self.assertEqual(self.got()["tenant"], "first")
 
-    async def test_what_is_noted_of_a_request(self):
+    async def test_tenant_priority_and_operation_of_a_request(self):
         begun = []
         client_server = await self.begin()
         with mock.patch.object(
@@ -163,10 +163,10 @@
 
 
 class LeaseCase(TenantsCase):
-    """An edge that has not heard a fresh core for long."""
+    """An edge that has not heard from a fresh core for long."""
 
-    async def test_past_its_lease_no_request_that_needs_a_key_is_taken_and_clients_go_elsewhere(self):
-        """Past `config_apply` no request is refused for a key that a newer configuration may hold."""
+    async def test_after_its_lease_no_request_that_needs_a_key_is_accepted_and_clients_go_elsewhere(self):
+        """After `config_apply` no request is refused for a key that a newer configuration may have."""
         client_server = await self.begin()
         for moved, refuses, held in (
             (1.9, True, True),
@@ -194,8 +194,8 @@
         client_server.forwarder.freshness.renew(self.held.now() - 1.0, -0.5)
         self.assertEqual(await self.status(headers=token("k1")), 200)
 
-    async def test_a_key_revoked_while_the_edge_is_cut_off_ends_here_in_time(self):
-        """The configuration that drops it never comes."""
+    async def test_a_key_revoked_while_the_edge_is_cut_off_is_refused_in_time(self):
+        """The configuration that removes it never arrives."""
         await self.begin()
         proven = self.held.now()
         while self.held.now() < proven + 5.0:
@@ -204,7 +204,7 @@
             self.assertEqual(status == 200, runs == 1)
         self.assertEqual((status, runs), (503, 0))
 
-    async def test_a_key_that_a_newer_configuration_brings_is_not_refused_for_good_by_an_edge_out_of_touch(self):
+    async def test_an_edge_cut_off_does_not_refuse_with_401_a_key_that_a_newer_configuration_may_have(self):
         await self.begin()
         self.held.moment += 5.0
         self.assertEqual(await self.status(headers=token("new")), 503)
@@ -222,31 +222,33 @@
             client_server.drain()
             await client_server.finished(0)
 
-    async def test_a_configuration_of_a_core_that_only_just_started_judges_no_key(self):
+    async def test_keys_are_not_checked_with_the_configuration_of_a_core_that_just_started(self):
         await self.begin(proven=False)
         asked = [self.loop.create_task(self.status(headers=headers)) for headers in (token("k1"), token("k4"), "")]
         await turns()
-        self.assertEqual((self.runs(), [one.done() for one in asked]), (0, [False] * 3))  # unread, so sent elsewhere
+        self.assertEqual(
+            (self.runs(), [one.done() for one in asked]), (0, [False] * 3)
+        )  # unread, so that clients send them elsewhere
         self.client_server.forwarder.freshness.renew(self.held.now(), 0.0)
         self.client_server.view_changed({"config"})
         self.assertEqual([await one for one in asked], [200, 401, 401])
 
-    async def test_where_revocation_does_not_bind_machines_out_of_touch_only_refusals_need_the_lease(self):
+    async def test_where_revocation_does_not_bind_machines_cut_off_only_refusals_need_the_lease(self):
         await self.begin(bounds=LOOSE)
         self.held.moment += 100.0
         self.assertEqual(await self.status(headers=token("k1")), 200)
         self.assertEqual(await self.status(headers=token("k4")), 503)
         self.assertEqual(await self.status(), 503)
 
-    async def test_the_clock_of_the_day_says_nothing(self):
+    async def test_the_wall_clock_does_not_matter(self):
         await self.begin()
         for hours in (-2, 2):
             now = time.time() + hours * 3600
             with self.subTest(hours=hours), mock.patch("time.time", lambda now=now: now):
                 self.assertEqual(await self.status(headers=token("k1")), 200)
 
-    async def test_a_freeze_past_the_lease_lets_no_request_out_that_waited_through_it(self):
-        """One waits for a node; then the machine stands still, and wakes with time gone by and a node that is free."""
+    async def test_a_request_that_waited_through_a_stall_beyond_the_lease_is_not_sent(self):
+        """A request waits for a node while the machine stalls; then the lease has lapsed and a node is free."""
         await self.begin(0)
         tries = [self.asked(path, token("k1"), deadline=9000) for path in ("/i/", "/n/", "/o/")]
         asked = [self.loop.create_task(one) for one in tries]
@@ -261,7 +263,7 @@
             self.assertEqual((await one)[0], 503)
         self.assertEqual(self.runs(), 0)
 
-    async def test_a_freeze_while_a_connection_comes_up_lets_no_request_out(self):
+    async def test_a_stall_while_connecting_lets_no_request_out(self):
         await self.begin()
         opened = Pool.open
 
@@ -273,7 +275,7 @@
         with mock.patch.object(Pool, "open", slow):
             self.assertEqual(await self.asked("/n/", token("k1")), (503, mock.ANY, 0))
 
-    async def test_a_further_try_is_not_made_past_the_lease(self):
+    async def test_no_retry_is_made_after_the_lease(self):
         await self.begin()
 
         def shed(request, writer):
@@ -286,35 +288,35 @@
 
 
 class ReadyCase(TenantsCase):
-    """What the platform is told."""
+    """Readiness as the platform sees it."""
 
-    async def test_an_edge_that_can_not_judge_keys_is_not_ready_until_a_fresh_core_answers(self):
+    async def test_an_edge_that_can_not_check_keys_is_not_ready_until_a_fresh_core_answers(self):
         client_server = await self.begin()
         readiness = Readiness(client_server)
-        self.assertFalse(readiness.at(self.held.now()))
+        self.assertFalse(readiness.is_ready(self.held.now()))
         with self.assertLogs(level="INFO") as logs:
-            readiness.begin(self.held.now())
+            readiness.on_view_ready(self.held.now())
             for moved, wanted in ((0.0, True), (4.6, True), (0.2, False), (3.0, False)):
                 self.held.moment += moved
-                self.assertEqual(readiness.at(self.held.now()), wanted)
+                self.assertEqual(readiness.is_ready(self.held.now()), wanted)
             client_server.forwarder.freshness.renew(self.held.now(), 0.0)
-            self.assertTrue(readiness.at(self.held.now()))
-            readiness.end()
-            self.assertFalse(readiness.at(self.held.now()))
+            self.assertTrue(readiness.is_ready(self.held.now()))
+            readiness.stop()
+            self.assertFalse(readiness.is_ready(self.held.now()))
         self.assertEqual(len(logs.output), 3)
 
     async def test_without_tenants_or_where_revocation_does_not_bind_it_stays_ready(self):
         for tenants, bounds in (({}, BOUNDS), (TENANTS, LOOSE)):
             await self.begin(tenants=tenants, bounds=bounds, proven=False)
             readiness = Readiness(self.client_server)
-            readiness.begin(self.held.now())
+            readiness.on_view_ready(self.held.now())
             self.held.moment += 100.0
-            self.assertTrue(readiness.at(self.held.now()))
+            self.assertTrue(readiness.is_ready(self.held.now()))
             self.client_server.drain()
 
-    async def test_an_edge_that_took_its_first_answer_past_its_lease_serves_from_the_next(self):
+    async def test_an_edge_whose_first_answer_came_after_its_lease_serves_from_the_next(self):
         client_server = await self.begin(proven=False)
-        stood = [5.0, 0.0]  # seconds between a call and its answer
+        stood = [5.0, 0.0]  # seconds that each call takes
 
         async def json(*_):
             self.held.moment += stood.pop(0)
--- a/tests/system/test_freshness.py
+++ b/tests/system/test_freshness.py
@@ -1,4 +1,4 @@
-"""The lease on an edge's configuration: its figures, and what it is worth while machines are cut off or frozen."""
+"""The lease on an edge's tenant keys: its arithmetic, and whether it holds while machines are cut off or frozen."""
 
 import asyncio
 import unittest
@@ -13,57 +13,57 @@
 from tests.system.test_control_plane import ADDRESSES
 from tests.system.test_cut_off import play, world_caller
 
-REVOKE, CONFIG_APPLY = 5.0, 2.0  # seconds, as settings may have them
-LOOK = 0.02  # seconds between looks at an edge
+REVOKE_TIMEOUT_S, CONFIG_APPLY_S = 5.0, 2.0  # as in a settings file
+SAMPLE_INTERVAL_S = 0.02  # interval at which an edge's lease is sampled
 
 
 class LeaseCase(unittest.TestCase):
     def test_it_runs_from_the_core_s_proof_and_never_back(self):
-        lease = Freshness(REVOKE, True)
+        lease = Freshness(REVOKE_TIMEOUT_S, True)
         self.assertFalse(lease.is_valid(-1e9))
         lease.renew(100.0, -0.5)
-        end = 99.5 + REVOKE - LEASE_MARGIN_S
+        end = 99.5 + REVOKE_TIMEOUT_S - LEASE_MARGIN_S
         self.assertEqual((lease.is_valid(end - 0.001), lease.is_valid(end)), (True, False))
         lease.renew(99.0, 0.1)
         self.assertTrue(lease.is_valid(end - 0.001))
         lease.renew(101.0, 0.9)
         self.assertTrue(lease.is_valid(end + 2.0))
 
-    def test_a_core_that_does_not_tell_may_be_as_far_behind_as_a_fresh_one_can_be(self):
-        lease = Freshness(REVOKE, True)
+    def test_without_a_reported_proof_the_oldest_proof_of_a_fresh_core_is_assumed(self):
+        lease = Freshness(REVOKE_TIMEOUT_S, True)
         lease.renew(100.0, None)
         self.assertEqual(lease.proven_at, 100.0 - FRESH - PROOF)
 
-    def test_where_it_binds_nobody_out_of_touch_keys_are_accepted_past_it(self):
-        lease = Freshness(REVOKE, False)
+    def test_a_lease_that_does_not_bind_machines_cut_off_accepts_keys_after_it_lapsed(self):
+        lease = Freshness(REVOKE_TIMEOUT_S, False)
         self.assertEqual(
             (lease.can_accept(0.0), lease.is_valid(0.0), lease.poll_wait(POLL_WAIT_S)), (True, False, POLL_WAIT_S)
         )
-        self.assertFalse(Freshness(REVOKE, True).can_accept(0.0))
+        self.assertFalse(Freshness(REVOKE_TIMEOUT_S, True).can_accept(0.0))
 
-    def test_calls_wait_for_a_part_of_a_short_lease_only(self):
-        self.assertEqual(Freshness(REVOKE, True).poll_wait(POLL_WAIT_S), POLL_WAIT_S)
+    def test_polls_wait_for_only_a_part_of_a_short_lease(self):
+        self.assertEqual(Freshness(REVOKE_TIMEOUT_S, True).poll_wait(POLL_WAIT_S), POLL_WAIT_S)
         self.assertEqual(Freshness(1.3, True).poll_wait(POLL_WAIT_S), 1.0 / CALLS_PER_LEASE)
         self.assertEqual(Freshness(0.1, True).length, 0.0)
 
 
 class Edge:
-    """An edge's link to the cores of a world, and what its lease was worth at each look."""
+    """An edge that polls the cores of a world, and samples of its lease."""
 
-    def __init__(self, world, revoke=REVOKE):
-        self.world, self.view, self.lease = world, ClusterView(), Freshness(revoke, True)
+    def __init__(self, world, revoke_timeout_s=REVOKE_TIMEOUT_S):
+        self.world, self.view, self.lease = world, ClusterView(), Freshness(revoke_timeout_s, True)
         self.running = asyncio.Event()
         self.running.set()
         self.caller = world_caller(world)
-        self.looks: list[tuple[float, bool, int]] = []  # when, whether the lease held, the version in force here
-        self.ages: list[float] = []  # seconds since the configuration here was proven the newest, at each look
+        self.samples: list[tuple[float, bool, int]] = []  # time, whether the lease held, version here
+        self.ages: list[float] = []  # seconds since the last proof, at each sample
         seeds = list(ADDRESSES)
         self.view_poller = ViewPoller("e", self.view, self, seeds, 1, "z", dict, lambda *told: None, self.lease)
         loop = asyncio.get_running_loop()
-        self.works = [loop.create_task(self.view_poller.run()), loop.create_task(self.watch())]
+        self.tasks = [loop.create_task(self.view_poller.run()), loop.create_task(self.watch())]
 
     async def json(self, *given):
-        """A call of the link; while the edge stands still its answer waits."""
+        """A call of the poller; its answer waits while the edge is stalled."""
         try:
             return await self.caller.json(*given)
         finally:
@@ -73,67 +73,73 @@
         while True:
             await self.running.wait()
             version = self.view.configuration.version if self.view.configuration else 0
-            self.looks.append((clock(), self.lease.is_valid(clock()), version))
+            self.samples.append((clock(), self.lease.is_valid(clock()), version))
             if self.lease.proven_at > -1e9:
                 self.ages.append(clock() - self.lease.proven_at)
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     def end(self):
-        for work in self.works:
+        for work in self.tasks:
             work.cancel()
 
 
 class WorldCase(unittest.TestCase):
-    """An edge and three cores. r7 is taken in the middle of a trouble, as a configuration that drops a key."""
+    """An edge and three cores. r7, a configuration that removes a key, is acknowledged during a fault."""
 
-    def through(self, trouble, revoke=REVOKE, lasts=12.0):
-        """Play a trouble; looks of the edge from before it to after it, and when r7 was acknowledged."""
-        found = {}
+    def through(self, fault, revoke_timeout_s=REVOKE_TIMEOUT_S, lasts=12.0):
+        """Run a fault; returns samples of the edge from before until after it, and when r7 was acknowledged."""
+        run = {}
 
         async def story(world):
-            edge = Edge(world, revoke)
+            edge = Edge(world, revoke_timeout_s)
             await world.until(lambda: edge.lease.is_valid(clock()))
             await asyncio.sleep(3)
-            found["begun"] = clock()
-            over = trouble(world, edge)
+            run["fault_began"] = clock()
+            end_fault = fault(world, edge)
             await asyncio.sleep(0.3)
             status, _ = await world.order("r7", "r3", [one for one in world.cores.values() if one.thawed.is_set()])
             self.assertEqual(status, 200)
-            found["acked"] = clock()
+            run["acknowledged_at"] = clock()
             await asyncio.sleep(lasts)
-            over()
-            found["over"] = clock()
+            end_fault()
+            run["fault_ended"] = clock()
             await world.until(lambda: edge.view.configuration.version == 7)
             await asyncio.sleep(3)
-            found["looks"], found["ages"] = edge.looks, edge.ages
+            run["samples"], run["ages"] = edge.samples, edge.ages
             edge.end()
 
         play(story)
-        return found
-
-    def check(self, found, revoke=REVOKE):
-        """No look at which the lease held on r3 comes `revoke_timeout` after r7 was acknowledged."""
-        late = [at for at, held, version in found["looks"] if held and version < 7 and at >= found["acked"] + revoke]
+        return run
+
+    def check(self, run, revoke_timeout_s=REVOKE_TIMEOUT_S):
+        """No sample with a valid lease on r3 is later than `revoke_timeout` after r7 was acknowledged."""
+        late = [
+            at
+            for at, held, version in run["samples"]
+            if held and version < 7 and at >= run["acknowledged_at"] + revoke_timeout_s
+        ]
         self.assertEqual(late, [])
-        self.assertEqual(found["looks"][-1][1:], (True, 7))
+        self.assertEqual(run["samples"][-1][1:], (True, 7))
 
-    def test_an_edge_cut_off_stops_in_time_and_goes_on_once_it_hears_a_core(self):
-        def trouble(world, edge):
+    def test_the_lease_of_an_edge_cut_off_lapses_in_time_and_returns_with_a_core(self):
+        def fault(world, edge):
             world.blocked |= {way for at in ADDRESSES for way in (("edge", at), (at, "edge"))}
             return world.blocked.clear
 
-        found = self.through(trouble)
-        self.check(found)
-        held = [at for at, held, _ in found["looks"] if held and found["begun"] <= at < found["over"]]
-        self.assertGreater(max(held) - found["begun"], REVOKE - LEASE_MARGIN_S - POLL_WAIT_S - FRESH - PROOF)
-        self.assertFalse(all(held for _, held, _ in found["looks"]))
+        run = self.through(fault)
+        self.check(run)
+        held = [at for at, held, _ in run["samples"] if held and run["fault_began"] <= at < run["fault_ended"]]
+        self.assertGreater(
+            max(held) - run["fault_began"], REVOKE_TIMEOUT_S - LEASE_MARGIN_S - POLL_WAIT_S - FRESH - PROOF
+        )
+        self.assertFalse(all(held for _, held, _ in run["samples"]))
 
-    def test_an_edge_whose_core_is_cut_off_or_frozen_hears_another_before_its_lease_ends(self):
+    def test_an_edge_whose_core_is_cut_off_or_frozen_finds_another_before_its_lease_lapses(self):
         for shape in ("both ways", "hears only", "heard not", "frozen"):
             for role in ("leader", "follower"):
                 with self.subTest(shape=shape, role=role):
 
-                    def trouble(world, edge, shape=shape, role=role):
+                    def fault(world, edge, shape=shape, role=role):
                         leader = world.leader()
                         core = leader if role == "leader" else next(c for c in world.cores.values() if c is not leader)
                         edge.view_poller.core = core.at
@@ -143,37 +149,37 @@
                         world.cut(core.at, shape)
                         return world.blocked.clear
 
-                    found = self.through(trouble)
-                    self.check(found)
-                    self.assertTrue(all(held for at, held, _ in found["looks"] if at > found["begun"] - 2))
+                    run = self.through(fault)
+                    self.check(run)
+                    self.assertTrue(all(held for at, held, _ in run["samples"] if at > run["fault_began"] - 2))
 
-    def test_an_edge_that_stood_still_wakes_with_a_lease_that_is_over(self):
-        def trouble(world, edge):
+    def test_an_edge_that_was_stalled_resumes_with_a_lapsed_lease(self):
+        def fault(world, edge):
             edge.running.clear()
             return edge.running.set
 
-        found = self.through(trouble)
-        self.check(found)
-        after = [held for at, held, _ in found["looks"] if at >= found["over"]]
+        run = self.through(fault)
+        self.check(run)
+        after = [held for at, held, _ in run["samples"] if at >= run["fault_ended"]]
         self.assertFalse(after[0])
 
-    def test_in_calm_it_never_ends(self):
-        for revoke in (1.6, REVOKE):
-            with self.subTest(revoke=revoke):
-                found = self.through(lambda world, edge: lambda: None, revoke)
-                self.check(found, revoke)
-                begun = next(at for at, held, _ in found["looks"] if held)
-                self.assertTrue(all(held for at, held, _ in found["looks"] if at >= begun))
+    def test_without_faults_it_never_lapses(self):
+        for revoke_timeout_s in (1.6, REVOKE_TIMEOUT_S):
+            with self.subTest(revoke_timeout_s=revoke_timeout_s):
+                run = self.through(lambda world, edge: lambda: None, revoke_timeout_s)
+                self.check(run, revoke_timeout_s)
+                begun = next(at for at, held, _ in run["samples"] if held)
+                self.assertTrue(all(held for at, held, _ in run["samples"] if at >= begun))
 
-    def test_in_calm_keys_can_be_refused_at_all_times(self):
-        found = self.through(lambda world, edge: lambda: None, lasts=30.0)
-        self.assertGreater(len(found["ages"]), 1000)
-        self.assertLess(max(found["ages"]), CONFIG_APPLY - REFUSAL_MARGIN_S)
+    def test_without_faults_keys_can_be_refused_at_all_times(self):
+        run = self.through(lambda world, edge: lambda: None, lasts=30.0)
+        self.assertGreater(len(run["ages"]), 1000)
+        self.assertLess(max(run["ages"]), CONFIG_APPLY_S - REFUSAL_MARGIN_S)
 
-    def test_a_proof_that_is_told_too_late_is_found(self):
-        """The check itself: an edge that counts from an answer, and a little more."""
+    def test_the_check_finds_a_lease_counted_from_the_answer(self):
+        """The check itself: finds an edge whose lease runs from the answer, plus two seconds."""
 
-        def trouble(world, edge):
+        def fault(world, edge):
             world.blocked |= {way for at in ADDRESSES for way in (("edge", at), (at, "edge"))}
             return world.blocked.clear
 
@@ -181,7 +187,7 @@
             self.proven_at = max(self.proven_at, clock() + 2.0)
 
         with mock.patch.object(Freshness, "renew", from_the_answer), self.assertRaises(AssertionError):
-            self.check(self.through(trouble))
+            self.check(self.through(fault))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -1,7 +1,7 @@
-"""Every path on which a connection is used again: each mishap at each point of an exchange, and the calls after it.
+"""Every path on which a connection is reused: each mishap at each point of an exchange, and the calls after it.
 
-What is asked of all paths: a call gets its own answer or none; one that may not be repeated reaches the peer once at
-most; after anything odd the connection carries no further call. The mistakes seeded below are found by the same tables.
+Required of all paths: a call gets its own answer or none; a non-idempotent one reaches the peer at most once; after
+anything unexpected the connection carries no further call. Mistakes made on purpose are found by the same tables.
 """
 
 import asyncio
@@ -22,15 +22,15 @@
 from knotwalk.runtime import call as runtime_call
 from knotwalk.runtime.errors import PeerError
 
-SHORT = 0.15  # seconds that a call is waited for where silence is the point
-LONG = 30.0  # seconds for all others: a busy machine stalls
-DEADLINE = 20.0  # seconds that an edge has for those; less than LONG, so that its answer comes first
+SHORT = 0.15  # timeout of calls in cases where the peer does not answer
+LONG = 30.0  # timeout of all other calls: a busy machine stalls
+DEADLINE = 20.0  # deadline of an edge for those; less than LONG, so that its answer comes first
 FAILED = None  # a call that got no answer
 EARLY = -1  # a call that got an answer which was sent before its body was read
 
 
 def number_in(body):
-    """The number that an answer holds; none if its peer has spoilt it."""
+    """The number in an answer; None if the answer is damaged."""
     try:
         return json.loads(body)["n"]
     except (ValueError, TypeError, KeyError):
@@ -38,19 +38,19 @@
 
 
 class EdgeToNode:
-    """Requests of clients, each on a connection of its own, through an edge to one node."""
+    """Requests of clients, each on its own connection, through an edge to one node."""
 
     path, repeatable = "/n/", False
 
     async def open(self, peer):
-        # A node of another name than the last test's: what an edge learns of a node stays with the node.
+        # A node with another name than that of the last test: an edge keeps its measurements of a node with the node.
         self.client_server = await client_server(
             view([Node("i-1", "s", peer.address, "a", 4)], routes(DEADLINE, DEADLINE))
         )
 
     async def call(self, number, patience=LONG):
         for node in self.client_server.view.nodes.values():
-            node.seen = None  # whatever was learnt must not keep the next call from being sent
+            node.seen = None  # measurements so far must not keep the next call from being sent
         client = await RawClient.to(self.client_server.port)
         try:
             client.ask(self.path, f"id{number}", deadline=int(min(patience, DEADLINE) * 1000))
@@ -99,7 +99,7 @@
 
 
 class Grant(CoreToCore):
-    """From a core to a node: the node names no call in its answers."""
+    """From a core to a node, whose answers have no id of the call."""
 
     alone, options = False, {"resets": True, "named": False}
 
@@ -115,7 +115,7 @@
 
 
 class List(CoreToCore):
-    """From a core to the platform's list, and any other GET: not sent again behind the caller's back either."""
+    """From a core to the platform's list, as any other GET: the library must not retry it by itself either."""
 
     async def call(self, number, patience=LONG):
         with contextlib.suppress(PeerError):
@@ -125,7 +125,7 @@
 
 
 class Order(CoreToCore):
-    """From an operator to a core: sent again unchanged, by the operator's program and by nothing beneath it."""
+    """From an operator to a core: retried unchanged by the operator's program, and by no library below it."""
 
     repeatable = True
 
@@ -143,14 +143,14 @@
 
 
 PATHS = (EdgeToNode, EdgeToNodeRepeatable, EdgeToCore, CoreToCore, Grant, Release, List, Order)
-# Paths whose peers name no call in their answers: a whole answer that comes after a call was sent counts as its own.
+# Paths whose answers have no id of the call: a complete answer that arrives after a call was sent counts as its own.
 UNNAMED = (Grant, Release, List)
-# A mishap, and the points, after which the connection may be used on: nothing odd has come.
+# Mishaps and points after which the connection may be used further, since nothing unexpected has arrived.
 HARMLESS = {(mishaps.interim, READ), (mishaps.interim, HEAD_READ)}
 
 
 def turns(count):
-    """Let the loop turn: what has come is read."""
+    """Run iterations of the event loop: what has arrived is read."""
     return asyncio.gather(*(asyncio.sleep(0) for _ in range(count)))
 
 
@@ -158,7 +158,7 @@
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
         for target in ("knotwalk.edge.caller.CONNECT_TIMEOUT_S", "knotwalk.edge.node_try.CONNECT_TIMEOUT_S"):
-            patched = mock.patch(target, LONG)  # a busy machine may stall a test for longer
+            patched = mock.patch(target, LONG)  # a busy machine may stall for longer
             patched.start()
             self.addCleanup(patched.stop)
 
@@ -174,7 +174,7 @@
             await turns(3)
 
     def judged(self, path, peer, results):
-        """What is wrong with the answers that calls got, by number, and with how often they reached the peer."""
+        """What is wrong with the answers of calls, by number, and with how often the calls reached the peer."""
         found = [f"call {n} got {r}" for n, r in enumerate(results) if r not in (n, EARLY, FAILED, "promised")]
         ran = [call.number for call in peer.calls]
         if not path.repeatable:
@@ -183,7 +183,7 @@
         return found
 
     async def met(self, path, mishap, point, at):
-        """Calls 0 to 3; the mishap in call `at`. What is wrong."""
+        """Make calls 0 to 3 with the mishap in call `at`; returns what is wrong."""
         async with self.against(path, point=point, mishap=mishap, at=at) as (peer, one):
             results = []
             for number in range(4):
@@ -197,15 +197,15 @@
             return [f"{path.__name__}, {mishap.__name__} at {point} of call {at}: {text}" for text in found]
 
     async def idle(self, path, mishap, count):
-        """Call 0 is answered; its connection meets with the mishap; the loop turns so often; calls 1 and 2 are made."""
+        """After call 0, the mishap hits its connection, the event loop runs `count` times, and calls 1 and 2 follow."""
         async with self.against(path) as (peer, one):
             results = [await one.call(0)]
             mishap(peer, peer.calls[0], peer.writers[peer.calls[0].connection])
             await turns(count)
             results += [await one.call(1), await one.call(2)]
             found = self.judged(path, peer, results)
-            # An end that the peer's loop has not carried out can't be seen: the call is lost then, and not sent again
-            # by anybody who doesn't know that it may be.
+            # An end that the peer's event loop has not executed yet can't be detected: the call is lost then, and only
+            # retried by a caller that knows that it may be.
             unseen = mishap in (mishaps.close, mishaps.reset) and not count
             if results != [0, 1, 2] and not (unseen and results == [0, FAILED, 2]):
                 found.append(f"calls got {results}")
@@ -214,7 +214,7 @@
             return found
 
     async def table(self, paths=PATHS, chosen=MISHAPS, points=POINTS):
-        """All cases of the table; what is wrong, and how many there were."""
+        """Run all cases of the table; returns what is wrong, and the number of cases."""
         found, count = [], 0
         for path in paths:
             for mishap in chosen:
@@ -256,7 +256,7 @@
 
 
 class IdleCase(ReuseCase):
-    """What comes on a connection that lies idle, read by the loop or not, costs no call and is nobody's answer."""
+    """Bytes that arrive on an idle connection, read or unread, fail no call and are not taken for an answer."""
 
     async def test_table(self):
         for path in PATHS:
@@ -267,10 +267,10 @@
 
 
 class GivenUpCase(ReuseCase):
-    """A call that is given up, by its time or by its task's end, and the answer that comes afterwards."""
+    """A call that is given up, by timeout or cancellation, and whose answer arrives afterwards."""
 
     async def late(self, path, cancelled):
-        """Call 1 is given up on a connection that has been used; its answer comes; call 2 gets its own."""
+        """Call 1 is given up on a reused connection, its answer arrives, and call 2 gets its own answer."""
         async with self.against(path, point=READ, mishap=mishaps.silence, at=1) as (peer, one):
             self.assertEqual(await one.call(0), 0)
             task = asyncio.ensure_future(one.call(1, LONG if cancelled else SHORT))
@@ -290,14 +290,15 @@
         for path in (EdgeToNode, EdgeToNodeRepeatable, EdgeToCore, CoreToCore, Grant, Release, List):
             for cancelled in (False, True):
                 if cancelled and path is EdgeToNode:
-                    continue  # what may not be repeated is carried to its end, whoever has gone
+                    continue  # a non-idempotent request is completed, even if its client is gone
                 with self.subTest(path.__name__, cancelled=cancelled):
                     await self.late(path, cancelled)
 
 
 class HeldUpCase(ReuseCase):
-    async def test_a_connection_whose_answer_was_held_up_is_read_on(self):
-        """An answer past the size that is gathered, come whole at once: the next request's answer was never read."""
+    async def test_a_connection_whose_answer_was_paused_is_read_further(self):
+        """Guards against reading that stays paused: after an answer too large to buffer that arrived in one piece, the
+        next answer was never read."""
 
         async def serve(reader, writer):
             try:
@@ -329,7 +330,7 @@
 
 
 class SeededCase(ReuseCase):
-    """The tables find these mistakes, each put in on purpose."""
+    """The tables find these mistakes, each made on purpose."""
 
     async def found(self, paths, chosen, points):
         return (await self.table(paths, chosen, points))[0]
@@ -345,7 +346,7 @@
                 self.assertTrue(await self.idle(EdgeToCore, mishaps.extra, 0))
 
     async def test_a_late_answer_taken_for_the_next_calls(self):
-        """Ids unchecked: a stray answer is passed on as the request's own, or as the call's."""
+        """With unchecked ids, a stray answer is taken for that of the request or the call."""
         read_head = node_connection.Connection._read_head
 
         def unchecked(self, status, headers):
@@ -360,8 +361,8 @@
         with mock.patch.object(runtime_call.NamedResponse, "start", aiohttp.ClientResponse.start):
             self.assertTrue(await self.found((CoreToCore,), (mishaps.stray,), (READ,)))
 
-    async def test_what_may_not_be_repeated_sent_twice(self):
-        """A reset after a byte left counts as proof that nothing ran; a library that sends again by itself."""
+    async def test_a_non_idempotent_request_sent_twice(self):
+        """A reset after bytes were sent is taken as proof that nothing ran; a library that retries by itself."""
         proofs = {**outcome.PROOFS, outcome.TryOutcome.LOST: outcome.Proof.NEVER_RAN}
         with mock.patch.object(outcome, "PROOFS", proofs), mock.patch.object(forwarder, "PROOFS", proofs):
             self.assertTrue(await self.found((EdgeToNode,), (mishaps.reset,), (READ,)))
@@ -376,7 +377,7 @@
             self.assertTrue(await self.found((List,), (mishaps.reset,), (READ,)))
 
     async def test_a_release_on_a_connection_that_is_used_again(self):
-        """Node's answers bear no id: without a connection of its own a release takes what comes late for its answer."""
+        """Answers of nodes have no id: without its own connection, a release takes a late answer for its own."""
 
         class Shared(Release):
             alone = False
