--- a/tests/simulation/aimed.py
+++ b/tests/simulation/aimed.py
@@ -1,7 +1,8 @@
-"""Faults aimed at a moment: at what is promised and not yet kept, or looked at and not yet done.
+"""Faults aimed at a moment: between a promise and its write to disk, or between a check and the action based on it.
 
-Chance alone meets these moments of a few milliseconds too rarely. Each of these faults waits for its moment by looking
-at the programs, which no other part of a walk does, and strikes there; then a majority without those who know goes on.
+These moments last a few milliseconds, so random faults rarely hit them. Each of these faults inspects the programs'
+state, which no other part of a walk does, to wait for its moment. Then the machines that know of the promise or the
+check are crashed or cut off, and a majority without them goes on.
 """
 
 from __future__ import annotations
@@ -11,32 +12,32 @@
 
 from knotwalk.consensus.membership_rules import quorum
 from tests.simulation.wire import Cut
-from tests.simulation.world import Place, World
+from tests.simulation.world import CoreMachine, World
 
 if TYPE_CHECKING:
     from tests.simulation.faults import Fault
 
-LOOK = 0.0005  # seconds between looks for the moment
-HELD_UP = 0.45  # seconds that a write is held up: less than what a program takes for a disk that hangs
-AWAY = 3.0  # seconds at least for which those who know stay away: others elect meanwhile
-BACK = 0.05  # seconds after which a machine without power starts again
-GONE = 2.5  # seconds after which a lost member is held for lost
+POLL_INTERVAL_S = 0.0005  # between checks for the moment
+WRITE_DELAY_S = 0.45  # of a delayed write: shorter than what a program treats as a hanging disk
+MIN_ISOLATION_S = 3.0  # of the machines that know: long enough for the others to elect a leader
+RESTART_DELAY_S = 0.05  # after a loss of power
+REPLACEMENT_DELAY_S = 2.5  # after which a lost member is considered lost
 
 
-def _later(world: World, wait: float, act: Callable[[], None]) -> None:
+def _call_later(world: World, wait: float, act: Callable[[], None]) -> None:
     world.loop.world.soon(act, wait=wait)
 
 
-def _when(world: World, until: float, moment: Callable[[], bool], act: Callable[[], None]) -> None:
-    """Act at the first look at which the moment has come, if one does in time."""
+def _call_when(world: World, until: float, moment: Callable[[], bool], act: Callable[[], None]) -> None:
+    """Call `act` at the first check at which `moment` is true, if there is one before `until`."""
     if moment():
         act()
     elif world.loop.now < until:
-        _later(world, LOOK, lambda: _when(world, until, moment, act))
+        _call_later(world, POLL_INTERVAL_S, lambda: _call_when(world, until, moment, act))
 
 
-def _cut(world: World, ones: list[Place], others: list[Place], length: float, both: bool = True) -> None:
-    """Lose all between some cores and others."""
+def _cut(world: World, ones: list[CoreMachine], others: list[CoreMachine], length: float, both: bool = True) -> None:
+    """Drop all messages between some cores and others; with `both` false only those from `ones` to `others`."""
     until = world.loop.now + length
     for one in ones:
         for other in others:
@@ -46,61 +47,61 @@
                     world.wire.cuts[other.host, one.host] = Cut("lost", until)
 
 
-def _no_power(world: World, place: Place) -> None:
-    """Power is lost, and the write under way with it; soon it is back."""
-    place.disk.under_way = None
-    place.disk.hangs_until = place.disk.slow = 0.0
-    world.crash(place)
-    _later(world, BACK, lambda: world.start_core(place))
+def _lose_power(world: World, core: CoreMachine) -> None:
+    """Crash a core and drop the write in progress; restart it soon."""
+    core.disk.under_way = None
+    core.disk.hangs_until = core.disk.slow = 0.0
+    world.crash(core)
+    _call_later(world, RESTART_DELAY_S, lambda: world.start_core(core))
 
 
-def _peers(world: World, leader: Place, who: float) -> list[Place]:
-    """The other voters that run, in an order that differs."""
+def _other_voters(world: World, leader: CoreMachine, who: float) -> list[CoreMachine]:
+    """The other running voters, rotated by `who`."""
     members = leader.process.machine.members  # type: ignore[union-attr]
     found = [p for p in world.running() if p is not leader and p.process.machine.me in members]  # type: ignore[union-attr]
     at = int(who * 7919) % len(found) if found else 0
     return found[at:] + found[:at]
 
 
-def _unkept(place: Place) -> bool:
-    """Whether a machine has entries that its disk has not."""
-    process, kept = place.process, place.disk.kept
+def _has_unsaved_entries(core: CoreMachine) -> bool:
+    """Whether a core's log has entries that are not on its disk."""
+    process, kept = core.process, core.disk.kept
     if process is None or process.machine is None or kept is None:
         return False
     saved = kept.saved
     return process.machine.log.last > (saved.entries[-1].index if saved.entries else saved.snapshot_index)
 
 
-def _entries(world: World, fault: Fault, place: Place) -> None:
-    """Those whose word would commit an entry lose power before it is kept; who leads is cut off then."""
+def _lose_unsaved_entries(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Crash the followers whose acknowledgement commits an entry before they have saved it, and isolate the leader."""
     leader = world.leader()
     if leader is None:
         return
-    others = _peers(world, leader, fault.who)
+    others = _other_voters(world, leader, fault.who)
     need = quorum(len(leader.process.machine.members)) - 1  # type: ignore[union-attr]
     few, rest = others[:need], others[need:]
     if not rest:
         return
     for one in few:
-        one.disk.hangs_until = world.loop.now + HELD_UP
-    _cut(world, [leader], rest, HELD_UP)
+        one.disk.hangs_until = world.loop.now + WRITE_DELAY_S
+    _cut(world, [leader], rest, WRITE_DELAY_S)
 
     def strike() -> None:
         for one in few:
-            _no_power(world, one)
-        _cut(world, [leader], [p for p in world.places.values()], max(AWAY, fault.length))
+            _lose_power(world, one)
+        _cut(world, [leader], [p for p in world.core_machines.values()], max(MIN_ISOLATION_S, fault.length))
 
-    _when(
+    _call_when(
         world,
-        world.loop.now + HELD_UP,
-        lambda: all(_unkept(one) for one in few),
-        lambda: _later(world, 0.006 + 0.06 * fault.how, strike),
+        world.loop.now + WRITE_DELAY_S,
+        lambda: all(_has_unsaved_entries(one) for one in few),
+        lambda: _call_later(world, 0.006 + 0.06 * fault.how, strike),
     )
 
 
-def _promised(place: Place) -> str | None:
-    """Whom a machine gives a vote of which its disk knows nothing."""
-    process, kept = place.process, place.disk.kept
+def _unsaved_vote(core: CoreMachine) -> str | None:
+    """The candidate of a core's vote that is not yet on its disk."""
+    process, kept = core.process, core.disk.kept
     if process is None or process.machine is None or kept is None:
         return None
     machine, saved = process.machine, kept.saved
@@ -108,54 +109,60 @@
     return given if given and (saved.term, saved.vote) != (machine.term, given) else None
 
 
-def _vote(world: World, fault: Fault, place: Place) -> None:
-    """Who leads dies; a voter loses power before its vote is kept; the one it voted for is cut off, the dead return."""
+def _lose_unsaved_vote(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Crash the leader, then voters before their vote is saved; isolate the candidate and restart the leader."""
     leader = world.leader()
     if leader is None:
         return
-    others = _peers(world, leader, fault.who)
+    others = _other_voters(world, leader, fault.who)
     world.crash(leader)
     for one in others:
         one.disk.slow = 0.3
 
     def strike() -> None:
-        given = {_promised(one) for one in others}
+        given = {_unsaved_vote(one) for one in others}
         chosen = [one for one in others if one.process and one.process.machine and one.process.machine.me in given]
         for one in others:
             one.disk.slow = 0.0
-            if _promised(one) is not None:
-                _no_power(world, one)
-        _cut(world, chosen, list(world.places.values()), max(AWAY, fault.length))
+            if _unsaved_vote(one) is not None:
+                _lose_power(world, one)
+        _cut(world, chosen, list(world.core_machines.values()), max(MIN_ISOLATION_S, fault.length))
         world.start_core(leader)
 
     until = world.loop.now + 3.0
-    _when(world, until, lambda: any(_promised(one) for one in others), lambda: _later(world, 0.004, strike))
-    _later(world, 3.1, lambda: world.start_core(leader))
-    _later(world, 3.1, lambda: [setattr(one.disk, "slow", 0.0) for one in others] and None)
+    _call_when(
+        world, until, lambda: any(_unsaved_vote(one) for one in others), lambda: _call_later(world, 0.004, strike)
+    )
+    _call_later(world, 3.1, lambda: world.start_core(leader))
+    _call_later(world, 3.1, lambda: [setattr(one.disk, "slow", 0.0) for one in others] and None)
 
 
-def _between(world: World, fault: Fault, place: Place) -> None:
-    """What the leader says is lost from the moment at which it asks whether it still leads; answers still come."""
+def _cut_during_read(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Drop what the leader sends from the moment at which it confirms its leadership for a read; it still receives."""
     leader = world.leader()
     if leader is None:
         return
     machine = leader.process.machine  # type: ignore[union-attr]
-    _when(
+    _call_when(
         world,
         world.loop.now + 1.0,
         lambda: bool(machine._reads or machine._queued_reads),
-        lambda: _later(
-            world, LOOK, lambda: _cut(world, [leader], list(world.places.values()), max(AWAY, fault.length), False)
+        lambda: _call_later(
+            world,
+            POLL_INTERVAL_S,
+            lambda: _cut(
+                world, [leader], list(world.core_machines.values()), max(MIN_ISOLATION_S, fault.length), False
+            ),
         ),
     )
 
 
-def _change(world: World, fault: Fault, place: Place) -> None:
-    """A member is lost and another comes; the others' disks are held up as soon as it is to be taken in."""
-    if not world.whole():
+def _delay_membership_change(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Replace a lost member, and delay the other cores' disks as soon as the membership change is in the log."""
+    if not world.can_lose_a_core():
         return
-    world.retire(place)
-    there = [one.host for one in world.places.values() if not one.gone]
+    world.retire(core)
+    there = [one.host for one in world.core_machines.values() if not one.retired]
 
     def changing() -> bool:
         leader = world.leader()
@@ -164,34 +171,34 @@
     def hold_up() -> None:
         for one in world.running():
             if one is not world.leader():
-                one.disk.hangs_until = world.loop.now + HELD_UP
+                one.disk.hangs_until = world.loop.now + WRITE_DELAY_S
 
-    _later(world, GONE, lambda: world.add_core(there) and None)
-    _later(world, GONE, lambda: _when(world, world.loop.now + 2.0, changing, hold_up))
+    _call_later(world, REPLACEMENT_DELAY_S, lambda: world.add_core(there) and None)
+    _call_later(world, REPLACEMENT_DELAY_S, lambda: _call_when(world, world.loop.now + 2.0, changing, hold_up))
 
 
-def _newcomers(world: World, fault: Fault, place: Place) -> None:
-    """Two come at once; as soon as who leads has heard one of them, it is left with them alone."""
+def _isolate_with_newcomers(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Add two cores at once; as soon as the leader has a learner, cut it off from all others but the new ones."""
     leader = world.leader()
-    if leader is None or not world.whole():
+    if leader is None or not world.can_lose_a_core():
         return
-    before = [one for one in world.places.values() if one is not leader]
-    there = [one.host for one in world.places.values() if not one.gone]
+    before = [one for one in world.core_machines.values() if one is not leader]
+    there = [one.host for one in world.core_machines.values() if not one.retired]
     for _ in range(2):
         world.add_core(there)
     machine = leader.process.machine  # type: ignore[union-attr]
-    _when(
+    _call_when(
         world,
         world.loop.now + 1.0,
         lambda: any(peer.kind == "learner" for peer in machine._peers.values()),
-        lambda: _cut(world, [leader], before, max(AWAY, fault.length)),
+        lambda: _cut(world, [leader], before, max(MIN_ISOLATION_S, fault.length)),
     )
 
 
-AIMED: dict[str, Callable[[World, Fault, Place], None]] = {
-    "newcomers alone": _newcomers,
-    "unkept vote": _vote,
-    "cut after a look": _between,
-    "change under way": _change,
-    "unkept entries": _entries,
+AIMED_FAULTS: dict[str, Callable[[World, Fault, CoreMachine], None]] = {
+    "newcomers alone": _isolate_with_newcomers,
+    "unkept vote": _lose_unsaved_vote,
+    "cut after a look": _cut_during_read,
+    "change under way": _delay_membership_change,
+    "unkept entries": _lose_unsaved_entries,
 }
--- a/tests/simulation/claimants.py
+++ b/tests/simulation/claimants.py
@@ -14,7 +14,7 @@
 from tests.simulation.programs import KEY_PERIOD
 
 if TYPE_CHECKING:
-    from tests.simulation.world import Place, World
+    from tests.simulation.world import CoreMachine, World
 
 PAUSE = 0.08  # seconds between claims, in the mean
 RECENT = 12  # operations that are asked for again
@@ -44,11 +44,11 @@
         """One claim through one or two machines at once, by one holder or two."""
         operation = self._operation()
         for _ in range(self.random.choice((1, 1, 2))):
-            if place := self.place():
-                self.ask(place, Claim(operation, self._holder(operation)), self.random.choice((0.1, 0.5, 2.0)))
+            if core := self.core():
+                self.ask(core, Claim(operation, self._holder(operation)), self.random.choice((0.1, 0.5, 2.0)))
         self._later()
 
-    def place(self) -> Place | None:
+    def core(self) -> CoreMachine | None:
         """A machine that runs."""
         running = self.world.running()
         return self.random.choice(running) if running else None
@@ -69,9 +69,9 @@
         self.holders[operation].append(made)
         return made
 
-    def ask(self, place: Place, claim: Claim, patience: float) -> list[ClaimResult]:
+    def ask(self, core: CoreMachine, claim: Claim, patience: float) -> list[ClaimResult]:
         """Claim through a machine; what it answers while it lives is judged. The result, once it is there."""
-        process, found = place.process, []
+        process, found = core.process, []
         again = self.random.random() < 0.15
 
         async def work() -> None:
@@ -98,9 +98,9 @@
 
     def last(self) -> None:
         """All is well: each machine has a claim answered."""
-        for place in self.world.running():
-            claim = Claim(operation_id("last", place.host), Holder("core", "life", "last"))
-            found = self.ask(place, claim, CALM_PATIENCE)
+        for core in self.world.running():
+            claim = Claim(operation_id("last", core.host), Holder("core", "life", "last"))
+            found = self.ask(core, claim, CALM_PATIENCE)
             self.world.loop.run(self.world.loop.now + CALM_PATIENCE + 0.1)
             if not found or found[0].outcome is Outcome.UNAVAILABLE:
-                self.world.judge.report(f"{self.world.loop.now:.3f} no claim is answered at {place.host} in the end")
+                self.world.judge.report(f"{self.world.loop.now:.3f} no claim is answered at {core.host} in the end")
--- a/tests/simulation/claims_walk.py
+++ b/tests/simulation/claims_walk.py
@@ -47,21 +47,21 @@
     parts, compact, trail = chance.choice((1, 1, 3)), chance.choice((8, 40, 4000)), chance.choice((2, 512))
     claimants = Claimants(world)
     world.wire.on_message = GroupConsensusJudge(world, parts).on_message
-    with programs.in_place(world.wire, seed, world.say, compact, trail, parts):
+    with programs.in_place(world.wire, seed, world.log, compact, trail, parts):
         try:
             world.start()
             claimants.start()
             for fault in plan:
-                world.loop.world.soon(faults.meet, world, fault, wait=fault.at)
+                world.loop.world.soon(faults.inject, world, fault, wait=fault.at)
             if _pass(world, span, early):
-                faults.heal(world)
+                faults.end_all_faults(world)
                 _pass(world, span + CALM, early)
             if not (early and _violations(world)):
                 claimants.last()
         except AssertionError as error:
             world.judge.report(f"{world.loop.now:.3f} {type(error).__name__} {error}")
     told = claimants.claims
-    return Outcome(seed, _violations(world), plan, world.loop.steps, told.granted, told.ended, list(world.said))
+    return Outcome(seed, _violations(world), plan, world.loop.steps, told.granted, told.ended, list(world.log_lines))
 
 
 def find(mistake: Mistake) -> Outcome | None:
@@ -85,7 +85,7 @@
     given = parser.parse_args()
     if given.trace is not None:
         found = walk(given.trace)
-        for line in [*found.said, *found.violations]:
+        for line in [*found.log_lines, *found.violations]:
             print(line)
         if found.violations:
             print(*shrink(found.faults, lambda fewer: bool(walk(given.trace, fewer, early=True).violations)), sep="\n")
--- a/tests/simulation/crash_gap.py
+++ b/tests/simulation/crash_gap.py
@@ -64,7 +64,7 @@
     """One world: a node crashes when all is calm, and its slices are watched until they are served again."""
     found = Found()
     world = World(seed, 3, True)
-    with programs.in_place(world.wire, seed, world.say, 4000, 512):
+    with programs.in_place(world.wire, seed, world.log, 4000, 512):
         world.start()
         for _ in range(NODES - len(world.nodes)):
             world.add_node()
--- a/tests/simulation/operators.py
+++ b/tests/simulation/operators.py
@@ -78,7 +78,7 @@
             Process(self.world.loop, f"operator{n}", f"op{n}").spawn(self._work())
 
     def _address(self) -> str:
-        hosts = [place.host for place in self.world.places.values() if not place.gone]
+        hosts = [core.host for core in self.world.core_machines.values() if not core.retired]
         return f"{self.random.choice(hosts)}:{CONTROL}"
 
     async def _work(self) -> None:
--- a/tests/simulation/programs.py
+++ b/tests/simulation/programs.py
@@ -65,13 +65,13 @@
 
 
 @contextlib.contextmanager
-def in_place(wire: Wire, seed: int, say: Any, compact: int, trail: int, parts: int = 1) -> Iterator[None]:
+def in_place(wire: Wire, seed: int, log: Any, compact: int, trail: int, parts: int = 1) -> Iterator[None]:
     """The rooms of core and edge, with a world's clocks, wire, disks and chance. `say` hears their log. Operations have
     `parts`, each with a group of its own."""
     chance = random.Random(f"programs {seed}")
 
     def told(event: str, **fields: object) -> None:
-        say(PROCESS.get(), event, fields)
+        log(PROCESS.get(), event, fields)
 
     with contextlib.ExitStack() as stack:
 
--- a/tests/simulation/quota_judge.py
+++ b/tests/simulation/quota_judge.py
@@ -60,9 +60,9 @@
         """Send until the operators rest."""
         while not self.world.operators.resting:
             await asyncio.sleep(self.random.choice(PAUSES))
-            places, name = self.world.running(), self.random.choice(list(ERAS))
-            for _ in range(self.random.choice(BURSTS) if places else 0):
-                process = self.random.choice(places).process
+            cores, name = self.world.running(), self.random.choice(list(ERAS))
+            for _ in range(self.random.choice(BURSTS) if cores else 0):
+                process = self.random.choice(cores).process
                 process.spawn(self._send(process, name, self.random.random() < GIVEN_BACK))
 
     async def _send(self, process: Process, name: str, gives_back: bool) -> bool:
--- a/tests/simulation/walk.py
+++ b/tests/simulation/walk.py
@@ -38,7 +38,7 @@
     steps: int = 0
     changes: int = 0
     calls: int = 0
-    said: list = field(default_factory=list)
+    log_lines: list = field(default_factory=list)
     let_pass: int = 0  # requests of tenants with limits
 
 
@@ -50,13 +50,13 @@
     world = World(seed, chance.choice((3, 3, 3, 5)), chance.random() < SHARDED, limited=limited)
     plan = faults.plan(seed, span) if plan is None else plan
     compact, trail = chance.choice((8, 40, 4000)), chance.choice((2, 512))
-    with programs.in_place(world.wire, seed, world.say, compact, trail):
+    with programs.in_place(world.wire, seed, world.log, compact, trail):
         try:
             world.start()
             for fault in plan:
-                world.loop.world.soon(faults.meet, world, fault, wait=fault.at)
+                world.loop.world.soon(faults.inject, world, fault, wait=fault.at)
             if _pass(world, span, early):
-                faults.heal(world)
+                faults.end_all_faults(world)
                 _pass(world, span + CALM, early)
             if not (early and _violations(world)):
                 world.operators.resting = True
@@ -67,7 +67,7 @@
     taken = {one.content for one in world.register.calls if one.status == 200 and one.content}
     violations = _violations(world)
     told, let_pass = len(world.register.calls), world.quota.let_pass if world.quota else 0
-    return Outcome(seed, violations, plan, world.loop.steps, len(taken), told, list(world.said), let_pass)
+    return Outcome(seed, violations, plan, world.loop.steps, len(taken), told, list(world.log_lines), let_pass)
 
 
 def _pass(world: World, until: float, early: bool) -> bool:
@@ -174,7 +174,7 @@
 def traced(seed: int) -> None:
     """Print a walk: what its programs said, its faults and what broke; where it broke, the least faults that do so."""
     found = walk(seed)
-    for line in found.said:
+    for line in found.log_lines:
         print(*line)
     print(*found.violations, sep="\n")
     if found.violations:
@@ -196,7 +196,7 @@
         return
     if given.digest is not None:
         found = walk(given.digest, span=4.0)
-        print(found.steps, sha256(repr(found.said).encode()).hexdigest())
+        print(found.steps, sha256(repr(found.log_lines).encode()).hexdigest())
         return
     if given.mistakes:
         for name, mistake in MISTAKES.items():
--- a/tests/simulation/wide_faults.py
+++ b/tests/simulation/wide_faults.py
@@ -1,6 +1,7 @@
-"""Faults that meet many machines at once: the core in two halves, power lost by all, processes killed, narrow links.
+"""Faults that affect many machines at once: a partition of the cores, power loss, killed processes, narrow links.
 
-Drawn for every ordinary walk, apart from all other faults, so that the others of a seed stay what they were.
+They are drawn for every ordinary walk from a random generator of their own, so that they do not change a seed's other
+faults.
 """
 
 from __future__ import annotations
@@ -10,27 +11,27 @@
 from typing import TYPE_CHECKING
 
 from tests.simulation.wire import Cut
-from tests.simulation.world import Place, World
+from tests.simulation.world import CoreMachine, World
 
 if TYPE_CHECKING:
     from tests.simulation.faults import Fault
 
-EACH = 5.0  # seconds between two of them, in the mean
-NARROW = (2e6 / 8, 2e5 / 8)  # bytes a second of a narrow link: as edges of the users have it, and a tenth of that
+MEAN_INTERVAL_S = 5.0  # between two of these faults
+NARROW_LINK_BYTES_PER_S = (2e6 / 8, 2e5 / 8)  # 2 Mbit/s, which users' edges can have, and a tenth of that
 MODES = ("lost", "hold", "reset", "refused")
 
 
-def drawn(seed: int, span: float) -> Iterator[tuple[float, str, float, float, float]]:
-    """When, which, for how long, and two numbers that pick whom and how."""
+def plan_wide_faults(seed: int, span: float) -> Iterator[tuple[float, str, float, float, float]]:
+    """The arguments of the faults of a walk (see `faults.Fault`)."""
     chance = random.Random(f"wide {seed}")
-    for _ in range(int(span / EACH)):
-        at, sort = round(chance.uniform(0.5, span), 3), chance.choice(list(WIDE))
+    for _ in range(int(span / MEAN_INTERVAL_S)):
+        at, sort = round(chance.uniform(0.5, span), 3), chance.choice(list(WIDE_FAULTS))
         yield at, sort, chance.choice((0.3, 1.0, 3.0, 9.0)), chance.random(), chance.random()
 
 
-def halves(world: World, fault: Fault, place: Place) -> None:
-    """The core is cut into two halves; edges, operators and nodes reach both."""
-    hosts = [one.host for one in world.places.values() if not one.gone]
+def split_cores(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Partition the cores into two halves; edges, operators and nodes reach both."""
+    hosts = [one.host for one in world.core_machines.values() if not one.retired]
     random.Random(fault.who).shuffle(hosts)
     ones, others = hosts[: len(hosts) // 2], hosts[len(hosts) // 2 :]
     cut = Cut(MODES[int(fault.how * 97) % len(MODES)], world.loop.now + fault.length)
@@ -39,17 +40,17 @@
             world.wire.cuts[one, other] = world.wire.cuts[other, one] = cut
 
 
-def resets(world: World, fault: Fault, place: Place) -> None:
-    """What is under way between cores is reset, and what is begun for a moment after."""
-    hosts = [one.host for one in world.places.values()]
+def reset_core_connections(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Reset all connections between cores, and those opened for a moment after."""
+    hosts = [one.host for one in world.core_machines.values()]
     cut = Cut("reset", world.loop.now + min(0.3, fault.length))
     world.wire.cuts |= {(one, other): cut for one in hosts for other in hosts if one != other}
 
 
-def killed(world: World, fault: Fault, place: Place) -> None:
-    """Most processes end at once, of cores and of edges, and are back within a second; disks stay."""
+def kill_most_processes(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Kill most core and edge processes at once and restart them within a second; disks are kept."""
     chance = random.Random(fault.who)
-    for one in list(world.places.values()):
+    for one in list(world.core_machines.values()):
         if one.process is not None and chance.random() < 0.4 + 0.6 * fault.how:
             world.crash(one)
             world.loop.world.soon(world.start_core, one, wait=chance.uniform(0.05, 1.0))
@@ -58,31 +59,31 @@
             world.start_edge(name)
 
 
-def power_lost_beside_a_lost_disk(world: World, fault: Fault, place: Place) -> None:
-    """One machine loses its disk, and at that moment all others lose power, those that don't count as well."""
-    if not world.whole():
+def lose_power_after_a_lost_disk(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Lose the disk of one core while all other cores lose power, including those that are no members."""
+    if not world.can_lose_a_core():
         return
     chance = random.Random(fault.who)
-    world.wipe(place)
-    for one in world.places.values():
+    world.wipe(core)
+    for one in world.core_machines.values():
         world.crash(one)
         world.loop.world.soon(world.start_core, one, wait=0.2 + chance.uniform(0.0, min(3.0, fault.length)))
     for name in list(world.edge_processes):
         world.start_edge(name)
 
 
-def narrow(world: World, fault: Fault, place: Place) -> None:
-    """A machine's link, or each, takes few bytes a second."""
-    hosts = [one.host for one in world.places.values()] if fault.who < 0.3 else [place.host]
+def narrow_links(world: World, fault: Fault, core: CoreMachine) -> None:
+    """Limit the bandwidth of one core's link, or of all cores' links."""
+    hosts = [one.host for one in world.core_machines.values()] if fault.who < 0.3 else [core.host]
     for host in hosts:
-        world.wire.rates[host] = NARROW[fault.how < 0.3]
+        world.wire.rates[host] = NARROW_LINK_BYTES_PER_S[fault.how < 0.3]
     world.loop.world.soon(lambda: [world.wire.rates.pop(host, None) for host in hosts], wait=fault.length)
 
 
-WIDE: dict[str, Callable[[World, Fault, Place], None]] = {
-    "halves": halves,
-    "core resets": resets,
-    "killed": killed,
-    "power beside a disk": power_lost_beside_a_lost_disk,
-    "narrow": narrow,
+WIDE_FAULTS: dict[str, Callable[[World, Fault, CoreMachine], None]] = {
+    "halves": split_cores,
+    "core resets": reset_core_connections,
+    "killed": kill_most_processes,
+    "power beside a disk": lose_power_after_a_lost_disk,
+    "narrow": narrow_links,
 }
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -1,4 +1,4 @@
-"""A world of a walk: cores, edges, operators, nodes and the platform's list, under one seed."""
+"""The simulated system of a walk: cores, edges, operators, nodes and the platform's list of nodes, from one seed."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from tests.system.test_leases import OwnerChecker
 
 EDGES = 2
-LINES_KEPT = 400  # of what programs say, for the account of a broken walk
+LINES_KEPT = 400  # of the programs' log, for the report of a walk with violations
 
 
 @dataclass
-class Place:
-    """A host of a core: its disk, the program that runs there if any, and the seeds that its settings name."""
+class CoreMachine:
+    """A machine for a core: its disk, its process if one runs, its clock, and the seeds in its settings."""
 
     host: str
     disk: Disk
@@ -41,20 +41,20 @@
     seeds: list[str]
     first_start: bool
     process: CoreProcess | None = None
-    gone: bool = False  # taken out of service for good
+    retired: bool = False  # taken out of service for good
 
 
 @dataclass
 class World:
-    """Everything of one walk. Faults act on it (`faults`), judges look on."""
+    """All machines and programs of one walk. Faults change them (`faults`), judges observe them."""
 
     seed: int
-    cores: int = 3
+    core_count: int = 3
     sharded: bool = False
-    keyed: bool = False  # whether operations run once, so that the core machines have groups for claims
+    keyed: bool = False  # whether operations run once, so that cores have consensus groups for claims
     limited: bool = False  # whether requests of tenants with limits are sent
-    places: dict[str, Place] = field(default_factory=dict)
-    said: deque = field(default_factory=lambda: deque(maxlen=LINES_KEPT))
+    core_machines: dict[str, CoreMachine] = field(default_factory=dict)
+    log_lines: deque = field(default_factory=lambda: deque(maxlen=LINES_KEPT))
 
     def __post_init__(self) -> None:
         self.random = random.Random(f"world {self.seed}")
@@ -72,31 +72,31 @@
         self.edge_processes: dict[str, Process] = {}
         self.nodes: dict[str, NodeProgram] = {}
         self.hosts = 0
-        founders = [f"10.0.0.{n + 1}" for n in range(self.cores)]
+        founders = [f"10.0.0.{n + 1}" for n in range(self.core_count)]
         for host in founders:
-            self._place(host, founders, True)
+            self._add_core_machine(host, founders, True)
         self.operators = Operators(self)
 
-    def say(self, process: Process, event: str, fields: dict) -> None:
-        """A line of a program's log."""
-        self.said.append((round(self.loop.now, 4), process.name, event, fields))
+    def log(self, process: Process, event: str, fields: dict) -> None:
+        """Record a line of a program's log."""
+        self.log_lines.append((round(self.loop.now, 4), process.name, event, fields))
 
     # -- cores
 
-    def _place(self, host: str, seeds: list[str], first_start: bool) -> Place:
+    def _add_core_machine(self, host: str, seeds: list[str], first_start: bool) -> CoreMachine:
         disk = Disk(self.loop, host, self.seed)
         offset, rate = self.random.uniform(0, 1000), self.random.choice((1.0, 0.995, 1.005))
-        self.places[host] = place = Place(host, disk, offset, rate, list(seeds), first_start)
-        return place
+        self.core_machines[host] = core = CoreMachine(host, disk, offset, rate, list(seeds), first_start)
+        return core
 
     def start(self) -> None:
-        """Begin it all."""
+        """Start all programs."""
         platform = Process(self.loop, "platform", PLATFORM[0])
         self.wire.listening[f"{PLATFORM[0]}:{PLATFORM[1]}"] = platform, {"*": self._listed}
         for n in range(3):
             self.add_node()
-        for place in list(self.places.values()):
-            self.start_core(place)
+        for core in list(self.core_machines.values()):
+            self.start_core(core)
         for n in range(EDGES):
             self.start_edge(f"e{n}")
         self.operators.start()
@@ -105,73 +105,73 @@
             self.loop.world.spawn(self.quota.load())
 
     def tenants(self, content: Content) -> list[dict]:
-        """The tenants of a content, as they are sent."""
+        """The tenants' items in the document of a content."""
         return keys_judge.tenants(content) + (quota_judge.tenants(content) if self.limited else [])
 
-    def start_core(self, place: Place) -> None:
-        """Start the program of a place from what its disk holds."""
-        if place.process is not None or place.gone:
+    def start_core(self, core: CoreMachine) -> None:
+        """Start a core's program from what its disk holds."""
+        if core.process is not None or core.retired:
             return
-        place.process = CoreProcess(
-            self.loop, f"{place.host}/{self.loop.serial}", place.host, place.disk, place.offset, place.rate
+        core.process = CoreProcess(
+            self.loop, f"{core.host}/{self.loop.serial}", core.host, core.disk, core.offset, core.rate
         )
         bounds = quota_judge.BOUNDS if self.limited else Bounds()
-        place.process.begin(settings(place.host, place.seeds, place.first_start, self.cores // 2, self.keyed, bounds))
-
-    def crash(self, place: Place) -> None:
-        """The program ends in the midst of whatever it does; what its disk was writing is kept or is not."""
-        if place.process is not None:
-            place.process.kill()
-            place.disk.power_lost()
-            place.process = None
+        core.process.begin(settings(core.host, core.seeds, core.first_start, self.core_count // 2, self.keyed, bounds))
+
+    def crash(self, core: CoreMachine) -> None:
+        """Kill a core's program; its disk keeps or loses the write in progress."""
+        if core.process is not None:
+            core.process.kill()
+            core.disk.power_lost()
+            core.process = None
             for at in [at for at, (process, _) in self.wire.listening.items() if not process.alive]:
                 del self.wire.listening[at]
 
-    def wipe(self, place: Place) -> None:
-        """Its disk is lost; a new one is empty. Who sets it up names machines that are there, beside some that were."""
-        self.crash(place)
-        there = [one.host for one in self.places.values() if not one.gone]
-        place.seeds = [*place.seeds, *there]
-        place.disk, place.first_start = Disk(self.loop, place.host, self.seed + self.loop.serial), False
+    def wipe(self, core: CoreMachine) -> None:
+        """Replace a core's disk by an empty one; its seeds then name the cores in service besides some former ones."""
+        self.crash(core)
+        there = [one.host for one in self.core_machines.values() if not one.retired]
+        core.seeds = [*core.seeds, *there]
+        core.disk, core.first_start = Disk(self.loop, core.host, self.seed + self.loop.serial), False
 
-    def add_core(self, seeds: list[str]) -> Place:
-        """A new machine, at an address that was not there."""
+    def add_core(self, seeds: list[str]) -> CoreMachine:
+        """Start a core on a new machine at a new address."""
         self.hosts += 1
-        place = self._place(f"10.0.1.{self.hosts}", seeds, False)
-        self.start_core(place)
-        return place
+        core = self._add_core_machine(f"10.0.1.{self.hosts}", seeds, False)
+        self.start_core(core)
+        return core
 
-    def retire(self, place: Place) -> None:
-        """A machine is taken away for good, and its disk with it."""
-        self.crash(place)
-        place.gone = True
+    def retire(self, core: CoreMachine) -> None:
+        """Remove a core machine and its disk for good."""
+        self.crash(core)
+        core.retired = True
 
-    def running(self) -> list[Place]:
-        return [place for place in self.places.values() if place.process is not None and place.process.machine]
+    def running(self) -> list[CoreMachine]:
+        return [core for core in self.core_machines.values() if core.process is not None and core.process.machine]
 
-    def leader(self) -> Place | None:
-        """Who leads by the newest term."""
-        leads = [place for place in self.running() if place.process.machine.role == "leader"]
-        return max(leads, key=lambda place: place.process.machine.term, default=None)
+    def leader(self) -> CoreMachine | None:
+        """The leader of the newest term."""
+        leads = [core for core in self.running() if core.process.machine.role == "leader"]
+        return max(leads, key=lambda core: core.process.machine.term, default=None)
 
-    def whole(self) -> bool:
-        """Whether all members run and hold all that is committed, so that the core bears the loss of any one."""
+    def can_lose_a_core(self) -> bool:
+        """Whether every group has all members running and up to date, so that any core may be lost."""
         groups = range(messages.PARTITION_COUNT) if self.keyed else ()
-        return self._whole(None) and all(self._whole(group) for group in groups)
+        return self._can_lose_a_member(None) and all(self._can_lose_a_member(group) for group in groups)
 
-    def _whole(self, group: int | None) -> bool:
-        """The same of the configuration's group, or of one for claims."""
-        running = [(place.process, place.process.member(group)) for place in self.running()]
+    def _can_lose_a_member(self, group: int | None) -> bool:
+        """The same for one group: the configuration's (None), or one for claims."""
+        running = [(core.process, core.process.member(group)) for core in self.running()]
         leads = [machine for _, machine in running if machine.role == "leader"]
         machine = max(leads, key=lambda one: one.term, default=None)
         if machine is None:
             return False
         homes = {one.me: (process, one) for process, one in running if not process.frozen}
-        # The loss of a disk is borne once what is *kept* elsewhere needs it no more: by the disks, not by the programs.
+        # What counts is what the other members have on disk, not what their programs hold in memory.
         return (
             machine.is_commit_current
             and machine.commit == machine.log.last
-            and len(machine.members) >= self.cores
+            and len(machine.members) >= self.core_count
             and all(id in homes for id in machine.members)
             and all(self._holds(*homes[id], machine, group) for id in machine.members)
         )
@@ -182,20 +182,20 @@
         if saved is None or machine.leaving:
             return False
         last = saved.entries[-1].index if saved.entries else saved.snapshot_index
-        # A group's followers hear of a commit with the next entries: there, what is kept is enough.
+        # Followers of a claims group learn of a commit with the next entries: there, the entry on disk is enough.
         applied = group is not None or machine.applied >= leader.commit
         return saved.term == leader.term and last >= leader.commit and applied
 
     # -- edges
 
     def start_edge(self, name: str) -> None:
-        """An edge starts, bare."""
+        """Start an edge, or restart it, without any state."""
         if (before := self.edge_processes.get(name)) is not None:
             before.kill()
         process = Process(self.loop, f"{name}/{self.loop.serial}", name, self.random.uniform(0, 1000))
         self.edge_processes[name] = process
         view = ClusterView()
-        seeds = [f"{place.host}:{PEERS}" for place in self.places.values() if not place.gone][:5]
+        seeds = [f"{core.host}:{PEERS}" for core in self.core_machines.values() if not core.retired][:5]
         link = Link(
             name,
             view,
@@ -223,7 +223,7 @@
         )
 
     def lose_node(self, name: str) -> None:
-        """A node dies."""
+        """Kill a node for good."""
         node = self.nodes.pop(name)
         node.process.kill()
         self.owners.died(name)
@@ -243,7 +243,7 @@
 
 
 class EdgeCaller(Caller):
-    """An edge's calls to cores, looked on."""
+    """The caller of an edge, which passes the answers of cores to the judge."""
 
     def __init__(self, world: World, edge: str, view: ClusterView):
         super().__init__(world.wire)
@@ -253,13 +253,13 @@
         begun = self.world.loop.now
         found = await self.answered(method, url, body, patience, step)
         told = decode_json_response(step, url, found.status, found.body)
-        # By the process that answered, not by the one that runs there now: an answer may come after its giver's end.
+        # Judged by the process that answered: it may have ended since, and another may run on that machine.
         self.world.loop.call_soon(self.world.edge_judge.on_answer, self.edge, found.server, begun, told, self.view)
         return told
 
 
 class NodeProgram:
-    """A node that takes grants and releases by their fences, as its protocol says."""
+    """A node that accepts grants and releases by their fencing tokens, as the protocol requires."""
 
     def __init__(self, world: World, name: str, host: str):
         self.world, self.name, self.state = world, name, "ready"
@@ -267,7 +267,7 @@
         self.seen: dict[int, int] = {}
         self.held: dict[int, float] = {}
         self.keeps_longest = int(name[1:]) % 2 == 0  # whether a shorter grant leaves a longer hold as it is
-        self.grants = 0  # calls that came
+        self.grants = 0  # calls received
 
     @staticmethod
     def _slices(asked: dict) -> range:
--- a/tests/system/test_claim_groups.py
+++ b/tests/system/test_claim_groups.py
@@ -9,7 +9,7 @@
 from knotwalk.shared_state.messages import Claim, Holder, operation_id, partition_of
 from tests.simulation import programs
 from tests.simulation.wire import Cut
-from tests.simulation.world import Place, World
+from tests.simulation.world import CoreMachine, World
 
 SETTLED_S = 3.0  # after a start of all machines, each group has a leader by then
 PARTITIONS = 3
@@ -31,7 +31,7 @@
             patch = mock.patch.object(programs, name, value)
             patch.start()
             self.addCleanup(patch.stop)
-        inside = programs.in_place(self.world.wire, 7, self.world.say, 8, 2, PARTITIONS)
+        inside = programs.in_place(self.world.wire, 7, self.world.log, 8, 2, PARTITIONS)
         inside.__enter__()
         self.addCleanup(inside.__exit__, None, None, None)
         self.world.start()
@@ -43,8 +43,8 @@
         self.assertEqual(self.world.judge.violations, [])
 
     @property
-    def places(self) -> list[Place]:
-        return [place for place in self.world.places.values() if not place.gone]
+    def places(self) -> list[CoreMachine]:
+        return [place for place in self.world.core_machines.values() if not place.retired]
 
     def run_for(self, seconds: float) -> None:
         self.world.loop.run(self.world.loop.now + seconds)
@@ -55,19 +55,19 @@
             self.assertLess(self.world.loop.now, end, "condition not met in time")
             self.run_for(0.01)
 
-    def leader(self, partition: int = 0) -> Place:
+    def leader(self, partition: int = 0) -> CoreMachine:
         """The machine that leads a partition's group in the newest term."""
 
-        def leads() -> list[Place]:
+        def leads() -> list[CoreMachine]:
             return [place for place in self.world.running() if place.process.member(partition).is_commit_current]
 
         self.until(lambda: bool(leads()))
         return max(leads(), key=lambda place: place.process.member(partition).term)
 
-    def other(self, place: Place) -> Place:
+    def other(self, place: CoreMachine) -> CoreMachine:
         return next(one for one in self.world.running() if one is not place)
 
-    def begin(self, place: Place, holder: str, timeout_s: float = 2.0, operation: str = "") -> list[ClaimResult]:
+    def begin(self, place: CoreMachine, holder: str, timeout_s: float = 2.0, operation: str = "") -> list[ClaimResult]:
         """Claim through a core machine; the list holds the result once there is one."""
         results: list[ClaimResult] = []
 
@@ -80,12 +80,12 @@
     def claim(self, holder: str, operation: str = "") -> Claim:
         return Claim(operation or self.operation, Holder("core", "life", holder))
 
-    def ask(self, place: Place, holder: str, timeout_s: float = 2.0, operation: str = "") -> ClaimResult:
+    def ask(self, place: CoreMachine, holder: str, timeout_s: float = 2.0, operation: str = "") -> ClaimResult:
         results = self.begin(place, holder, timeout_s, operation)
         self.until(lambda: bool(results))
         return results[0]
 
-    def release(self, place: Place, holder: str) -> None:
+    def release(self, place: CoreMachine, holder: str) -> None:
         place.process.soon(lambda: place.process.plane.claims.release(self.claim(holder)))
 
     def held_by(self, holder: str) -> ClaimResult:
@@ -115,7 +115,7 @@
         holds = [place for place in self.places if self.operation in self.table_on_disk(place).claims]
         self.assertGreaterEqual(len(holds), self.cores // 2 + 1)
 
-    def table_on_disk(self, place: Place) -> ClaimTable:
+    def table_on_disk(self, place: CoreMachine) -> ClaimTable:
         """The claim table that a machine would build from its disk if every entry on it were committed."""
         saved = place.disk.folder("claims-0").kept.read()
         table = ClaimTable.from_dict(saved.snapshot) if saved.snapshot else ClaimTable()
@@ -202,7 +202,7 @@
         for place in self.places:
             self.world.start_core(place)
         self.run_for(6.0)
-        self.assertTrue(self.world.whole())
+        self.assertTrue(self.world.can_lose_a_core())
         self.assertEqual(self.ask(self.places[0], "b", 4.0), self.held_by("a"))
         self.assertEqual(self.ask(self.places[1], "a", 4.0), GRANTED)
 
