--- a/tests/simulation/claims_mistakes.py
+++ b/tests/simulation/claims_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes put into the groups for claims, one at a time, that walks with claimants must find."""
+"""Seeded mistakes in the consensus groups for claims that walks with claimants must find."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 POINT = 6
 
 
-async def _answers_at_once(group: ClaimGroup, batch: list[Claim]) -> list:
-    """Answers claims by what it knows, before they are agreed on and kept."""
+async def _answer_before_commit(group: ClaimGroup, batch: list[Claim]) -> list:
+    """Answers claims from the leader's state, before they are committed and saved."""
     machine = group.machine
     if not machine.is_commit_current or machine.applied < machine.log.last:
         raise claim_group.NotLeaderError(None)
@@ -31,29 +31,29 @@
 RESTORE = ClaimTable.from_dict
 
 
-def _loses_claims(kind: type, raw: dict) -> ClaimTable:
-    """A snapshot whose claims are not taken."""
+def _restore_without_claims(kind: type, raw: dict) -> ClaimTable:
+    """Restores a snapshot without its claims."""
     return RESTORE({**raw, "claims": ""})
 
 
-def _counts_twice(clock: GroupClock, now: float) -> None:
-    """Counts on from the machine's start, whatever entries have told of that time."""
+def _forget_proposal_time(clock: GroupClock, now: float) -> None:
+    """Adds the time since the machine's start although applied entries have counted it."""
     clock.proposed_at = None
 
 
-def _frees_any(table: ClaimTable, operation: str, holder: str, until: float) -> None:
-    """Takes a release by whomever."""
+def _release_any(table: ClaimTable, operation: str, holder: str, until: float) -> None:
+    """Accepts a release from anyone."""
     table.claims.pop(operation, None)
 
 
-def _one(room: Any, name: str, made: Any, seed: int = 0) -> Mistake:
-    return Mistake(POINT, ((room, name, made),), seed)
+def _single_patch(target: Any, name: str, replacement: Any, seed: int = 0) -> Mistake:
+    return Mistake(POINT, ((target, name, replacement),), seed)
 
 
 MISTAKES: dict[str, Mistake] = {
-    "answered before it is kept": _one(ClaimGroup, "propose", _answers_at_once),
-    "claims lost at a snapshot": _one(ClaimTable, "from_dict", classmethod(_loses_claims)),
-    "group time too fast": _one(GroupClock, "applied", _counts_twice),
-    "released by another": _one(ClaimTable, "_release", _frees_any),
-    "acknowledged before kept": _one(following.Following, "_match_index", _match_received, 29),
+    "answered before it is kept": _single_patch(ClaimGroup, "propose", _answer_before_commit),
+    "claims lost at a snapshot": _single_patch(ClaimTable, "from_dict", classmethod(_restore_without_claims)),
+    "group time too fast": _single_patch(GroupClock, "applied", _forget_proposal_time),
+    "released by another": _single_patch(ClaimTable, "_release", _release_any),
+    "acknowledged before kept": _single_patch(following.Following, "_match_index", _match_received, 29),
 }
--- a/tests/simulation/claims_walk.py
+++ b/tests/simulation/claims_walk.py
@@ -1,4 +1,4 @@
-"""Walks in which operations are claimed: the same programs and faults, with groups for claims and claimants.
+"""Random walks in which operations are claimed: as `walk`, with consensus groups for claims and with claimants.
 
 python -m tests.simulation.claims_walk [--first N] [--walks N] [--seconds S] [--mistakes] [--trace SEED]
 """
@@ -18,19 +18,19 @@
 from tests.simulation.faults import Fault
 from tests.simulation.judges import ConsensusJudge
 from tests.simulation.mistakes import Mistake
-from tests.simulation.walk import CALM, SPAN, Outcome, _pass, _violations, shrink
+from tests.simulation.walk import CALM_S, SPAN_S, Outcome, _run_until, _violations, shrink
 from tests.simulation.world import World
 
 
 class GroupConsensusJudge:
-    """What core machines promise each other in each group, beside the configuration's."""
+    """Checks the consensus messages of each group for claims, besides those of the configuration's group."""
 
     def __init__(self, world: World, parts: int):
         self.others = world.wire.on_message
         self.groups = [ConsensusJudge(world.judge, world.loop) for _ in range(parts)]
 
     def on_message(self, sender: str, to: str, path: str, body: bytes) -> None:
-        """A message is on its way."""
+        """Check the messages of a call that is sent."""
         self.others(sender, to, path, body)
         if path.endswith("/claim-groups"):
             messages = [unpack(one) for one in json.loads(body)]
@@ -39,8 +39,11 @@
                 judge.on_message(sender, to, "/consensus", json.dumps(found).encode())
 
 
-def walk(seed: int, plan: list[Fault] | None = None, span: float = SPAN, early: bool = False) -> Outcome:
-    """One walk; with a `plan`, with those faults alone. With `early` it ends a second after something broke."""
+def walk(seed: int, plan: list[Fault] | None = None, span: float = SPAN_S, early: bool = False) -> Outcome:
+    """Run one walk, with the faults of `plan` or those drawn from the seed.
+
+    With `early` it ends within a second of the first violation.
+    """
     chance = random.Random(f"claims walk {seed}")
     world = World(seed, chance.choice((3, 3, 5)), keyed=True)
     plan = faults.plan(seed, span) if plan is None else plan
@@ -53,20 +56,22 @@
             claimants.start()
             for fault in plan:
                 world.loop.world.soon(faults.inject, world, fault, wait=fault.at)
-            if _pass(world, span, early):
+            if _run_until(world, span, early):
                 faults.end_all_faults(world)
-                _pass(world, span + CALM, early)
+                _run_until(world, span + CALM_S, early)
             if not (early and _violations(world)):
                 claimants.last()
         except AssertionError as error:
             world.judge.report(f"{world.loop.now:.3f} {type(error).__name__} {error}")
-    told = claimants.claims
-    return Outcome(seed, _violations(world), plan, world.loop.steps, told.granted, told.ended, list(world.log_lines))
+    claims = claimants.claims
+    return Outcome(
+        seed, _violations(world), plan, world.loop.steps, claims.granted, claims.ended, list(world.log_lines)
+    )
 
 
 def find(mistake: Mistake) -> Outcome | None:
-    """The first of a mistake's walks that shows it."""
-    with mistake.inside():
+    """The first of a mistake's walks that finds it, None if none does."""
+    with mistake.applied():
         for seed in mistake.seeds():
             found = walk(seed, early=True)
             gc.collect()
@@ -82,22 +87,24 @@
     parser.add_argument("--seconds", type=float, default=float("inf"))
     parser.add_argument("--mistakes", action="store_true")
     parser.add_argument("--trace", type=int)
-    given = parser.parse_args()
-    if given.trace is not None:
-        found = walk(given.trace)
+    options = parser.parse_args()
+    if options.trace is not None:
+        found = walk(options.trace)
         for line in [*found.log_lines, *found.violations]:
             print(line)
         if found.violations:
-            print(*shrink(found.faults, lambda fewer: bool(walk(given.trace, fewer, early=True).violations)), sep="\n")
+            print(
+                *shrink(found.faults, lambda fewer: bool(walk(options.trace, fewer, early=True).violations)), sep="\n"
+            )
         return
-    if given.mistakes:
+    if options.mistakes:
         for name, mistake in MISTAKES.items():
             found = find(mistake)
             print(name, found and (found.seed, found.violations[0]), flush=True)
         return
-    begun, done, broken, granted, ended = time.monotonic(), 0, 0, 0, 0
-    for seed in range(given.first, given.first + given.walks):
-        if time.monotonic() - begun > given.seconds:
+    started_at, done, broken, granted, ended = time.monotonic(), 0, 0, 0, 0
+    for seed in range(options.first, options.first + options.walks):
+        if time.monotonic() - started_at > options.seconds:
             break
         found = walk(seed)
         gc.collect()
@@ -105,7 +112,7 @@
         if found.violations:
             broken += 1
             print(seed, *found.violations[:5], sep="\n   ", flush=True)
-    took = round(time.monotonic() - begun, 1)
+    took = round(time.monotonic() - started_at, 1)
     print(json.dumps({"walks": done, "walks_broken": broken, "granted": granted, "ended": ended, "seconds": took}))
 
 
--- a/tests/simulation/mistakes.py
+++ b/tests/simulation/mistakes.py
@@ -1,6 +1,6 @@
-"""Mistakes put into the real code, one at a time, that walks must find: by point of docs/design/control-safety.md.
+"""Seeded mistakes in the real code that walks must find, by the point of docs/design/control-safety.md that they break.
 
-Each is a patch of a class or function of the running system, and says within how many walks it is found.
+Each patches a class or function of the running system, and states within how many walks it must be found.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import Any
 from unittest import mock
 
-from knotwalk.configuration import change_requests as verdicts
+from knotwalk.configuration import change_requests
 from knotwalk.consensus import elections, following, leading, membership
 from knotwalk.consensus.machine import Machine
 from knotwalk.consensus.membership_rules import quorum
@@ -26,33 +26,33 @@
 from knotwalk.leases.actions import REFUSED
 from knotwalk.leases.grant_manager import GrantManager
 
-KEYS, QUOTA = 6, 7  # of docs/design/shared-state.md, counted on: keys of tenants, quotas
+KEYS, QUOTA = 6, 7  # points of docs/design/shared-state.md, numbered on: tenants' keys, quotas
 
 
 @dataclass(frozen=True)
 class Mistake:
-    """A mistake: of which point, its patches (room, name, made), and within how many walks it shows."""
+    """A mistake: the point that it breaks, its patches (target, name, replacement), and the walks that must find it."""
 
     point: int
     patches: tuple[tuple[Any, str, Any], ...]
-    seed: int = 0  # of a walk that showed it; the text moves on, so others are tried after it
+    seed: int = 0  # of a walk that found it; tried first, as later changes of the code may need another
     within: int = 30
 
     def seeds(self) -> list[int]:
-        """Walks by which it has to be found."""
+        """The walks that must find it."""
         return [self.seed, *(seed for seed in range(self.within) if seed != self.seed)]
 
     @contextlib.contextmanager
-    def inside(self) -> Iterator[None]:
-        """The system with the mistake."""
+    def applied(self) -> Iterator[None]:
+        """Run the system with the mistake."""
         with contextlib.ExitStack() as stack:
-            for room, name, made in self.patches:
-                stack.enter_context(mock.patch.object(room, name, made))
+            for target, name, replacement in self.patches:
+                stack.enter_context(mock.patch.object(target, name, replacement))
             yield
 
 
-def _read_at_once(machine: Machine, now: float, ticket: Any) -> None:
-    """A leader answers reads without asking anyone."""
+def _read_without_confirmation(machine: Machine, now: float, ticket: Any) -> None:
+    """A leader answers reads without confirming its leadership."""
     machine._expire(now)
     if machine.role != LEADER:
         machine.actions.append(Answer(ticket, "not_leader", machine._known_leader()))
@@ -66,21 +66,21 @@
     machine._finish_call(now)
 
 
-def _alone_always(api: peer_api.PeerApi) -> bool:
-    """A core gives provisional views whatever it or others have heard."""
+def _always_provisional(api: peer_api.PeerApi) -> bool:
+    """A core always serves provisional views."""
     return True
 
 
-def _promise_unkept(machine: Machine, address: str, type: str, to: str, /, **rest: Any) -> None:
+def _send_before_save(machine: Machine, address: str, type: str, to: str, /, **rest: Any) -> None:
     machine._send(address, type, to, **rest)
 
 
-def _holds_nothing(history: Any, version: int, digest: str) -> bool:
+def _contains_nothing(history: Any, version: int, digest: str) -> bool:
     return False
 
 
 def _count_learners(machine: Any, now: float) -> None:
-    """Counts whoever keeps an entry, learners too, towards the members' majority."""
+    """Counts learners that have stored an entry towards the members' majority."""
     kept = sorted([machine._stored_index, *(peer.match_index for peer in machine._peers.values())], reverse=True)
     index = kept[quorum(len(machine.members)) - 1]
     if index > machine.commit and machine.log.term_at(index) == machine.term:
@@ -90,16 +90,16 @@
         machine._serve_reads(now)
 
 
-def _leaves_at_once(machine: Machine, now: float) -> None:
-    """One that leaves calls itself out at once, whoever stays."""
+def _leave_at_once(machine: Machine, now: float) -> None:
+    """A leaving member becomes an outsider at once, without waiting for the others."""
     machine._expire(now)
     machine.leaving, machine._request_at = True, now
     machine._become(now, "outsider", machine.term)
     machine._finish_call(now)
 
 
-def _two_changes(machine: Any, now: float) -> None:
-    """Changes members whatever of the change before is committed."""
+def _overlapping_changes(machine: Any, now: float) -> None:
+    """Changes members even if the previous change is not committed."""
     if machine.role != LEADER:
         return
     voters = {id: machine._peers[id] for id, _ in machine._other_members()}
@@ -122,25 +122,25 @@
         machine._replicate(now)
 
 
-def _empty_history(kind: type, raw: dict) -> Any:
-    made = RESTORE(raw)
-    made.history = verdicts.ChangeHistory()
-    return made
+def _restore_without_history(kind: type, raw: dict) -> Any:
+    state = RESTORE(raw)
+    state.history = change_requests.ChangeHistory()
+    return state
 
 
 RESTORE = ReplicatedState.from_dict
 
 
-def _loses_state(kind: type, raw: dict) -> Any:
-    """A snapshot whose configuration is taken, and whose order is not."""
-    made = RESTORE(raw)
-    made.configuration, made.configuration_index = None, -1
-    return made
+def _restore_without_configuration(kind: type, raw: dict) -> Any:
+    """Restores a snapshot without its configuration."""
+    state = RESTORE(raw)
+    state.configuration, state.configuration_index = None, -1
+    return state
 
 
-async def _done_by_default(driver: ConsensusDriver, command: dict, patience: float = 4.0) -> str:
-    """Says done whatever applying a command said."""
-    outcome, value = await driver._submit(lambda now, ticket: driver.machine.propose(now, command, ticket), patience)
+async def _done_by_default(driver: ConsensusDriver, command: dict, timeout_s: float = 4.0) -> str:
+    """Reports success whatever the result of applying a command."""
+    outcome, value = await driver._submit(lambda now, ticket: driver.machine.propose(now, command, ticket), timeout_s)
     if outcome == "not_leader":
         raise control.NotLeaderError(value)
     if outcome != "committed":
@@ -148,16 +148,16 @@
     return "done"
 
 
-async def _done_if_lost(driver: ConsensusDriver, command: dict, patience: float = 4.0) -> str:
-    """Takes an order whose leader went for one that was agreed on."""
-    outcome, value = await driver._submit(lambda now, ticket: driver.machine.propose(now, command, ticket), patience)
+async def _done_if_lost(driver: ConsensusDriver, command: dict, timeout_s: float = 4.0) -> str:
+    """Treats a command whose leader was lost as committed."""
+    outcome, value = await driver._submit(lambda now, ticket: driver.machine.propose(now, command, ticket), timeout_s)
     if outcome == "not_leader":
         raise control.NotLeaderError(value)
     return driver.results.get(value, "done")
 
 
-def _count_any_term(machine: Any, now: float) -> None:
-    """Commits what a majority has received, kept or not."""
+def _count_received(machine: Any, now: float) -> None:
+    """Commits what a majority has received, saved or not."""
     index = int(
         leading.majority_value(
             [machine.log.last if id == machine.me else machine._peers[id].received_index for id in machine.members]
@@ -170,7 +170,7 @@
         machine._serve_reads(now)
 
 
-def _votes_for_any(machine: Any, message: dict) -> bool:
+def _vote_for_any_log(machine: Any, message: dict) -> bool:
     return True
 
 
@@ -178,8 +178,8 @@
     return machine._received_index
 
 
-def _judged_alone(state: ReplicatedState, index: int, command: dict) -> Any:
-    """Applies what was judged good once, whatever stands now."""
+def _apply_on_any_base(state: ReplicatedState, index: int, command: dict) -> Any:
+    """Applies a change whatever version is current."""
     if command.get("do") == "configure":
         command = {**command, "base": state.version}
     return APPLY(state, index, command)
@@ -189,12 +189,12 @@
 
 
 def _same_number(history: Any, version: int, digest: str) -> bool:
-    """Takes an order for one taken before by its number alone."""
+    """Identifies a change that was applied before by its version number alone."""
     return version in history.versions
 
 
 class _NoLock:
-    """Lets all in at once."""
+    """A lock that never excludes anyone."""
 
     async def __aenter__(self) -> None:
         pass
@@ -203,43 +203,43 @@
         pass
 
 
-def _ready_unasked(connection: Connection, careful: bool) -> bool:
-    """A connection is used again though its end, or bytes, lie unread at the socket."""
+def _ready_without_check(connection: Connection, careful: bool) -> bool:
+    """Reuses a connection although its end, or unexpected bytes, are unread at the socket."""
     return connection.phase is Phase.IDLE and connection.transport is not None and not connection.transport.is_closing()
 
 
 READ_HEAD = AnswerReader._read_head
 
 
-def _any_answer(reader: AnswerReader, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-    """Takes whatever answer comes for the one that is waited for."""
+def _accept_any_answer(reader: AnswerReader, status: int, headers: list[tuple[bytes, bytes]]) -> None:
+    """Accepts any answer as the one that is expected."""
     reader.attempt = next((value.strip() for name, value in headers if name.lower() == b"attempt-id"), b"")
     READ_HEAD(reader, status, headers)
 
 
-def _any_call(connection: caller.Connection) -> None:
-    """Takes any call's answer of a core."""
+def _accept_any_call(connection: caller.Connection) -> None:
+    """Accepts a core's answer to any call."""
 
 
 ANSWERED = GrantManager.on_call_ended
 MOVE = forwarder.move
 
 
-def _move_again(end: Any, idempotent: bool, may_have_run: bool, again: bool, status: int = 0) -> Any:
-    """Offers any request again, as if all might run twice."""
+def _always_resend(end: Any, idempotent: bool, may_have_run: bool, again: bool, status: int = 0) -> Any:
+    """Resends any request, as if all were idempotent."""
     return MOVE(end, True, may_have_run, again, status)
 
 
 OPENED = program.open_store
 
 
-def _founds_again(store: Any, data_dir: str, first_start: bool, *rest: Any) -> Any:
-    """Takes an emptied disk for that of a first start, so that it votes as the member it was."""
+def _always_first_start(store: Any, data_dir: str, first_start: bool, *rest: Any) -> Any:
+    """Treats an emptied disk as a first start, so that the core votes as the member that it was."""
     return OPENED(store, data_dir, True, *rest)
 
 
-def _refused_is_gone(keeper: GrantManager, now: float, order: Any, status: Any, handover: str | None = None) -> None:
-    """Takes a refused connection for the end of the node (incident inc1)."""
+def _refusal_ends_holds(keeper: GrantManager, now: float, order: Any, status: Any, handover: str | None = None) -> None:
+    """Treats a refused connection as the end of the node (incident inc1)."""
     ANSWERED(keeper, now, order, status, handover)
     if status == REFUSED:
         for tenure in keeper.slice_leases.values():
@@ -247,37 +247,47 @@
                 tenure.holders[order.node].held_until = now
 
 
-def _one(point: int, room: Any, name: str, made: Any, seed: int = 0) -> Mistake:
-    return Mistake(point, ((room, name, made),), seed)
+def _single_patch(point: int, target: Any, name: str, replacement: Any, seed: int = 0) -> Mistake:
+    return Mistake(point, ((target, name, replacement),), seed)
 
 
 MISTAKES: dict[str, Mistake] = {
-    "no contact before a read": _one(1, Machine, "read", _read_at_once, 18),
-    "any member answers reads": _one(1, Machine, "read", _read_anywhere, 18),
-    "provisional view though fresh before": _one(1, peer_api.PeerApi, "may_serve_provisional", _alone_always, 1),
-    "fresh whatever was heard": _one(1, peer_api, "MAX_LEADER_SILENCE_S", 60.0, 11),
-    "history forgotten": _one(2, verdicts.ChangeHistory, "contains", _holds_nothing),
-    "identity by number": _one(2, verdicts.ChangeHistory, "contains", _same_number),
-    "snapshot without history": _one(2, ReplicatedState, "from_dict", classmethod(_empty_history), 1),
-    "done though lost": _one(2, ConsensusDriver, "propose", _done_if_lost, 17),
+    "no contact before a read": _single_patch(1, Machine, "read", _read_without_confirmation, 18),
+    "any member answers reads": _single_patch(1, Machine, "read", _read_anywhere, 18),
+    "provisional view though fresh before": _single_patch(
+        1, peer_api.PeerApi, "may_serve_provisional", _always_provisional, 1
+    ),
+    "fresh whatever was heard": _single_patch(1, peer_api, "MAX_LEADER_SILENCE_S", 60.0, 11),
+    "history forgotten": _single_patch(2, change_requests.ChangeHistory, "contains", _contains_nothing),
+    "identity by number": _single_patch(2, change_requests.ChangeHistory, "contains", _same_number),
+    "snapshot without history": _single_patch(
+        2, ReplicatedState, "from_dict", classmethod(_restore_without_history), 1
+    ),
+    "done though lost": _single_patch(2, ConsensusDriver, "propose", _done_if_lost, 17),
     "two judged at once, done by default": Mistake(
         2, ((control.asyncio, "Lock", _NoLock), (ConsensusDriver, "propose", _done_by_default))
     ),
     "two judged at once, applied on another base": Mistake(
-        2, ((control.asyncio, "Lock", _NoLock), (ReplicatedState, "apply", _judged_alone))
+        2, ((control.asyncio, "Lock", _NoLock), (ReplicatedState, "apply", _apply_on_any_base))
+    ),
+    "learners counted": _single_patch(3, leading.Leading, "_commit_majority", _count_learners, 5),
+    "leaver not waited for": _single_patch(3, Machine, "leave", _leave_at_once, 10),
+    "two changes of members at once": _single_patch(
+        3, membership.Membership, "_change_members", _overlapping_changes, 2
+    ),
+    "vote before it is kept": _single_patch(4, elections.Elections, "_send_after_save", _send_before_save, 11),
+    "acknowledged before kept": _single_patch(4, following.Following, "_match_index", _match_received, 29),
+    "committed by what was received": _single_patch(4, leading.Leading, "_commit_majority", _count_received, 29),
+    "votes whatever the log": _single_patch(4, elections.Elections, "_is_log_current", _vote_for_any_log, 8),
+    "snapshot loses the configuration": _single_patch(
+        4, ReplicatedState, "from_dict", classmethod(_restore_without_configuration), 1
+    ),
+    "an emptied disk founds again": _single_patch(4, program, "open_store", _always_first_start, 24),
+    "a refused connection ends a node": _single_patch(4, GrantManager, "on_call_ended", _refusal_ends_holds, 6),
+    "stale connection used again": _single_patch(5, Connection, "ready", _ready_without_check),
+    "answer of a node taken with its id unchecked": _single_patch(5, AnswerReader, "_read_head", _accept_any_answer),
+    "answer of a core taken with its id unchecked": _single_patch(
+        5, caller.Connection, "on_headers_complete", _accept_any_call
     ),
-    "learners counted": _one(3, leading.Leading, "_commit_majority", _count_learners, 5),
-    "leaver not waited for": _one(3, Machine, "leave", _leaves_at_once, 10),
-    "two changes of members at once": _one(3, membership.Membership, "_change_members", _two_changes, 2),
-    "vote before it is kept": _one(4, elections.Elections, "_send_after_save", _promise_unkept, 11),
-    "acknowledged before kept": _one(4, following.Following, "_match_index", _match_received, 29),
-    "committed by what was received": _one(4, leading.Leading, "_commit_majority", _count_any_term, 29),
-    "votes whatever the log": _one(4, elections.Elections, "_is_log_current", _votes_for_any, 8),
-    "snapshot loses the configuration": _one(4, ReplicatedState, "from_dict", classmethod(_loses_state), 1),
-    "an emptied disk founds again": _one(4, program, "open_store", _founds_again, 24),
-    "a refused connection ends a node": _one(4, GrantManager, "on_call_ended", _refused_is_gone, 6),
-    "stale connection used again": _one(5, Connection, "ready", _ready_unasked),
-    "answer of a node taken with its id unchecked": _one(5, AnswerReader, "_read_head", _any_answer),
-    "answer of a core taken with its id unchecked": _one(5, caller.Connection, "on_headers_complete", _any_call),
-    "sent again though a byte left": _one(5, forwarder, "move", _move_again),
+    "sent again though a byte left": _single_patch(5, forwarder, "move", _always_resend),
 }
--- a/tests/simulation/walk.py
+++ b/tests/simulation/walk.py
@@ -1,4 +1,4 @@
-"""Random walks: run by seed, replayed exactly, shrunk to the faults that matter.
+"""Random walks: runs of the simulated system under random faults, replayable by seed and shrunk to the faults needed.
 
 python -m tests.simulation.walk [--first N] [--walks N] [--seconds S] [--mistakes] [--trace SEED] [--digest SEED]
 """
@@ -20,17 +20,17 @@
 from tests.simulation.mistakes import MISTAKES, QUOTA, Mistake
 from tests.simulation.world import World
 
-SPAN = 20.0  # seconds of faults
-SHARDED = 0.25  # share of the walks with slices, leases and grants: each takes three times as long
-CALM = 12.0  # seconds without any, in which all has to become well again
-CONNECTIONS_EACH = 10  # walks over connections for each walk of the whole, which takes some forty times as long
-CONTACT, READ_PAUSE = 3.0, 0.1  # seconds for which the end's configuration is read, and between two readings
-LAST = 5.0  # seconds of them without changes, in which edges have to come to the newest
+SPAN_S = 20.0  # of faults
+SHARDED_SHARE = 0.25  # of the walks have slices, leases and grants: each takes three times as long
+CALM_S = 12.0  # without faults, within which the system must recover
+CONNECTION_WALKS_PER_WALK = 10  # a walk of the whole system takes some forty times as long
+FINAL_READS_S, READ_INTERVAL_S = 3.0, 0.1  # how long the final configuration is read, and how often
+QUIET_S = 5.0  # without changes by operators, within which edges must get the newest configuration
 
 
 @dataclass
 class Outcome:
-    """What came of a walk."""
+    """The result of a walk."""
 
     seed: int
     violations: list[str]
@@ -39,15 +39,18 @@
     changes: int = 0
     calls: int = 0
     log_lines: list = field(default_factory=list)
-    let_pass: int = 0  # requests of tenants with limits
+    let_pass: int = 0  # admitted requests of tenants with limits
 
 
 def walk(
-    seed: int, plan: list[Fault] | None = None, span: float = SPAN, early: bool = False, limited: bool = False
+    seed: int, plan: list[Fault] | None = None, span: float = SPAN_S, early: bool = False, limited: bool = False
 ) -> Outcome:
-    """One walk; with a `plan`, with those faults alone. With `early` it ends a second after something broke."""
+    """Run one walk, with the faults of `plan` or those drawn from the seed.
+
+    With `early` it ends within a second of the first violation; with `limited` tenants with limits send requests.
+    """
     chance = random.Random(f"walk {seed}")
-    world = World(seed, chance.choice((3, 3, 3, 5)), chance.random() < SHARDED, limited=limited)
+    world = World(seed, chance.choice((3, 3, 3, 5)), chance.random() < SHARDED_SHARE, limited=limited)
     plan = faults.plan(seed, span) if plan is None else plan
     compact, trail = chance.choice((8, 40, 4000)), chance.choice((2, 512))
     with programs.in_place(world.wire, seed, world.log, compact, trail):
@@ -55,23 +58,25 @@
             world.start()
             for fault in plan:
                 world.loop.world.soon(faults.inject, world, fault, wait=fault.at)
-            if _pass(world, span, early):
+            if _run_until(world, span, early):
                 faults.end_all_faults(world)
-                _pass(world, span + CALM, early)
+                _run_until(world, span + CALM_S, early)
             if not (early and _violations(world)):
                 world.operators.resting = True
-                world.loop.run(span + CALM + LAST)
-                _last(world)
+                world.loop.run(span + CALM_S + QUIET_S)
+                _check_recovery(world)
         except AssertionError as error:
             world.judge.report(f"{world.loop.now:.3f} {type(error).__name__} {error}")
-    taken = {one.content for one in world.register.calls if one.status == 200 and one.content}
+    committed = {call.content for call in world.register.calls if call.status == 200 and call.content}
     violations = _violations(world)
-    told, let_pass = len(world.register.calls), world.quota.let_pass if world.quota else 0
-    return Outcome(seed, violations, plan, world.loop.steps, len(taken), told, list(world.log_lines), let_pass)
+    call_count, let_pass = len(world.register.calls), world.quota.let_pass if world.quota else 0
+    return Outcome(
+        seed, violations, plan, world.loop.steps, len(committed), call_count, list(world.log_lines), let_pass
+    )
 
 
-def _pass(world: World, until: float, early: bool) -> bool:
-    """Let time pass; False where something broke and the walk ends with that."""
+def _run_until(world: World, until: float, early: bool) -> bool:
+    """Run until a time; False if the walk is to end early because of a violation."""
     while early and world.loop.now < until - 1.0:
         world.loop.run(world.loop.now + 1.0)
         if _violations(world):
@@ -81,15 +86,15 @@
 
 
 def _violations(world: World) -> list[str]:
-    """All that the judges hold against a walk."""
+    """All violations of a walk, errors of its programs included."""
     register = world.register.find_violation()
     return [*world.judge.violations, *world.owners.broken, *world.loop.failed(), *([register] if register else [])]
 
 
-def _last(world: World) -> None:
-    """After all faults: an order is taken, a read is answered, and each edge shows what is in force."""
+def _check_recovery(world: World) -> None:
+    """Check after all faults that a change is committed, a read is answered, and each edge has the newest version."""
 
-    async def ends() -> bool:
+    async def finish() -> bool:
         for _ in range(30):
             if await world.operators.read() and await world.operators.change():
                 break
@@ -97,16 +102,16 @@
             return False
         if world.quota is not None:
             await world.quota.settled()
-        until, answered = world.loop.now + CONTACT, False
-        while world.loop.now < until:  # again and again, at any core; each answer is judged
+        until, answered = world.loop.now + FINAL_READS_S, False
+        while world.loop.now < until:  # repeatedly, at any core; each answer is judged
             answered |= await world.operators.read()
-            await asyncio.sleep(READ_PAUSE)
+            await asyncio.sleep(READ_INTERVAL_S)
         return answered
 
-    task = world.loop.world.spawn(ends())
+    task = world.loop.world.spawn(finish())
     world.loop.run(world.loop.now + 10.0)
     if not task.done() or not task.result():
-        world.judge.report("no order is taken after all faults have ended")
+        world.judge.report("no change is committed after all faults have ended")
         return
     world.keys.settled()
     newest = world.register.newest_acknowledged(world.loop.now)
@@ -119,7 +124,7 @@
 
 
 def shrink(plan: list[Fault], breaks: Callable[[list[Fault]], bool]) -> list[Fault]:
-    """A smaller plan that still breaks something: leaves out ever smaller parts while it does, until none can go."""
+    """A minimal plan that still breaks an invariant: removes ever smaller parts until none can be removed."""
     part = max(1, len(plan) // 2)
     while True:
         at, smaller = 0, False
@@ -135,8 +140,8 @@
 
 
 def find(mistake: Mistake, seeds: Iterable[int]) -> Outcome | None:
-    """The first walk of some that shows a mistake; of point 5 by walks over connections."""
-    with mistake.inside():
+    """The first walk that finds a mistake, None if none does; point 5 is checked by walks over connections."""
+    with mistake.applied():
         for seed in seeds:
             if mistake.point == 5:
                 found = Outcome(seed, connections.walk(seed), [])
@@ -149,7 +154,7 @@
 
 
 def walks(seeds: Iterable[int], until: float = float("inf")) -> Iterable[Outcome]:
-    """Walks one after the other, until a time of the process."""
+    """Run walks one after the other until a time by `time.monotonic`."""
     for seed in seeds:
         if time.monotonic() > until:
             return
@@ -158,21 +163,23 @@
 
 
 def measure(count: int) -> dict[str, int]:
-    """Walks, those that broke something, and the mistakes put in and found; for `benchmarks.system`."""
+    """Count walks, those with violations, and the seeded mistakes and those found; for `benchmarks.system`."""
     broken = sum(bool(found.violations) for found in walks(range(count)))
     shown = sum(find(mistake, mistake.seeds()) is not None for mistake in MISTAKES.values())
     return {
         "walks": count,
         "walks_broken": broken,
-        "connection_walks": CONNECTIONS_EACH * count,
-        "connection_walks_broken": sum(bool(connections.walk(seed)) for seed in range(CONNECTIONS_EACH * count)),
+        "connection_walks": CONNECTION_WALKS_PER_WALK * count,
+        "connection_walks_broken": sum(
+            bool(connections.walk(seed)) for seed in range(CONNECTION_WALKS_PER_WALK * count)
+        ),
         "walk_seeded": len(MISTAKES),
         "walk_seeded_found": shown,
     }
 
 
-def traced(seed: int) -> None:
-    """Print a walk: what its programs said, its faults and what broke; where it broke, the least faults that do so."""
+def print_trace(seed: int) -> None:
+    """Print a walk's log, faults and violations; if there are any, also a minimal plan that still causes one."""
     found = walk(seed)
     for line in found.log_lines:
         print(*line)
@@ -189,27 +196,27 @@
     parser.add_argument("--mistakes", action="store_true")
     parser.add_argument("--trace", type=int)
     parser.add_argument("--digest", type=int)
-    given = parser.parse_args()
-    begun = time.monotonic()
-    if given.trace is not None:
-        traced(given.trace)
+    options = parser.parse_args()
+    started_at = time.monotonic()
+    if options.trace is not None:
+        print_trace(options.trace)
         return
-    if given.digest is not None:
-        found = walk(given.digest, span=4.0)
+    if options.digest is not None:
+        found = walk(options.digest, span=4.0)
         print(found.steps, sha256(repr(found.log_lines).encode()).hexdigest())
         return
-    if given.mistakes:
+    if options.mistakes:
         for name, mistake in MISTAKES.items():
             found = find(mistake, mistake.seeds())
             print(name, found and (found.seed, found.violations[0]), flush=True)
         return
     done = broken = changes = 0
-    for found in walks(range(given.first, given.first + given.walks), begun + given.seconds):
+    for found in walks(range(options.first, options.first + options.walks), started_at + options.seconds):
         done, changes = done + 1, changes + found.changes
         if found.violations:
             broken += 1
             print(found.seed, *found.violations[:5], sep="\n   ", flush=True)
-    took = time.monotonic() - begun
+    took = time.monotonic() - started_at
     print(json.dumps({"walks": done, "walks_broken": broken, "changes": changes, "seconds": round(took, 1)}))
 
 
