--- a/tests/simulation/claimants.py
+++ b/tests/simulation/claimants.py
@@ -1,4 +1,4 @@
-"""Those who claim operations: the same ones through several core machines, again, and some of them give back."""
+"""Claimants: they claim the same operations repeatedly and through several cores, and release some of them."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
 if TYPE_CHECKING:
     from tests.simulation.world import CoreMachine, World
 
-PAUSE = 0.08  # seconds between claims, in the mean
-RECENT = 12  # operations that are asked for again
-CALM_PATIENCE = 3.0  # seconds within which a claim is answered once all is well
+MEAN_INTERVAL_S = 0.08  # mean time between claims
+RECENT_COUNT = 12  # operations that are claimed again
+RECOVERY_TIMEOUT_S = 3.0  # for the answer to a claim after all faults
 
 
 class Claimants:
-    """All claims of a walk; what they were answered is judged."""
+    """Sends all claims of a walk and passes the answers to the judge."""
 
     def __init__(self, world: World):
         self.world, self.random = world, random.Random(f"claimants {world.seed}")
         self.claims = Claims(world.judge, world.loop, KEY_PERIOD)
-        self.recent: deque[str] = deque(maxlen=RECENT)
+        self.recent: deque[str] = deque(maxlen=RECENT_COUNT)
         self.holders: dict[str, list[Holder]] = {}
         self.asking: dict[tuple[str, str], list[tuple[Process, asyncio.Task]]] = {}  # by operation and attempt
-        self.released: set[tuple[str, Holder]] = set()  # who gives an operation back never asks for it again
+        self.released: set[tuple[str, Holder]] = set()  # a holder that released an operation never claims it again
         self.serial = 0
 
     def start(self) -> None:
-        """Begin to claim."""
+        """Start to send claims."""
         self._later()
 
     def _later(self) -> None:
-        self.world.loop.world.soon(self._next, wait=self.random.expovariate(1 / PAUSE))
+        self.world.loop.world.soon(self._next, wait=self.random.expovariate(1 / MEAN_INTERVAL_S))
 
     def _next(self) -> None:
-        """One claim through one or two machines at once, by one holder or two."""
+        """Claim an operation through one or two cores at once, by one or two holders."""
         operation = self._operation()
         for _ in range(self.random.choice((1, 1, 2))):
-            if core := self.core():
+            if core := self._pick_core():
                 self.ask(core, Claim(operation, self._holder(operation)), self.random.choice((0.1, 0.5, 2.0)))
         self._later()
 
-    def core(self) -> CoreMachine | None:
-        """A machine that runs."""
+    def _pick_core(self) -> CoreMachine | None:
+        """A random running core."""
         running = self.world.running()
         return self.random.choice(running) if running else None
 
@@ -60,47 +60,46 @@
         return self.random.choice(self.recent)
 
     def _holder(self, operation: str) -> Holder:
-        """A new attempt, or one that asked before and asks again."""
+        """A new attempt, or one that has claimed the operation before."""
         known = [one for one in self.holders.setdefault(operation, []) if (operation, one) not in self.released]
         if known and self.random.random() < 0.3:
             return self.random.choice(known)
         self.serial += 1
-        made = Holder("core", "life", f"a{self.serial}")
-        self.holders[operation].append(made)
-        return made
+        holder = Holder("core", "life", f"a{self.serial}")
+        self.holders[operation].append(holder)
+        return holder
 
-    def ask(self, core: CoreMachine, claim: Claim, patience: float) -> list[ClaimResult]:
-        """Claim through a machine; what it answers while it lives is judged. The result, once it is there."""
-        process, found = core.process, []
+    def ask(self, core: CoreMachine, claim: Claim, timeout_s: float) -> list[ClaimResult]:
+        """Claim through a core and judge its answer, if it lives to give one; the returned list gets the result."""
+        process, results = core.process, []
         again = self.random.random() < 0.15
 
         async def work() -> None:
-            result = await process.plane.claims.claim(claim, patience)  # type: ignore[union-attr]
-            found.append(result)
-            if again and result.outcome is not Outcome.HELD and not self._asks(claim):
-                self.claims.releases(claim)
+            result = await process.plane.claims.claim(claim, timeout_s)  # type: ignore[union-attr]
+            results.append(result)
+            if again and result.outcome is not Outcome.HELD and not self._is_in_use(claim):
+                self.claims.on_release(claim)
                 self.released.add((claim.operation, claim.holder))
                 process.plane.claims.release(claim)  # type: ignore[union-attr]
             else:
-                self.claims.answered(claim, result)
+                self.claims.on_answer(claim, result)
 
         task = process.spawn(work())  # type: ignore[union-attr]
         self.asking.setdefault((claim.operation, claim.holder.attempt), []).append((process, task))
-        return found
+        return results
 
-    def _asks(self, claim: Claim) -> bool:
-        """Whether the holder waits for another answer, or has been answered before: it gives back only what it never
-        used."""
+    def _is_in_use(self, claim: Claim) -> bool:
+        """Whether the holder waits for another answer or has been granted the operation, and so must not release it."""
         key = claim.operation, claim.holder.attempt
         others = [one for one in self.asking[key] if one[0].alive and not one[1].done()]
         used = any(one.holder == key[1] for one in self.claims.grants.get(key[0], []))
         return used or len(others) > 1
 
-    def last(self) -> None:
-        """All is well: each machine has a claim answered."""
+    def check_recovery(self) -> None:
+        """Check after all faults that each core answers a claim."""
         for core in self.world.running():
             claim = Claim(operation_id("last", core.host), Holder("core", "life", "last"))
-            found = self.ask(core, claim, CALM_PATIENCE)
-            self.world.loop.run(self.world.loop.now + CALM_PATIENCE + 0.1)
-            if not found or found[0].outcome is Outcome.UNAVAILABLE:
+            results = self.ask(core, claim, RECOVERY_TIMEOUT_S)
+            self.world.loop.run(self.world.loop.now + RECOVERY_TIMEOUT_S + 0.1)
+            if not results or results[0].outcome is Outcome.UNAVAILABLE:
                 self.world.judge.report(f"{self.world.loop.now:.3f} no claim is answered at {core.host} in the end")
--- a/tests/simulation/claims_judge.py
+++ b/tests/simulation/claims_judge.py
@@ -1,4 +1,4 @@
-"""Who looks on at claims: no operation is granted to two holders within its window, by the world's true time."""
+"""Judge of claims: no operation may be granted to two holders within its window, measured in the simulation's time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class Grant:
-    """A holder was told that it has an operation, last at a time; it may have run it from then on."""
+    """A holder got an operation, the last time at `at`; it may have run the operation from then on."""
 
     holder: str
     at: float
@@ -20,10 +20,12 @@
 
 @dataclass
 class Claims:
-    """The judge of claims. Times are the world's; `window` in seconds.
+    """The judge of claims. Times are those of the simulation; `window` is in seconds.
 
-    A holder that gives its claim back has not run it, and neither waits for an answer then nor asks for it again: its
-    word may still be on its way when a later claim of it is granted. Any grant that is answered may be a run."""
+    Any grant that was answered counts as a possible run. A holder that releases its claim has not run the operation. It
+    neither waits for an answer then nor claims the operation again, since its release may arrive only after such a
+    claim was granted.
+    """
 
     judge: Judge
     loop: VirtualLoop
@@ -31,8 +33,8 @@
     grants: dict[str, list[Grant]] = field(default_factory=dict)
     granted = held = unavailable = released = ended = 0
 
-    def answered(self, claim: Claim, result: ClaimResult) -> None:
-        """A claim was answered, to who asked."""
+    def on_answer(self, claim: Claim, result: ClaimResult) -> None:
+        """Handle the answer to a claim."""
         if result.outcome is Outcome.UNAVAILABLE:
             self.unavailable += 1
         elif result.outcome is Outcome.HELD:
@@ -59,8 +61,8 @@
                 f"{self.loop.now:.3f} {claim.operation[:8]} is held by {result.holder}, as its holder hears"
             )
 
-    def releases(self, claim: Claim) -> None:
-        """A holder gives its claim back, from now on."""
+    def on_release(self, claim: Claim) -> None:
+        """Handle that a holder releases its claim."""
         self.released += 1
         found = self.grants.get(claim.operation, [])
         found[:] = [one for one in found if one.holder != claim.holder.attempt]
--- a/tests/simulation/claims_walk.py
+++ b/tests/simulation/claims_walk.py
@@ -60,7 +60,7 @@
                 faults.end_all_faults(world)
                 _run_until(world, span + CALM_S, early)
             if not (early and _violations(world)):
-                claimants.last()
+                claimants.check_recovery()
         except AssertionError as error:
             world.judge.report(f"{world.loop.now:.3f} {type(error).__name__} {error}")
     claims = claimants.claims
--- a/tests/simulation/operators.py
+++ b/tests/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators: they read, build on what they know, race under one number, and send again what was not answered."""
+"""Operators: they read, base changes on the version they know, race for a version, and repeat unanswered calls."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     from tests.simulation.world import World
 
 OPERATORS = 3
-REPEATS = 8  # of one order, until it is given up
-RECENT, OLD = 40, 0.3  # orders of which most of those are chosen, and the share chosen of all that were ever sent
-LATE = 0.15  # share of the orders that are sent once more much later, whatever was answered
-HOPS = 3  # redirections followed
+MAX_REPEATS = 8  # of one change, until it is given up
+RECENT_COUNT, OLD_SHARE = 40, 0.3  # late repeats are of recent changes, this share of them of any change
+LATE_SHARE = 0.15  # share of the calls that repeat an earlier change, whatever its answer was
+MAX_REDIRECTS = 3  # redirects followed
 
 
 @dataclass(frozen=True)
-class Order:
-    """A call as it goes over the wire; sent again, it is the same to the byte."""
+class Change:
+    """A change of the configuration as it is sent; a repeat is identical to the byte."""
 
     method: str
     content: Content
@@ -35,7 +35,7 @@
 
 
 def document(content: Content, sharded: bool, tenants: list[dict]) -> dict:
-    """A configuration whose one route bears the mark as its host."""
+    """A configuration document whose only route has the mark as its host."""
     service = {
         "object_kind": "services",
         "metadata": {"name": "s"},
@@ -62,16 +62,17 @@
 
 
 class Operators:
-    """All operators of a walk; what they were answered goes into the register."""
+    """All operators of a walk; their calls and answers are recorded in the register."""
 
     def __init__(self, world: World):
         self.world, self.random = world, random.Random(f"operators {world.seed}")
         self.caller = Caller(world.wire)
-        self.known = 0  # newest version that one of them heard of
+        self.known = 0  # newest version that an operator knows
         self.marks = 0
-        self.sent: list[Order] = []
-        self.resting = False
-        self.pace = self.random.choice((1.0, 1.0, 0.2))  # some walks have busy operators: races and fates unknown
+        self.sent: list[Change] = []
+        self.stopped = False
+        # Some walks have busy operators: more races and unknown outcomes.
+        self.pace = self.random.choice((1.0, 1.0, 0.2))
 
     def start(self) -> None:
         for n in range(OPERATORS):
@@ -84,24 +85,26 @@
     async def _work(self) -> None:
         while True:
             await asyncio.sleep(self.pace * self.random.choice((0.02, 0.1, 0.3, 0.6)))
-            if self.resting:
+            if self.stopped:
                 continue
             what = self.random.random()
             if what < 0.35:
                 await self.read()
-            elif what < 0.35 + LATE and self.sent:
-                await self.send(self.random.choice(self.sent if self.random.random() < OLD else self.sent[-RECENT:]))
+            elif what < 0.35 + LATE_SHARE and self.sent:
+                await self.send(
+                    self.random.choice(self.sent if self.random.random() < OLD_SHARE else self.sent[-RECENT_COUNT:])
+                )
             else:
                 await self.change()
 
     # -- calls
 
-    async def _call(self, method: str, body: bytes, headers: dict, patience: float) -> tuple[int, Any]:
-        """Status and value; 0 where the fate is unknown."""
+    async def _call(self, method: str, body: bytes, headers: dict, timeout_s: float) -> tuple[int, Any]:
+        """Status and decoded body; status 0 if the outcome is unknown."""
         url = f"http://{self._address()}/configuration"
-        for _ in range(HOPS):
+        for _ in range(MAX_REDIRECTS):
             try:
-                found = await self.world.wire.call(method, url, body, headers, patience, "operator", False)
+                found = await self.world.wire.call(method, url, body, headers, timeout_s, "operator", False)
             except PeerError:
                 return 0, None
             if found.status != 307:
@@ -110,46 +113,46 @@
         return 0, None
 
     async def read(self) -> bool:
-        """GET; whether it was answered."""
-        begun = self.world.loop.now
+        """Read the configuration; whether the call was answered."""
+        started_at = self.world.loop.now
         status, found = await self._call("GET", b"", {}, 1.5)
         if status not in (200, 404):
             return False
         version = int(found["config_version"][1:]) if status == 200 else 0
         mark = mark_of(found) if status == 200 else None
         self.known = max(self.known, version)
-        self.world.register.record(OperatorCall(begun, self.world.loop.now, status, None, version, mark))
+        self.world.register.record(OperatorCall(started_at, self.world.loop.now, status, None, version, mark))
         return True
 
     async def change(self) -> bool:
-        """A new order on what is known, sent until it is answered, most of the time; whether it was taken."""
+        """Send a new change, usually until it is answered; whether it was accepted."""
         base, self.marks = self.known, self.marks + 1
         content = Content(base + self.random.choice((1, 1, 1, 2)), base, f"m{self.marks}.example")
         tenants = self.world.tenants(content)
         if base and self.random.random() < 0.4:
-            changed = [route(content.mark), *tenants]
-            body = {"config_version": f"r{content.version}", "upsert": {"objects": changed}}
-            order = Order("PATCH", content, json.dumps(body).encode())
+            upserted = [route(content.mark), *tenants]
+            body = {"config_version": f"r{content.version}", "upsert": {"objects": upserted}}
+            change = Change("PATCH", content, json.dumps(body).encode())
         else:
-            order = Order("PUT", content, json.dumps(document(content, self.world.sharded, tenants)).encode())
-        self.sent.append(order)
-        for _ in range(self.random.choice((1, REPEATS, REPEATS))):
-            if (status := await self.send(order)) in (200, 400, 412):
+            change = Change("PUT", content, json.dumps(document(content, self.world.sharded, tenants)).encode())
+        self.sent.append(change)
+        for _ in range(self.random.choice((1, MAX_REPEATS, MAX_REPEATS))):
+            if (status := await self.send(change)) in (200, 400, 412):
                 return status == 200
             await asyncio.sleep(self.random.choice((0.01, 0.1, 0.4)))
         return False
 
-    async def send(self, order: Order) -> int:
-        """One call with an order: its status, 0 where the fate is unknown."""
-        begun, content = self.world.loop.now, order.content
-        self.world.register.record_sent(content, begun)
+    async def send(self, change: Change) -> int:
+        """Send a change once: its status, 0 if the outcome is unknown."""
+        started_at, content = self.world.loop.now, change.content
+        self.world.register.record_sent(content, started_at)
         headers = {"if-match": f"r{content.base}" if content.base else "0"}
-        status, found = await self._call(order.method, order.body, headers, self.random.choice((0.4, 1.5, 4.0)))
-        told = OperatorCall(begun, self.world.loop.now, status if status in (200, 400, 412) else 0, content)
+        status, found = await self._call(change.method, change.body, headers, self.random.choice((0.4, 1.5, 4.0)))
+        call = OperatorCall(started_at, self.world.loop.now, status if status in (200, 400, 412) else 0, content)
         if status == 412 and "config_version" in (found or {}):
-            told.version = int(found["config_version"][1:])
-            self.known = max(self.known, told.version)
+            call.version = int(found["config_version"][1:])
+            self.known = max(self.known, call.version)
         if status == 200:
             self.known = max(self.known, content.version)
-        self.world.register.record(told)
-        return told.status
+        self.world.register.record(call)
+        return call.status
--- a/tests/simulation/quota_judge.py
+++ b/tests/simulation/quota_judge.py
@@ -1,6 +1,6 @@
-"""Who looks at tenants' limits on a walk: requests come to core machines, and those let pass are counted.
+"""Judge of tenants' limits: it sends requests to cores and counts those that are admitted.
 
-A plain count of windows is the truth; it knows nothing of buckets and holdings. Limits change with the versions.
+The reference is a plain count over a sliding window, independent of buckets and holdings. Limits change with versions.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     from tests.simulation.world import World
 
 BOUNDS = Bounds(quota_window=3.0, quota_overage=0.1, quota_slack=8.0)
-# Requests a second, and beyond: of each tenant in turn, so many versions long.
+# By tenant: its limits (rate per second, burst size), each in force for ERA versions in turn.
 ERAS = {
     "lean": ((0.5, 1.0), (2.0, 0.0)),
     "usual": ((8.0, 8.0), (2.0, 2.0), (20.0, 5.0)),
@@ -28,81 +28,83 @@
     "large": ((60.0, 60.0),),
 }
 ERA = 40
-BEFORE = BOUNDS.quota_window + BOUNDS.config_apply  # seconds for which an older limit may still be in force
-PATIENCE = 0.1  # seconds that a request waits for its allowance
+OLD_LIMIT_S = BOUNDS.quota_window + BOUNDS.config_apply  # for which an older limit may still be in force
+TAKE_TIMEOUT_S = 0.1  # for which a request waits for its allowance
 BURSTS = (1, 2, 10, 60)
-PAUSES = (0.01, 0.03, 0.1, 0.5)
-GIVEN_BACK = 0.3  # share of what was let pass that does not run
-TRIES = 30  # in the end, until a request of each tenant is let pass
+PAUSES_S = (0.01, 0.03, 0.1, 0.5)
+GIVEN_BACK_SHARE = 0.3  # of the admitted requests do not run
+MAX_ATTEMPTS = 30  # after all faults, until a request of each tenant is admitted
 
 
 def limit(name: str, version: int) -> tuple[float, float]:
-    """A tenant's limit in a version."""
+    """A tenant's limit (rate per second, burst size) in a version."""
     eras = ERAS[name]
     return eras[version // ERA % len(eras)]
 
 
 def tenants(content: Content) -> list[dict]:
-    """The tenants of a content, as they are sent."""
+    """The tenants' items in the document of a content."""
     return [tenant(name, [f"key of {name}"], *limit(name, content.version)) for name in ERAS]
 
 
 class QuotaJudge:
-    """Sends requests by its own chance to whichever core machines run, storms among them."""
+    """Sends random requests, with bursts, to running cores, and checks how many are admitted."""
 
     def __init__(self, world: World):
         self.world = world
         self.random = random.Random(f"quota {world.seed}")
-        self.passed: dict[str, deque[float]] = defaultdict(deque)  # when requests were let pass in the last window
+        self.admitted: dict[str, deque[float]] = defaultdict(deque)  # times of the requests admitted in the last window
         self.let_pass = 0
 
     async def load(self) -> None:
-        """Send until the operators rest."""
-        while not self.world.operators.resting:
-            await asyncio.sleep(self.random.choice(PAUSES))
+        """Send until the operators stop."""
+        while not self.world.operators.stopped:
+            await asyncio.sleep(self.random.choice(PAUSES_S))
             cores, name = self.world.running(), self.random.choice(list(ERAS))
             for _ in range(self.random.choice(BURSTS) if cores else 0):
                 process = self.random.choice(cores).process
-                process.spawn(self._send(process, name, self.random.random() < GIVEN_BACK))
+                process.spawn(self._send(process, name, self.random.random() < GIVEN_BACK_SHARE))
 
     async def _send(self, process: Process, name: str, gives_back: bool) -> bool:
-        """One request at a core machine, in its own program; whether it was let pass."""
+        """Send one request to a core, within its process; whether it was admitted."""
         allowances = process.plane.allowances  # type: ignore[attr-defined]
-        told = await allowances.take(name, PATIENCE)
-        if told.admission is not Admission.RUN:
+        response = await allowances.take(name, TAKE_TIMEOUT_S)
+        if response.admission is not Admission.RUN:
             return False
         if gives_back:
             allowances.give_back(name)
         elif allowances.spend(name):
-            self.passes(self.world.loop.now, name)
+            self.on_admitted(self.world.loop.now, name)
         return True
 
-    def passes(self, now: float, name: str) -> None:
-        """A request is let pass: the window that ends with it is looked at."""
-        passed = self.passed[name]
-        passed.append(now)
+    def on_admitted(self, now: float, name: str) -> None:
+        """Handle that a request is admitted: check the window that ends now."""
+        admitted = self.admitted[name]
+        admitted.append(now)
         self.let_pass += 1
-        while passed[0] <= now - BOUNDS.quota_window:
-            passed.popleft()
-        most = self.most(now, name)
-        if len(passed) > most:
-            self.world.judge.report(f"{now:.3f} {name}: {len(passed)} let pass in a window, at most {most:.1f}")
-
-    def most(self, now: float, name: str) -> float:
-        """What the rule allows in the window that ends now, by the highest limit that may be in force in it."""
-        first = self.world.register.newest_acknowledged(now - BOUNDS.quota_window - BEFORE)
+        while admitted[0] <= now - BOUNDS.quota_window:
+            admitted.popleft()
+        max_admitted = self.max_admitted(now, name)
+        if len(admitted) > max_admitted:
+            self.world.judge.report(
+                f"{now:.3f} {name}: {len(admitted)} let pass in a window, at most {max_admitted:.1f}"
+            )
+
+    def max_admitted(self, now: float, name: str) -> float:
+        """The most requests that may be admitted in the window that ends now, by the highest limit in force in it."""
+        first = self.world.register.newest_acknowledged(now - BOUNDS.quota_window - OLD_LIMIT_S)
         last = max(first, self.world.operators.known + 2)  # the highest that may have been sent
         limits = [limit(name, era * ERA) for era in range(first // ERA, last // ERA + 1)]
-        whole = max(rate * BOUNDS.quota_window + burst for rate, burst in limits)
-        return whole * (1 + BOUNDS.quota_overage) + BOUNDS.quota_slack
+        allowed = max(rate * BOUNDS.quota_window + burst for rate, burst in limits)
+        return allowed * (1 + BOUNDS.quota_overage) + BOUNDS.quota_slack
 
-    async def settled(self) -> None:
-        """Every fault has ended, and nothing was sent for a while: a request of each tenant is let pass."""
+    async def check_recovery(self) -> None:
+        """Check after all faults, and a pause without requests, that a request of each tenant is admitted."""
         for name in ERAS:
-            for _ in range(TRIES):
+            for _ in range(MAX_ATTEMPTS):
                 process = self.random.choice(self.world.running()).process
                 if await process.spawn(self._send(process, name, False)):
                     break
-                await asyncio.sleep(PATIENCE)
+                await asyncio.sleep(TAKE_TIMEOUT_S)
             else:
                 self.world.judge.report(f"no request of {name} is let pass in the end")
--- a/tests/simulation/walk.py
+++ b/tests/simulation/walk.py
@@ -62,7 +62,7 @@
                 faults.end_all_faults(world)
                 _run_until(world, span + CALM_S, early)
             if not (early and _violations(world)):
-                world.operators.resting = True
+                world.operators.stopped = True
                 world.loop.run(span + CALM_S + QUIET_S)
                 _check_recovery(world)
         except AssertionError as error:
@@ -101,7 +101,7 @@
         else:
             return False
         if world.quota is not None:
-            await world.quota.settled()
+            await world.quota.check_recovery()
         until, answered = world.loop.now + FINAL_READS_S, False
         while world.loop.now < until:  # repeatedly, at any core; each answer is judged
             answered |= await world.operators.read()
@@ -113,7 +113,7 @@
     if not task.done() or not task.result():
         world.judge.report("no change is committed after all faults have ended")
         return
-    world.keys.settled()
+    world.keys.check_recovery()
     newest = world.register.newest_acknowledged(world.loop.now)
     for name, process in world.edge_processes.items():
         configuration = process.link.view.configuration  # type: ignore[attr-defined]
--- a/tests/system/test_claims_simulation.py
+++ b/tests/system/test_claims_simulation.py
@@ -41,7 +41,7 @@
 
     def granted(self, at, holder):
         self.loop.now = at
-        self.claims.answered(self.claim(holder), GRANTED)
+        self.claims.on_answer(self.claim(holder), GRANTED)
 
     def claim(self, holder):
         return Claim("o" * 32, Holder("core", "life", holder))
@@ -54,20 +54,20 @@
     def test_a_second_holder_after_the_window_or_a_release_is_allowed(self):
         self.granted(1.0, "a")
         self.granted(5.0, "b")
-        self.claims.releases(self.claim("b"))
+        self.claims.on_release(self.claim("b"))
         self.granted(5.1, "c")
         self.assertEqual(self.judge.violations, [])
 
     def test_a_grant_after_a_release_counts(self):
         self.granted(1.0, "a")
-        self.claims.releases(self.claim("a"))
+        self.claims.on_release(self.claim("a"))
         self.granted(2.0, "a")
         self.granted(3.0, "b")
         self.assertEqual(len(self.judge.violations), 1)
 
     def test_a_holder_refused_because_of_its_own_claim_is_reported(self):
         one = self.claim("a")
-        self.claims.answered(one, ClaimResult(Outcome.HELD, one.holder))
+        self.claims.on_answer(one, ClaimResult(Outcome.HELD, one.holder))
         self.assertEqual(len(self.judge.violations), 1)
 
 
