--- a/tests/system/test_freshness.py
+++ b/tests/system/test_freshness.py
@@ -132,7 +132,8 @@
         self.check(run)
         held = [at for at, held, _ in run["samples"] if held and run["fault_began"] <= at < run["fault_ended"]]
         self.assertGreater(
-            max(held) - run["fault_began"], REVOKE_TIMEOUT_S - LEASE_MARGIN_S - POLL_WAIT_S - MAX_LEADER_SILENCE_S - LEADERSHIP_PROOF_S
+            max(held) - run["fault_began"],
+            REVOKE_TIMEOUT_S - LEASE_MARGIN_S - POLL_WAIT_S - MAX_LEADER_SILENCE_S - LEADERSHIP_PROOF_S,
         )
         self.assertFalse(all(held for _, held, _ in run["samples"]))
 
