--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -32,8 +32,8 @@
 from knotwalk.record.reader import Recording
 from knotwalk.record.recorder import Recorder
 from knotwalk.replay import change, exact, verdict
+from knotwalk.replay.inference import InferredDay
 from knotwalk.replay.model import Model
-from knotwalk.replay.past import Past
 from knotwalk.settings.operator import OperatorSettings, RecordSettings
 from knotwalk.wire_values import ReportBounds
 
@@ -399,11 +399,11 @@
     with tempfile.TemporaryDirectory() as folder:
         day = taped(folder, seed, FLEET, seconds, 30.0)
         recording = Recording([folder])
-        past = Past()
+        past = InferredDay()
         for blocks in recording.incarnations.values():
             for event in recording.events(blocks):
-                past.feed(event)
-        past.done()
+                past.add_event(event)
+        past.infer()
     settings = past.lives[0].settings
     base = [Model(past, lambda s: s, seed=k).run() for k in range(runs)]
     out = []
--- a/knotwalk/replay/change.py
+++ b/knotwalk/replay/change.py
@@ -1,6 +1,6 @@
-"""What a what-if changes: settings of the contract, tuned values of the policy, or the policy's text.
+"""Parses the changes of a what-if: `--set NAME=VALUE` (settings, constants of the policy) and `--policy FILE`.
 
-Owns the reading of `--set NAME=VALUE` and `--policy FILE`; what cannot be used is one plain line.
+Errors are reported in a single line.
 """
 
 import importlib.util
@@ -12,116 +12,118 @@
 from knotwalk.interface import Method, Settings
 
 
-class Unusable(Exception):
-    """A change that cannot be made; the text says what is wrong and what would be right."""
+class InvalidChangeError(Exception):
+    """A change that cannot be applied; the message says what is wrong and what is valid."""
 
 
 class Change(NamedTuple):
-    """Other settings, and what makes the module."""
+    """A function that changes settings, and one that creates the policy object."""
 
     settings: Callable[[Settings], Settings]
     make: Callable[..., Conductor]
-    names: list[str]  # in words, for reports
+    names: list[str]  # descriptions, for reports
 
 
-def tuned(policy: type) -> dict[str, float]:
-    """The tuned values of a policy: its named figures, as they stand beside its code, its own before inherited ones.
+def tuned_values(policy: type) -> dict[str, float]:
+    """The tuned values of a policy: its numeric upper-case class attributes, including inherited ones.
 
-    >>> tuned(Conductor)["PERIOD"]
+    >>> tuned_values(Conductor)["PERIOD"]
     5.0
     """
-    found = {name: value for part in reversed(policy.__mro__) for name, value in vars(part).items()}
+    members = {name: value for parts in reversed(policy.__mro__) for name, value in vars(parts).items()}
     return {
         name: value
-        for name, value in found.items()
+        for name, value in members.items()
         if name.isupper() and isinstance(value, int | float) and not isinstance(value, bool)
     }
 
 
 def value_like(old: object, text: str, name: str) -> object:
-    """A value of the kind that the old one has.
+    """Parse a value of the same type as the old one.
 
     >>> value_like(5.0, "2", "PERIOD"), value_like(True, "no", "admits")
     (2.0, False)
     """
     if isinstance(old, bool):
         if text not in ("yes", "no", "true", "false", "1", "0"):
-            raise Unusable(f"--set {name}={text}: neither yes nor no")
+            raise InvalidChangeError(f"--set {name}={text}: neither yes nor no")
         return text in ("yes", "true", "1")
     try:
         value = float(text)
         if not abs(value) < float("inf"):
             raise ValueError
     except ValueError:
-        raise Unusable(f"--set {name}={text}: not a figure") from None
+        raise InvalidChangeError(f"--set {name}={text}: not a finite number") from None
     if isinstance(old, int):
         if value != int(value):
-            raise Unusable(f"--set {name}={text}: {name} counts, so it is a whole number")
+            raise InvalidChangeError(f"--set {name}={text}: {name} must be a whole number")
         return int(value)
     return value
 
 
 def load(path: str) -> type:
-    """The policy in a file; raises Unusable, whatever the file does."""
+    """Load the policy from a file; raises InvalidChangeError for any failure, also of the file's own code."""
     name = "knotwalk_policy_tried"
     spec = importlib.util.spec_from_file_location(name, path)
     if spec is None or spec.loader is None:
-        raise Unusable(f"--policy {path}: not a Python file")
+        raise InvalidChangeError(f"--policy {path}: not a Python file")
     module = importlib.util.module_from_spec(spec)
     sys.modules[name] = module
     try:
         spec.loader.exec_module(module)
     except FileNotFoundError:
-        raise Unusable(f"--policy {path}: no such file") from None
-    except SyntaxError as fault:
-        raise Unusable(f"--policy {path}: line {fault.lineno}: {fault.msg}") from None
-    except BaseException as fault:
-        raise Unusable(f"--policy {path}: it raises {type(fault).__name__}: {fault}") from None
+        raise InvalidChangeError(f"--policy {path}: no such file") from None
+    except SyntaxError as error:
+        raise InvalidChangeError(f"--policy {path}: line {error.lineno}: {error.msg}") from None
+    except BaseException as error:
+        raise InvalidChangeError(f"--policy {path}: it raises {type(error).__name__}: {error}") from None
     policy = getattr(module, "Conductor", None)
     if not (isinstance(policy, type) and callable(getattr(policy, "decide", None))):
-        raise Unusable(f"--policy {path}: it has no class Conductor with decide(now, inbox, out)")
+        raise InvalidChangeError(f"--policy {path}: it has no class Conductor with decide(now, inbox, out)")
     return policy
 
 
 def read(sets: Iterable[str], policy: str | None, settings: Settings) -> Change:
-    """The change that these options ask for, checked against the settings that were recorded."""
+    """The change that these options request, checked against the recorded settings."""
     base: type = load(policy) if policy else Conductor
     values, fields, methods = {}, {}, {}
-    figures = tuned(base)
+    tuned = tuned_values(base)
     for text in sets:
         name, equals, value = text.partition("=")
         if not equals or not value:
-            raise Unusable(f"--set {text}: NAME=VALUE is wanted")
-        part = name.split(".")
-        if name in figures:
-            values[name] = value_like(figures[name], value, name)
+            raise InvalidChangeError(f"--set {text}: expected NAME=VALUE")
+        parts = name.split(".")
+        if name in tuned:
+            values[name] = value_like(tuned[name], value, name)
         elif name in Settings._fields and name != "methods":
             fields[name] = value_like(getattr(settings, name), value, name)
         elif (
-            len(part) == 3
-            and part[0] == "methods"
-            and part[1].isdigit()
-            and part[2] in Method._fields
-            and int(part[1]) < len(settings.methods)
+            len(parts) == 3
+            and parts[0] == "methods"
+            and parts[1].isdigit()
+            and parts[2] in Method._fields
+            and int(parts[1]) < len(settings.methods)
         ):
-            methods[int(part[1]), part[2]] = value_like(1.0, value, name)
+            methods[int(parts[1]), parts[2]] = value_like(1.0, value, name)
         else:
-            raise Unusable(
+            raise InvalidChangeError(
                 f"--set {text}: no such setting or tuned value; there are "
                 f"{', '.join([x for x in Settings._fields if x != 'methods'])}, methods.K.FIELD, "
-                f"{', '.join(figures)}"
+                f"{', '.join(tuned)}"
             )
     make = type("Conductor", (base,), values) if values else base
 
-    def changed(s: Settings) -> Settings:
-        told = list(s.methods)
+    def changed(settings: Settings) -> Settings:
+        methods_list = list(settings.methods)
         for (k, field), value in methods.items():
-            if k < len(told):
-                told[k] = told[k]._replace(**{field: value})
-        return s._replace(methods=tuple(told), **fields)
+            if k < len(methods_list):
+                methods_list[k] = methods_list[k]._replace(**{field: value})
+        return settings._replace(methods=tuple(methods_list), **fields)
 
     try:
         make(changed(settings), 0)
-    except Exception as fault:
-        raise Unusable(f"the policy cannot be made with these settings: {type(fault).__name__}: {fault}") from None
+    except Exception as error:
+        raise InvalidChangeError(
+            f"the policy cannot be created with these settings: {type(error).__name__}: {error}"
+        ) from None
     return Change(changed, make, [*sets, *([f"policy {policy}"] if policy else [])])
--- a/knotwalk/replay/exact.py
+++ b/knotwalk/replay/exact.py
@@ -1,7 +1,7 @@
-"""Exact replay: drives the module from a recording and compares order by order.
+"""Exact replay: feeds recorded input to the policy and compares its orders with the recorded ones.
 
-Owns the comparison, and the cutting of a day into parts that are replayed at once. Claims nothing across a gap: what
-was compared is told as stretches of time, and the rest as losses.
+A recording is split into parts that are replayed in parallel. Nothing is claimed across a gap: the outcome lists the
+stretches of time that were compared, and the losses between them.
 """
 
 import os
@@ -16,76 +16,82 @@
 from knotwalk.record.reader import Block, Loss, Recording
 from knotwalk.state import SnapshotError
 
-MOST = 20  # divergences kept: all that follow the first of a life mostly follow from it
+MAX_DIVERGENCES = 20  # kept in the outcome; later ones are mostly consequences of the first
 
 
 class Divergence(NamedTuple):
-    """Where a replay first differs from what was recorded."""
+    """A difference between a replay and the recording."""
 
     incarnation: str
     number: int  # of the frame
-    at: float  # its time
-    place: int  # of the order within the round; -1: the state or the round itself
+    at: float  # time of the frame, Unix seconds
+    place: int  # index of the order within the round; -1 for the state or the entire round
     recorded: str
     replayed: str
-    held: list[str]  # what the state held about it
+    held: list[str]  # the state of the slices and servers concerned
 
 
 class Stretch(NamedTuple):
-    """Time over which all was compared and alike."""
+    """A period over which everything was compared and equal."""
 
     since: float
     until: float
 
 
 class Outcome(NamedTuple):
-    """What a replay came to."""
+    """The result of a replay."""
 
     rounds: int
     orders: int
-    joints: int  # checkpoints met again exactly
+    joints: int  # checkpoints that the replay reproduced exactly
     lives: int
-    failures: int  # decisions that failed, and failed again
+    failures: int  # rounds that failed in the recording and failed again
     stretches: list[Stretch]
     losses: list[Loss]
     divergences: list[Divergence]
     faults: list[str]
-    policies: list[str]  # digests of the policy by which the day was decided
+    policies: list[str]  # digests of the policies that were recorded
 
     @property
     def exact(self) -> bool:
         return self.rounds > 0 and not self.divergences
 
 
-def differs(a: object, b: object, path: str = "") -> str:
-    """Where two snapshots first differ, in words; empty if they do not.
+def first_difference(recorded: object, replayed: object, path: str = "") -> str:
+    """Describe the first difference between two snapshots; empty if they are equal.
 
-    >>> differs({"a": [1, 2]}, {"a": (1, 3)})
+    >>> first_difference({"a": [1, 2]}, {"a": (1, 3)})
     'a.1: 2, 3 replayed'
     """
-    if isinstance(a, dict) and isinstance(b, dict):
-        for key in dict.fromkeys([*a, *b]):
-            if found := differs(a.get(key), b.get(key), f"{path}.{key}" if path else str(key)):
+    if isinstance(recorded, dict) and isinstance(replayed, dict):
+        for key in dict.fromkeys([*recorded, *replayed]):
+            if found := first_difference(recorded.get(key), replayed.get(key), f"{path}.{key}" if path else str(key)):
                 return found
         return ""
-    if isinstance(a, list | tuple) and isinstance(b, list | tuple):
-        if len(a) != len(b):
-            return f"{path}: {len(a)} entries, {len(b)} replayed"
-        for k, (x, y) in enumerate(zip(a, b)):
-            if found := differs(x, y, f"{path}.{k}"):
+    if isinstance(recorded, list | tuple) and isinstance(replayed, list | tuple):
+        if len(recorded) != len(replayed):
+            return f"{path}: {len(recorded)} entries, {len(replayed)} replayed"
+        for k, (x, y) in enumerate(zip(recorded, replayed)):
+            if found := first_difference(x, y, f"{path}.{k}"):
                 return found
         return ""
-    return "" if a == b and type(a) is type(b) else f"{path}: {a!r:.60}, {b!r:.60} replayed"
+    return (
+        ""
+        if recorded == replayed and type(recorded) is type(replayed)
+        else f"{path}: {recorded!r:.60}, {replayed!r:.60} replayed"
+    )
 
 
-def held_by(module: Conductor, orders: Iterable) -> list[str]:
-    """What the state holds about the slices and servers of some orders."""
+def describe_state(module: Conductor, orders: Iterable) -> list[str]:
+    """Describe the state of the slices and servers that some orders name."""
     out: list[str] = []
-    for _, f in orders:
-        for value in f:
+    for _, arguments in orders:
+        for value in arguments:
             if (s := module.slices.get(value)) is not None and not isinstance(value, float | bool):
-                told = ", ".join(f"{x.id} {w:g}" for x, w in s.sent_lines.items())
-                out.append(f"slice {s.id}: demand {s.demand:.4g}, on {', '.join(x.id for x in s.shares)}; told {told}")
+                sent_lines = ", ".join(f"{x.id} {w:g}" for x, w in s.sent_lines.items())
+                out.append(
+                    f"slice {s.id}: demand {s.demand:.4g}, on {', '.join(x.id for x in s.shares)}; told {sent_lines}"
+                )
             elif isinstance(value, str) and (x := module.servers.get(value)) is not None:
                 out.append(
                     f"server {x.id}: {x.state}, load {x.load:.4g} of {x.capacity:.4g}, health {x.health:g}, "
@@ -95,24 +101,24 @@
 
 
 class Player:
-    """Plays frames of one incarnation, from a life's start or a checkpoint on."""
+    """Replays frames of one incarnation, from the start of a life or a checkpoint on."""
 
     def __init__(self, incarnation: str, make: Callable[..., Conductor] = Conductor):
         self.incarnation, self.make = incarnation, make
         self.module: Conductor | None = None
-        self.fresh = False  # a module made at a life's start, which the checkpoint is to be like
+        self.is_new = False  # created at the start of a life; its state must equal the checkpoint that follows
         self.rounds = self.orders = self.joints = self.lives = self.failures = 0
         self.stretches: list[list[float]] = []
         self.losses: list[Loss] = []
         self.divergences: list[Divergence] = []
         self.policies: dict[str, None] = {}
 
-    def differ(self, frame: list, place: int, recorded: object, replayed: object, held: list[str]) -> None:
-        if len(self.divergences) < MOST:
+    def add_divergence(self, frame: list, place: int, recorded: object, replayed: object, held: list[str]) -> None:
+        if len(self.divergences) < MAX_DIVERGENCES:
             self.divergences.append(
                 Divergence(self.incarnation, frame[1], frame[2], place, f"{recorded}", f"{replayed}", held)
             )
-        self.module = None  # what follows would only repeat it: on from the next checkpoint
+        self.module = None  # skip to the next checkpoint, since all later rounds would differ too
 
     def play(self, events: Iterable[list | Loss]) -> "Player":
         for event in events:
@@ -121,67 +127,73 @@
                 self.module = None
             elif event[0] == ROUND:
                 if self.module is not None:
-                    self.round(event)
+                    self.replay_round(event)
             elif event[0] == CHECKPOINT:
-                self.check(event)
+                self.check_state(event)
             elif event[0] == LIFE:
-                self.life(event)
+                self.start_life(event)
             elif event[0] == FAILED:
                 if self.module is not None:
-                    self.failed(event)
+                    self.replay_failure(event)
         return self
 
-    def life(self, frame: list) -> None:
-        told = frame[3]
+    def start_life(self, frame: list) -> None:
+        life = frame[3]
         self.lives += 1
-        self.module, self.fresh = None, told["why"] == "start"
-        if self.fresh:
-            self.module = self.make(state.settings_from_dict(told["settings"]), int(told["seed"], 16))
+        self.module, self.is_new = None, life["why"] == "start"
+        if self.is_new:
+            self.module = self.make(state.settings_from_dict(life["settings"]), int(life["seed"], 16))
 
-    def check(self, frame: list) -> None:
-        """A checkpoint: the state must be this one, and from here on it is."""
-        told, life = frame[3], frame[4]
+    def check_state(self, frame: list) -> None:
+        """Compare the state with a checkpoint, and continue from the checkpoint if they differ."""
+        snapshot, life = frame[3], frame[4]
         self.policies[life["policy"]] = None
         if self.module is not None:
-            found = differs(told, state.snapshot(self.module))
+            found = first_difference(snapshot, state.snapshot(self.module))
             if found:
-                self.differ(frame, -1, f"state of the checkpoint, {found}", "another", [])
-            elif not self.fresh:
+                self.add_divergence(frame, -1, f"state of the checkpoint, {found}", "another", [])
+            elif not self.is_new:
                 self.joints += 1
-        self.fresh = False
+        self.is_new = False
         if self.module is None:
-            self.module = state.restore(told, state.settings_from_dict(life["settings"]), self.make)
+            self.module = state.restore(snapshot, state.settings_from_dict(life["settings"]), self.make)
             self.stretches.append([frame[2], frame[2]])
         elif not self.stretches:
             self.stretches.append([frame[2], frame[2]])
 
-    def round(self, frame: list) -> None:
+    def replay_round(self, frame: list) -> None:
         assert self.module is not None
         _, number, now, inbox, recorded = frame
         out = OrderLog()
         try:
             self.module.decide(now, inbox, out)
-        except Exception as fault:
-            self.differ(frame, -1, f"{len(recorded)} orders", f"{type(fault).__name__}: {fault}", [])
+        except Exception as error:
+            self.add_divergence(frame, -1, f"{len(recorded)} orders", f"{type(error).__name__}: {error}", [])
             return
         self.rounds += 1
         self.orders += len(recorded)
         if out.orders != recorded:
-            self.compare(frame, recorded, out.orders)
+            self.compare_orders(frame, recorded, out.orders)
         elif self.stretches:
             self.stretches[-1][1] = now
 
-    def compare(self, frame: list, recorded: list, replayed: list) -> None:
+    def compare_orders(self, frame: list, recorded: list, replayed: list) -> None:
         assert self.module is not None
         place = next(
             (k for k, (a, b) in enumerate(zip(recorded, replayed)) if a != b), min(len(recorded), len(replayed))
         )
-        here = [rows[place] if place < len(rows) else None for rows in (recorded, replayed)]
-        words = [f"{x[0]} {' '.join(map(str, x[1]))}" if x else "no further order" for x in here]
-        self.differ(frame, place, words[0], words[1], held_by(self.module, [x for x in here if x]))
+        differing_orders = [rows[place] if place < len(rows) else None for rows in (recorded, replayed)]
+        descriptions = [f"{x[0]} {' '.join(map(str, x[1]))}" if x else "no further order" for x in differing_orders]
+        self.add_divergence(
+            frame,
+            place,
+            descriptions[0],
+            descriptions[1],
+            describe_state(self.module, [x for x in differing_orders if x]),
+        )
 
-    def failed(self, frame: list) -> None:
-        """A round in which the decisions failed: they must fail again, after the same orders."""
+    def replay_failure(self, frame: list) -> None:
+        """Replay a round that raised an exception: it must raise again, after the same orders."""
         _, number, now, inbox, recorded, text = frame
         out = OrderLog()
         try:
@@ -190,33 +202,35 @@
         except Exception:
             self.failures += 1
             if out.orders != recorded:
-                self.compare(frame, recorded, out.orders)
+                self.compare_orders(frame, recorded, out.orders)
             self.module = None
         else:
-            self.differ(frame, -1, f"decisions that failed: {text.strip().splitlines()[-1]}", "none that did", [])
+            self.add_divergence(
+                frame, -1, f"decisions that failed: {text.strip().splitlines()[-1]}", "none that did", []
+            )
 
 
-def chunks(
+def split_blocks(
     recording: Recording, incarnation: str, jobs: int, since: float, until: float
 ) -> Iterator[tuple[list[Block], Block | None]]:
-    """An incarnation's blocks in about so many runs that each begin with a checkpoint, and the block after each."""
+    """Split the blocks into about `jobs` runs that start with a checkpoint, and yield each with the block after it."""
     parts = recording.parts(incarnation)
-    # What is not near the time asked for is left out, whole parts at a time.
-    wanted = [
+    # Parts that lie entirely outside the requested time are left out.
+    selected_parts = [
         p
         for k, p in enumerate(parts)
         if p[-1].header.ends_at >= since and p[0].header.begins_at <= until or k + 1 == len(parts) == 1
     ]
-    if not wanted:
+    if not selected_parts:
         return
-    after = parts.index(wanted[-1]) + 1
-    then = parts[after][0] if after < len(parts) else None
-    weight = sum(x.header.payload_bytes for p in wanted for x in p) / max(1, jobs)
+    after = parts.index(selected_parts[-1]) + 1
+    next_block = parts[after][0] if after < len(parts) else None
+    weight = sum(x.header.payload_bytes for p in selected_parts for x in p) / max(1, jobs)
     run: list[list[Block]] = []
-    for k, part in enumerate(wanted):
+    for k, part in enumerate(selected_parts):
         run.append(part)
-        if sum(x.header.payload_bytes for p in run for x in p) >= weight or k + 1 == len(wanted):
-            following = wanted[k + 1][0] if k + 1 < len(wanted) else then
+        if sum(x.header.payload_bytes for p in run for x in p) >= weight or k + 1 == len(selected_parts):
+            following = selected_parts[k + 1][0] if k + 1 < len(selected_parts) else next_block
             yield [x for p in run for x in p], following
             run = []
 
@@ -225,29 +239,29 @@
     incarnation: str,
     blocks: list[Block],
     first: int,
-    then: Block | None,
+    next_block: Block | None,
     until: float,
     make: Callable[..., Conductor] = Conductor,
 ) -> tuple[Player, list[str]]:
-    """Replay one run of blocks, whose numbers should begin with `first`, up to the checkpoint with which the next
-    begins, itself included."""
-    recording = Recording.__new__(Recording)  # the blocks say where they lie: nothing is read twice
+    """Replay a run of blocks, whose frame numbers should begin with `first`, and compare the state with the checkpoint
+    at the beginning of `next_block`."""
+    recording = Recording.__new__(Recording)  # blocks hold their own location, so no file is scanned again
     recording.faults = []
     player = Player(incarnation, make)
-    events = recording.events(blocks, first, then)
+    events = recording.events(blocks, first, next_block)
     for event in events:
         if not isinstance(event, Loss) and event[2] > until and event[0] != CHECKPOINT:
             break
         player.play([event])
     else:
-        if then is not None and player.module is not None and (frame := Recording.checkpoint(then)):
-            player.check(frame)
-    return player, [str(f) for f in recording.faults]
+        if next_block is not None and player.module is not None and (frame := Recording.checkpoint(next_block)):
+            player.check_state(frame)
+    return player, [str(x) for x in recording.faults]
 
 
 def _play(arguments: tuple) -> tuple[Player, list[str]]:
     player, faults = play(*arguments)
-    player.module = None  # it stays in its process
+    player.module = None  # not sent back to the parent process
     return player, faults
 
 
@@ -256,21 +270,23 @@
     jobs: int = 1,
     since: float = float("-inf"),
     until: float = float("inf"),
-    told: Callable[[int, int], None] = lambda done, of: None,
+    on_progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> Outcome:
-    """Replay a recording exactly, with so many processes at once; `told` hears of runs done and of how many.
+    """Replay a recording exactly in `jobs` processes; `on_progress` is called with the runs done and their total.
 
     Raises SnapshotError for snapshots or settings that this version cannot use.
     """
     work = []
     for incarnation in recording.incarnations:
-        first = 0 if since == float("-inf") else None  # what the budget removed at the front is a loss too
-        # Some runs a job, so that none waits long for the last.
-        for blocks, then in chunks(recording, incarnation, jobs if jobs < 2 else 4 * jobs, since, until):
-            work.append((incarnation, blocks, blocks[0].header.first_number if first is None else first, then, until))
+        first = 0 if since == float("-inf") else None  # segments removed by the budget are a loss
+        # Several runs per job, so that the jobs finish at about the same time.
+        for blocks, next_block in split_blocks(recording, incarnation, jobs if jobs < 2 else 4 * jobs, since, until):
+            work.append(
+                (incarnation, blocks, blocks[0].header.first_number if first is None else first, next_block, until)
+            )
             first = None
     players: list[Player] = []
-    faults = [str(f) for f in recording.faults]
+    faults = [str(x) for x in recording.faults]
     if jobs < 2:
         results: Iterable = map(_play, work)
         pool = None
@@ -281,16 +297,16 @@
         for player, found in results:
             players.append(player)
             faults += found
-            told(len(players), len(work))
+            on_progress(len(players), len(work))
     finally:
         if pool:
             pool.shutdown(cancel_futures=True)
     stretches: list[Stretch] = []
-    for a, b in (s for p in players for s in p.stretches):
-        if stretches and stretches[-1].until == a:  # parts that meet at a joint
-            stretches[-1] = Stretch(stretches[-1].since, b)
-        elif b > a:  # a checkpoint alone compares nothing
-            stretches.append(Stretch(a, b))
+    for begin, end in (s for p in players for s in p.stretches):
+        if stretches and stretches[-1].until == begin:  # adjacent parts
+            stretches[-1] = Stretch(stretches[-1].since, end)
+        elif end > begin:  # a checkpoint alone is no comparison
+            stretches.append(Stretch(begin, end))
     return Outcome(
         rounds=sum(p.rounds for p in players),
         orders=sum(p.orders for p in players),
--- a/knotwalk/replay/model.py
+++ b/knotwalk/replay/model.py
@@ -1,8 +1,8 @@
-"""A model of a day's demand and servers that answers a module with the reports that its tables would have met.
+"""Simulates a recorded day under other settings: answers a policy with the reports that its tables would have caused.
 
-Owns one run: the module under some settings, the past as inferred, RPCs one by one on servers with cores and queues.
-All it says is simulated. The demand, the list, the proxies and what they reach stay as recorded, whatever the tables;
-it must never let what the recorded tables brought about leak into the answer to others.
+A run combines the policy under some settings with the inferred day, and simulates each RPC on servers with cores and
+queues. Demand, server list, proxies and reachability stay as recorded, whatever the tables. Effects of the recorded
+tables must never leak into the results for other tables.
 """
 
 import heapq
@@ -15,113 +15,113 @@
 from knotwalk.decide import Conductor
 from knotwalk.interface import Settings
 from knotwalk.order_log import OrderLog
-from knotwalk.replay.day_parts import SHAPE, Report
-from knotwalk.replay.past import Past
+from knotwalk.replay.inference import InferredDay
+from knotwalk.replay.timeline import WORK_GAMMA_SHAPE, Report
 from knotwalk.rules import RuleChecker, Violation
 
-GIVE_UP = 5.0  # seconds that a client waits where the recording does not say: past most soft deadlines
-WAIT_MOST = 8.0  # seconds of wait at which a server takes no more: its queues have some end
-SEEN = 6.0  # seconds after which what was heard of a server's speed is old: trouble lasts some 10 s
-SPAN = 10.0  # seconds by which service is told
+CLIENT_TIMEOUT_S = 5.0  # assumed where the recording states none; longer than most soft deadlines
+MAX_QUEUE_WAIT_S = 8.0  # a server rejects RPCs that would wait longer: its queues are bounded
+SPEED_VALID_S = 6.0  # after this an observed speed is out of date: faults last about 10 s
+BUCKET_S = 10.0  # results are given for intervals of this length
 
 
 class Run(NamedTuple):
-    """What a run came to. Spans are SPAN seconds from the past's start."""
+    """The results of a run. Buckets are intervals of BUCKET_S, counted from the start of the day."""
 
-    service: dict[int, list[float]]  # by span: [asked, earned] by method
-    tables: list[tuple[float, int, dict[str, float]]]  # each change: when ordered, slice, its lines from then on
+    service: dict[int, list[float]]  # by bucket: [requested, earned] RPCs of each method
+    tables: list[tuple[float, int, dict[str, float]]]  # each change: (time of the order, slice, its lines)
     breaks: list[Violation]
     breaks_more: int
-    messages: dict[int, int]  # by span: the most messages that a proxy got within the rules' span
-    used: dict[int, dict[str, float]]  # by span: utilization by server
-    moves: int  # lines ordered
-    unseen: float  # share of RPCs sent to servers whose speed then was not heard of
+    messages: dict[int, int]  # by bucket: most messages to one proxy within the rules' time window
+    used: dict[int, dict[str, float]]  # by bucket: utilization by server
+    moves: int  # number of line, admit and withdraw orders
+    unseen: float  # share of RPCs sent to servers without a recent speed
 
 
 class Server:
-    """A server in the model."""
+    """A simulated server."""
 
-    __slots__ = ("id", "host", "free", "busy", "met", "cores")
+    __slots__ = ("id", "history", "free_at", "busy", "server_stats", "cores")
 
-    def __init__(self, id: str, past: Past):
-        self.id, self.host = id, past.hosts[id]
-        self.cores = max(1, round(self.host.size))
-        self.free = [0.0] * self.cores
+    def __init__(self, id: str, inferred: InferredDay):
+        self.id, self.history = id, inferred.server_histories[id]
+        self.cores = max(1, round(self.history.size))
+        self.free_at = [0.0] * self.cores
         self.busy = 0.0
-        self.met: dict[str, list] = {}
+        self.server_stats: dict[str, list] = {}
 
 
-class Failed(Exception):
-    """The policy raised in a what-if; the text says where and what."""
+class PolicyFailedError(Exception):
+    """The policy raised an exception or took too long in a what-if; the message says where."""
 
 
 class Model:
-    """One run of a past. `settings` maps a life's recorded settings to those to try, `make` makes the module."""
+    """One run of a day. `settings` maps a life's recorded settings to those to try; `make` creates the policy."""
 
     def __init__(
         self,
-        past: Past,
+        inferred: InferredDay,
         settings: Callable[[Settings], Settings],
         make: Callable[..., Conductor] = Conductor,
         seed: int = 0,
         tick: Callable[[float], None] = lambda now: None,
     ):
-        self.past, self.change, self.make, self.seed, self.tick = past, settings, make, seed, tick
+        self.inferred, self.map_settings, self.make, self.seed, self.tick = inferred, settings, make, seed, tick
         self.random = Random(seed + 0.25)
-        life = past.lives[0]
-        self.recorded, self.limits = life.settings, life.limits
+        life = inferred.lives[0]
+        self.recorded_settings, self.limits = life.settings, life.limits
         self.settings = settings(life.settings)
         self.rules = RuleChecker(life.settings, life.limits)
         self.module: Conductor | None = None
         self.servers: dict[str, Server] = {}
-        self.proxies: dict[int, float] = {}  # when the last message under way is taken in
-        self.store: dict[int, dict[str, float]] = {}  # lines as ordered
-        self.ours: set[int] = set()
-        self.lines: dict[int, tuple] = {}  # as they are in effect
+        self.proxies: dict[int, float] = {}  # by proxy: when it will have applied the last message sent
+        self.ordered_lines: dict[int, dict[str, float]] = {}  # by slice: lines as ordered
+        self.own_slices: set[int] = set()
+        self.effective_lines: dict[int, tuple] = {}  # by slice: (servers, cumulated weights) in effect
         self.levels: dict[tuple[int, int], float] = {}
-        self.shut: set[str] = set()
-        self.heap: list[tuple] = []
-        self.count = self.moves = self.life = self.sent = self.unseen = 0
+        self.withdrawn: set[str] = set()
+        self.event_queue: list[tuple] = []
+        self.event_count = self.moves = self.life = self.sent = self.unseen = 0
         self.service: dict[int, list[float]] = {}
         self.tables: list = []
         self.messages: dict[int, int] = {}
         self.used: dict[int, dict[str, float]] = {}
-        self.zones = list(past.zones) or [""]
-        self.zone_sums = list(accumulate(max(1, n) for n in past.zones.values())) or [1]
-        self.usual = past.usual()
-        self.delays = past.delays[:: max(1, len(past.delays) // 997)] or [self.recorded.message_delay]
-        self.give_up = [*self.limits.give_up, *[GIVE_UP] * 99]
+        self.zones = list(inferred.zones) or [""]
+        self.zone_sums = list(accumulate(max(1, count) for count in inferred.zones.values())) or [1]
+        self.mean_speed = inferred.mean_speed()
+        self.delays = inferred.delays[:: max(1, len(inferred.delays) // 997)] or [self.recorded_settings.message_delay]
+        self.give_up = [*self.limits.give_up, *[CLIENT_TIMEOUT_S] * 99]
         self.late_share = [*self.limits.late_share, *[0.0] * 99]
-        self.deadlines = [m.soft_deadline for m in self.recorded.methods]
+        self.deadlines = [m.soft_deadline for m in self.recorded_settings.methods]
 
-    # --- the machinery ---
+    # --- event loop ---
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (when, self.count, call))
+    def schedule(self, when: float, call: Callable[[], None]) -> None:
+        self.event_count += 1
+        heapq.heappush(self.event_queue, (when, self.event_count, call))
 
     def run(self) -> Run:
-        past = self.past
-        starts = {life.at: life for life in past.lives}
-        for at in starts:
-            self.at(at, lambda at=at: self.begin(starts[at]))
-        for at, world in past.fixed:
-            self.at(at, lambda world=world: self.round(self.met_by(world)))
-        for k, report in enumerate(past.reports):
-            self.at(report.until, lambda k=k, report=report: self.close(k, report))
-        for loss in past.losses:
-            self.at(loss.since, lambda: None)
-        for report in past.reports:
+        inferred = self.inferred
+        lives_by_start = {life.at: life for life in inferred.lives}
+        for at in lives_by_start:
+            self.schedule(at, lambda at=at: self.start_life(lives_by_start[at]))
+        for at, external_input in inferred.external_events:
+            self.schedule(at, lambda external_input=external_input: self.run_round(self.external_inbox(external_input)))
+        for index, report in enumerate(inferred.reports):
+            self.schedule(report.until, lambda index=index, report=report: self.close_period(index, report))
+        for loss in inferred.losses:
+            self.schedule(loss.since, lambda: None)
+        for report in inferred.reports:
             self.tick(report.since)
             arrivals = self.arrivals(report)
-            coming = next(arrivals, None)
-            while coming is not None or self.heap and self.heap[0][0] <= report.until:
-                if coming is not None and (not self.heap or coming[0] <= self.heap[0][0]):
-                    self.rpc(*coming)
-                    coming = next(arrivals, None)
+            arrival = next(arrivals, None)
+            while arrival is not None or self.event_queue and self.event_queue[0][0] <= report.until:
+                if arrival is not None and (not self.event_queue or arrival[0] <= self.event_queue[0][0]):
+                    self.send_rpc(*arrival)
+                    arrival = next(arrivals, None)
                 else:
                     self.step()
-        while self.heap and self.heap[0][0] <= past.until:
+        while self.event_queue and self.event_queue[0][0] <= inferred.until:
             self.step()
         return Run(
             self.service,
@@ -135,14 +135,14 @@
         )
 
     def step(self) -> None:
-        self.now, _, call = heapq.heappop(self.heap)
+        self.now, _, call = heapq.heappop(self.event_queue)
         call()
 
-    def begin(self, life) -> None:
-        """A life of the module begins, from what the store holds."""
+    def start_life(self, life) -> None:
+        """Create the policy object of a life; on a reload or failure it carries over state."""
         old, self.life = self.module, self.life + 1
-        self.recorded, self.limits = life.settings, life.limits
-        self.settings = self.change(life.settings)
+        self.recorded_settings, self.limits = life.settings, life.limits
+        self.settings = self.map_settings(life.settings)
         self.rules.update_settings(life.settings, life.limits)
         self.module = self.make(self.settings, life.seed + self.seed)
         if life.why != "start" and old is not None:
@@ -150,225 +150,233 @@
 
             carry_over(old, self.module)
         elif life.why == "start":
-            self.ours.clear()
+            self.own_slices.clear()
 
-    def met_by(self, world: list) -> list:
-        """What the world told, with the store's lines as this run left them."""
-        out, told_here = [], set()
-        for name, f in world:
+    def external_inbox(self, external_input: list) -> list:
+        """Recorded external input, with the lines of this run in place of the recorded ones."""
+        inbox, restored_slices = [], set()
+        for name, arguments in external_input:
             if name == "given":
-                out.append((name, f))
-                if f[0] in self.store:  # its lines are the run's, not the recording's
-                    told_here.add(f[0])
-                    out += [("held", (f[0], server, weight)) for server, weight in self.store[f[0]].items()]
+                inbox.append((name, arguments))
+                if arguments[0] in self.ordered_lines:  # use the lines of this run, not the recorded ones
+                    restored_slices.add(arguments[0])
+                    inbox += [
+                        ("held", (arguments[0], server, weight))
+                        for server, weight in self.ordered_lines[arguments[0]].items()
+                    ]
                 else:
-                    self.store[f[0]] = {}
-                self.ours.add(f[0])
+                    self.ordered_lines[arguments[0]] = {}
+                self.own_slices.add(arguments[0])
             elif name == "held":
-                if f[0] in told_here:
+                if arguments[0] in restored_slices:
                     continue
-                if f[0] in self.store:
-                    self.store[f[0]][f[1]] = f[2]
-                    self.effect({f[0]: dict(self.store[f[0]])}, {}, [])
-                out.append((name, f))
+                if arguments[0] in self.ordered_lines:
+                    self.ordered_lines[arguments[0]][arguments[1]] = arguments[2]
+                    self.apply_orders({arguments[0]: dict(self.ordered_lines[arguments[0]])}, {}, [])
+                inbox.append((name, arguments))
             else:
                 if name == "taken":
-                    self.ours.discard(f[0])
+                    self.own_slices.discard(arguments[0])
                 elif name == "joined":
-                    self.proxies[f[0]] = self.now
+                    self.proxies[arguments[0]] = self.now
                 elif name == "left":
-                    self.proxies.pop(f[0], None)
+                    self.proxies.pop(arguments[0], None)
                 elif name == "listed":
-                    for entry in f[2]:
+                    for entry in arguments[2]:
                         self.server(entry[0])
-                out.append((name, f))
-        return out
+                inbox.append((name, arguments))
+        return inbox
 
     def server(self, id: str) -> Server | None:
-        if id not in self.servers and id in self.past.hosts:
-            self.servers[id] = Server(id, self.past)
+        if id not in self.servers and id in self.inferred.server_histories:
+            self.servers[id] = Server(id, self.inferred)
         return self.servers.get(id)
 
-    def round(self, inbox: list) -> None:
+    def run_round(self, inbox: list) -> None:
         if self.module is None:
             return
-        out, now = OrderLog(), self.now
+        order_log, now = OrderLog(), self.now
         try:
-            self.module.decide(now, inbox, out)
-        except Exception as fault:
-            at = fault.__traceback__
+            self.module.decide(now, inbox, order_log)
+        except Exception as error:
+            at = error.__traceback__
             while at is not None and at.tb_next is not None:
                 at = at.tb_next
             line = f" in line {at.tb_lineno}" if at else ""
-            raise Failed(
-                f"the decisions failed {now - self.past.since:.1f} s into the day{line}: "
-                f"{type(fault).__name__}: {fault}"
+            raise PolicyFailedError(
+                f"the decisions failed {now - self.inferred.since:.1f} s into the day{line}: "
+                f"{type(error).__name__}: {error}"
             ) from None
-        self.rules.feed(now, inbox, out.orders)
-        changed: dict[int, dict[str, float]] = {}
+        self.rules.feed(now, inbox, order_log.orders)
+        changed_lines: dict[int, dict[str, float]] = {}
         levels: dict[tuple[int, int], float] = {}
-        shut: list[tuple[str, bool]] = []
-        mark, life, lines = None, self.life, 0
-        for name, f in out.orders:
+        withdrawals: list[tuple[str, bool]] = []
+        receipt_mark, life, lines = None, self.life, 0
+        for name, arguments in order_log.orders:
             if name == "line":
-                held = self.store.get(f[0])
-                if held is not None and f[0] in self.ours:
-                    held.pop(f[1], None)
-                    if f[2]:
-                        held[f[1]] = f[2]
-                    changed[f[0]] = dict(held)
+                slice_lines = self.ordered_lines.get(arguments[0])
+                if slice_lines is not None and arguments[0] in self.own_slices:
+                    slice_lines.pop(arguments[1], None)
+                    if arguments[2]:
+                        slice_lines[arguments[1]] = arguments[2]
+                    changed_lines[arguments[0]] = dict(slice_lines)
                 lines += 1
             elif name == "admit":
-                if f[0] is not None:
-                    levels[f[0], f[1]] = f[2]
+                if arguments[0] is not None:
+                    levels[arguments[0], arguments[1]] = arguments[2]
                 lines += 1
             elif name == "withdraw":
-                shut.append(f)
+                withdrawals.append(arguments)
                 lines += 1
             elif name == "receipt":
-                mark = f[0]
+                receipt_mark = arguments[0]
             elif name == "wake":
-                self.at(max(f[0], now), lambda: self.life == life and self.round([]))
-        if not lines and mark is None:
+                self.schedule(max(arguments[0], now), lambda: self.life == life and self.run_round([]))
+        if not lines and receipt_mark is None:
             return
         self.moves += lines
-        span = int((now - self.past.since) / SPAN)
-        self.messages[span] = max(
-            self.messages.get(span, 0), max((len(p.sent) for p in self.rules.proxies.values()), default=0)
+        bucket = int((now - self.inferred.since) / BUCKET_S)
+        self.messages[bucket] = max(
+            self.messages.get(bucket, 0), max((len(p.sent) for p in self.rules.proxies.values()), default=0)
         )
-        for slice_id, held in changed.items():
-            self.tables.append((now, slice_id, held))
-        # One time of effect for all proxies, a receipt from each; messages to one proxy stay in order.
-        at = now + self.past.delay
-        self.at(at, lambda: self.effect(changed, levels, shut))
-        if mark is not None:
-            taken: dict[int, list[int]] = {}
+        for slice_id, slice_lines in changed_lines.items():
+            self.tables.append((now, slice_id, slice_lines))
+        # Orders take effect at all proxies at once; each proxy sends its own receipt, in the order of its messages.
+        at = now + self.inferred.delay
+        self.schedule(at, lambda: self.apply_orders(changed_lines, levels, withdrawals))
+        if receipt_mark is not None:
+            receipts: dict[int, list[int]] = {}
             for proxy in list(self.proxies):
                 due = max(self.proxies[proxy], now + self.random.choice(self.delays))
                 self.proxies[proxy] = due
-                taken.setdefault(int(due * 20), []).append(proxy)
-            for tick, proxies in taken.items():
-                self.at(
+                receipts.setdefault(int(due * 20), []).append(proxy)
+            for tick, proxies in receipts.items():
+                self.schedule(
                     (tick + 1) / 20,
                     lambda proxies=proxies: (
-                        self.life == life and self.round([("applied", (p, mark)) for p in proxies if p in self.proxies])
+                        self.life == life
+                        and self.run_round([("applied", (p, receipt_mark)) for p in proxies if p in self.proxies])
                     ),
                 )
 
-    def effect(self, changed: dict, levels: dict, shut: list) -> None:
-        """Orders take effect at the proxies."""
-        for slice_id, held in changed.items():
-            self.lines[slice_id] = (list(held), list(accumulate(held.values()))) if held else ()
+    def apply_orders(self, changed_lines: dict, levels: dict, withdrawals: list) -> None:
+        """Apply orders at the proxies."""
+        for slice_id, slice_lines in changed_lines.items():
+            self.effective_lines[slice_id] = (
+                (list(slice_lines), list(accumulate(slice_lines.values()))) if slice_lines else ()
+            )
         self.levels.update(levels)
-        for server, out in shut:
-            (self.shut.add if out else self.shut.discard)(server)
+        for server, is_withdrawn in withdrawals:
+            (self.withdrawn.add if is_withdrawn else self.withdrawn.discard)(server)
 
     # --- RPCs ---
 
     def arrivals(self, report: Report) -> Iterator[tuple]:
-        """The RPCs of a period, the same for whatever tables: (time, slice, method, zone, work, chance)."""
-        r = Random(f"{self.seed}/{report.until}")
+        """The RPCs of a period as (time, slice, method, zone, work, admission draw), independent of the tables."""
+        random = Random(f"{self.seed}/{report.until}")
         since, span = report.since, report.until - report.since
-        out = []
-        for (slice_id, method), n in report.wanted.items():
-            mean = self.past.work[method] if method < len(self.past.work) else 0.0
-            for _ in range(n):
-                out.append(
+        rpcs = []
+        for (slice_id, method), count in report.wanted.items():
+            mean = self.inferred.method_costs[method] if method < len(self.inferred.method_costs) else 0.0
+            for _ in range(count):
+                rpcs.append(
                     (
-                        since + span * r.random(),
+                        since + span * random.random(),
                         slice_id,
                         method,
-                        bisect(self.zone_sums, r.random() * self.zone_sums[-1]),
-                        r.gammavariate(SHAPE, mean / SHAPE),
-                        r.random(),
+                        bisect(self.zone_sums, random.random() * self.zone_sums[-1]),
+                        random.gammavariate(WORK_GAMMA_SHAPE, mean / WORK_GAMMA_SHAPE),
+                        random.random(),
                     )
                 )
-        out.sort()
-        return iter(out)
+        rpcs.sort()
+        return iter(rpcs)
 
-    def rpc(self, t: float, slice_id: int, method: int, zone: int, work: float, chance: float) -> None:
-        span = int((t - self.past.since) / SPAN)
-        row = self.service.get(span)
+    def send_rpc(self, now: float, slice_id: int, method: int, zone: int, work: float, admission_draw: float) -> None:
+        bucket = int((now - self.inferred.since) / BUCKET_S)
+        row = self.service.get(bucket)
         if row is None:
-            row = self.service[span] = [0.0] * (2 * len(self.deadlines))
+            row = self.service[bucket] = [0.0] * (2 * len(self.deadlines))
         row[2 * method] += 1
-        lines = self.lines.get(slice_id)
-        if lines is None:  # held by nobody that we heard of: as it stands in the recording
-            held = self.past.tables[slice_id].at(t, None) if slice_id in self.past.tables else None
-            lines = (list(held), list(accumulate(held.values()))) if held else ()
-        if not lines or chance >= self.levels.get((slice_id, method), 1.0):
+        lines = self.effective_lines.get(slice_id)
+        if lines is None:  # no table ordered or received in this run: use the recorded one
+            slice_lines = (
+                self.inferred.tables[slice_id].value_at(now, None) if slice_id in self.inferred.tables else None
+            )
+            lines = (list(slice_lines), list(accumulate(slice_lines.values()))) if slice_lines else ()
+        if not lines or admission_draw >= self.levels.get((slice_id, method), 1.0):
             return
-        names, sums = lines
-        name = names[bisect(sums, self.random.random() * sums[-1]) if len(names) > 1 else 0]
-        if name in self.shut:
-            open_names = [x for x in names if x not in self.shut]
+        names, cumulated_weights = lines
+        name = names[bisect(cumulated_weights, self.random.random() * cumulated_weights[-1]) if len(names) > 1 else 0]
+        if name in self.withdrawn:
+            open_names = [x for x in names if x not in self.withdrawn]
             if not open_names:
                 return
             name = self.random.choice(open_names)
         x = self.server(name)
         if x is None:
             return
-        met = x.met.get(self.zones[zone])
-        if met is None:
-            met = x.met[self.zones[zone]] = [0, 0, 0.0]
-        met[0] += 1
-        host = x.host
-        reach = host.reach.get(self.zones[zone])
-        if not host.alive.at(t, True) or reach is not None and self.random.random() >= reach.at(t, 1.0):
-            met[1] += 1
+        sums = x.server_stats.get(self.zones[zone])
+        if sums is None:
+            sums = x.server_stats[self.zones[zone]] = [0, 0, 0.0]
+        sums[0] += 1
+        host = x.history
+        reach = host.reachable_share.get(self.zones[zone])
+        if not host.alive.value_at(now, True) or reach is not None and self.random.random() >= reach.value_at(now, 1.0):
+            sums[1] += 1
             return
         self.sent += 1
-        self.unseen += t - host.speed.when(t) > SEEN
-        speed = (host.speed.at(t) or (host.speed.values[0] if host.speed.values else self.usual)) * host.ramp(
-            t, self.recorded
-        )
-        others = host.others.at(t, 0.0)
+        self.unseen += now - host.speed.changed_at(now) > SPEED_VALID_S
+        speed = (
+            host.speed.value_at(now) or (host.speed.values[0] if host.speed.values else self.mean_speed)
+        ) * host.capacity_share(now, self.recorded_settings)
+        others = host.other_utilization.value_at(now, 0.0)
         rate = speed * max(0.05, 1 - others)
-        free = x.free
+        free = x.free_at
         core = min(range(x.cores), key=free.__getitem__) if x.cores > 1 else 0
-        wait = max(0.0, free[core] - t)
-        if wait > WAIT_MOST:
-            met[1] += 1
+        wait = max(0.0, free[core] - now)
+        if wait > MAX_QUEUE_WAIT_S:
+            sums[1] += 1
             return
-        free[core] = t + wait + work / rate
+        free[core] = now + wait + work / rate
         x.busy += work / rate
         latency = wait + work / speed
         if latency > self.give_up[method]:
-            met[1] += 1
+            sums[1] += 1
             return
-        met[2] += latency
+        sums[2] += latency
         row[2 * method + 1] += 1.0 if latency <= self.deadlines[method] else self.late_share[method]
 
-    def close(self, k: int, report: Report) -> None:
-        """A period is over: its sums come in when the recorded ones did."""
+    def close_period(self, index: int, report: Report) -> None:
+        """End a period: its sums are delivered when the recorded ones were."""
         now, span = self.now, report.until - report.since
         inbox: list = []
-        used = self.used.setdefault(int((now - self.past.since) / SPAN), {})
+        used = self.used.setdefault(int((now - self.inferred.since) / BUCKET_S), {})
         for x in self.servers.values():
-            ahead = sum(max(0.0, free - now) for free in x.free)
-            others = float(x.host.others.at(now, 0.0))
+            ahead = sum(max(0.0, free - now) for free in x.free_at)
+            others = float(x.history.other_utilization.value_at(now, 0.0))
             busy = min(1.0, max(0.0, x.busy - ahead) / (x.cores * span))
             x.busy = ahead
-            if not x.host.alive.at(now, True):
-                x.free, x.busy = [0.0] * x.cores, 0.0
+            if not x.history.alive.value_at(now, True):
+                x.free_at, x.busy = [0.0] * x.cores, 0.0
             used[x.id] = busy
-            tries = sum(m[0] for m in x.met.values())
+            tries = sum(m[0] for m in x.server_stats.values())
             load = {"utilization": min(1.0, busy), "qps": tries / span / max(0.05, 1 - others)}
-            if not self.rate_told():
+            if not self.servers_report_qps():
                 del load["qps"]
-            for zone, (tried, aborted, seconds) in x.met.items():
+            for zone, (tried, aborted, seconds) in x.server_stats.items():
                 good = tried - aborted
                 inbox.append(
                     ("heard", (x.id, zone, span, tried, aborted, seconds / good if good else 0.0, load if good else {}))
                 )
-            x.met = {}
-        inbox += [("wanted", (slice_id, method, span, n)) for (slice_id, method), n in report.wanted.items()]
-        self.at(report.at, lambda: self.round(inbox))
+            x.server_stats = {}
+        inbox += [("wanted", (slice_id, method, span, count)) for (slice_id, method), count in report.wanted.items()]
+        self.schedule(report.at, lambda: self.run_round(inbox))
 
-    def rate_told(self) -> bool:
-        """Whether servers tell their rate at this installation."""
-        for report in self.past.reports[:20]:
-            for met in report.met.values():
-                if met.used is not None:
-                    return met.rate is not None
+    def servers_report_qps(self) -> bool:
+        """Whether servers report their request rate in this recording."""
+        for report in self.inferred.reports[:20]:
+            for sums in report.server_stats.values():
+                if sums.utilization is not None:
+                    return sums.qps is not None
         return False
--- a/knotwalk/replay/report.py
+++ b/knotwalk/replay/report.py
@@ -1,6 +1,6 @@
-"""The page of a what-if: one HTML file with its plots inside, for a person who decides.
+"""Renders the results of a what-if as one HTML page with embedded plots.
 
-Owns its looks alone: every figure comes from the verdict, and is called simulated.
+It computes nothing: all values come from the verdict, and are labelled as simulated.
 """
 
 import io
@@ -9,15 +9,15 @@
 import matplotlib
 from matplotlib.figure import Figure
 
-from knotwalk.replay.past import Past
-from knotwalk.replay.verdict import SPAN, Verdict, heard_by_span, spans
+from knotwalk.replay.inference import InferredDay
+from knotwalk.replay.verdict import BUCKET_S, Verdict, heard_by_bucket, service_by_bucket
 
 matplotlib.rcParams.update({"svg.fonttype": "none", "svg.hashsalt": "knotwalk", "font.size": 9})
 HEARD, RECORDED, TRIED = "0.55", "tab:blue", "tab:orange"
 
 
-def drawn(draw, height: float = 2.2) -> str:
-    """One plot as SVG, its axis of time in minutes."""
+def render_svg(draw, height: float = 2.2) -> str:
+    """Render one plot as SVG, with a time axis in minutes."""
     figure = Figure(figsize=(9, height), layout="constrained")
     axes = figure.add_subplot()
     draw(axes)
@@ -31,23 +31,25 @@
     return text[text.index("<svg") :]
 
 
-def page(past: Past, v: Verdict, names: list[str], conductor: str) -> str:
-    """The page's text."""
-    settings = past.lives[0].settings
-    heard = spans(heard_by_span(past), settings)
+def page(inferred: InferredDay, verdict: Verdict, names: list[str], conductor: str) -> str:
+    """Render the page."""
+    settings = inferred.lives[0].settings
+    heard = service_by_bucket(heard_by_bucket(inferred), settings)
 
     def service(axes) -> None:
-        axes.plot([k * SPAN / 60 for k in heard], list(heard.values()), color=HEARD, label="by the recorded reports")
+        axes.plot(
+            [k * BUCKET_S / 60 for k in heard], list(heard.values()), color=HEARD, label="by the recorded reports"
+        )
         for side, colour, label in (
-            (v.recorded, RECORDED, "model, recorded settings"),
-            (v.tried, TRIED, "model, other settings"),
+            (verdict.recorded, RECORDED, "model, recorded settings"),
+            (verdict.tried, TRIED, "model, other settings"),
         ):
             x, y = [at / 60 for at, _ in side.course], [value for _, value in side.course]
             axes.plot(x, y, color=colour, label=label)
             axes.fill_between(
                 x,
-                [max(0, value - v.error_span) for value in y],
-                [min(1, value + v.error_span) for value in y],
+                [max(0, value - verdict.error_span) for value in y],
+                [min(1, value + verdict.error_span) for value in y],
                 color=colour,
                 alpha=0.12,
                 linewidth=0,
@@ -55,13 +57,18 @@
         axes.set_ylabel("service")
 
     def apart(axes) -> None:
-        axes.fill_between([at / 60 for at, _ in v.apart], [n for _, n in v.apart], step="post", color=TRIED, alpha=0.5)
+        axes.fill_between(
+            [at / 60 for at, _ in verdict.apart], [n for _, n in verdict.apart], step="post", color=TRIED, alpha=0.5
+        )
         axes.set_ylabel("slices whose lines differ")
 
     def messages(axes) -> None:
-        for side, colour, label in ((v.recorded, RECORDED, "recorded settings"), (v.tried, TRIED, "other settings")):
+        for side, colour, label in (
+            (verdict.recorded, RECORDED, "recorded settings"),
+            (verdict.tried, TRIED, "other settings"),
+        ):
             axes.step(
-                [k * SPAN / 60 for k in sorted(side.messages)],
+                [k * BUCKET_S / 60 for k in sorted(side.messages)],
                 [side.messages[k] for k in sorted(side.messages)],
                 color=colour,
                 label=label,
@@ -72,16 +79,19 @@
         axes.set_ylabel(f"most messages in {settings.messages_span:g} s")
 
     def load(axes) -> None:
-        for side, colour, label in ((v.recorded, RECORDED, "recorded settings"), (v.tried, TRIED, "other settings")):
+        for side, colour, label in (
+            (verdict.recorded, RECORDED, "recorded settings"),
+            (verdict.tried, TRIED, "other settings"),
+        ):
             keys = sorted(side.used)
             axes.plot(
-                [k * SPAN / 60 for k in keys],
+                [k * BUCKET_S / 60 for k in keys],
                 [side.used[k][1] for k in keys],
                 color=colour,
                 label=f"fullest server, {label}",
             )
             axes.plot(
-                [k * SPAN / 60 for k in keys],
+                [k * BUCKET_S / 60 for k in keys],
                 [side.used[k][0] for k in keys],
                 color=colour,
                 linestyle=":",
@@ -97,17 +107,17 @@
         ("Load by server", load),
     ]
     return environment.get_template("page.html").render(
-        v=v,
+        v=verdict,
         names=names,
         conductor=conductor,
-        start=past.since,
-        minutes=(past.until - past.since) / 60,
-        plots=[(title, drawn(draw)) for title, draw in plots],
-        methods=list(zip(v.recorded.methods, v.tried.methods)),
-        unsure=past.unsure,
+        start=inferred.since,
+        minutes=(inferred.until - inferred.since) / 60,
+        plots=[(title, render_svg(draw)) for title, draw in plots],
+        methods=list(zip(verdict.recorded.methods, verdict.tried.methods)),
+        unsure=inferred.speed_spread,
     )
 
 
-def write(path: str, past: Past, v: Verdict, names: list[str], conductor: str) -> None:
+def write(path: str, inferred: InferredDay, verdict: Verdict, names: list[str], conductor: str) -> None:
     with open(path, "w", encoding="utf-8") as file:
-        file.write(page(past, v, names, conductor))
+        file.write(page(inferred, verdict, names, conductor))
