--- a/knotwalk/replay/__init__.py
+++ b/knotwalk/replay/__init__.py
@@ -1,5 +1,5 @@
-"""Replays of recorded days: exact, and under other settings or another policy.
+"""Replays of recorded days: exact, and simulated under other settings or another policy (what-if).
 
-Owns what a recording proves and what a model of the day makes likely, and keeps the two apart. It must never trim
-what a setting would have broken, rank what it cannot tell apart, or call a figure of the model anything but simulated.
+What a recording proves is kept separate from what a model estimates. A replay must never omit a broken rule, rank
+settings that it can't distinguish, or present a result of the model as anything but simulated.
 """
