--- a/knotwalk/edge/admission_calls.py
+++ b/knotwalk/edge/admission_calls.py
@@ -41,7 +41,7 @@
 # Time for which a failed core is only called if there is no other.
 AVOID_FAILED_CORE_S = 2.0
 # Bounds by which the durations of asks are counted.
-DURATION_STEPS_S = (0.01, 0.02, 0.04, 0.08)
+DURATION_BOUNDS_S = (0.01, 0.02, 0.04, 0.08)
 NO_ANSWER = AdmissionTold(Admission.UNAVAILABLE)
 
 
@@ -122,11 +122,11 @@
 
     def end(self, cores: tuple[str, ...], operation: str, attempt: str, ending: Ending, answer=None) -> None:
         """Report to these cores how the run of an operation ended."""
-        response = OperationEnd(operation, attempt, ending, answer)
+        operation_end = OperationEnd(operation, attempt, ending, answer)
         now = self.clock()
         due = now + (FREED_END_DELAY_S if ending is Ending.NEVER_RAN else END_DELAY_S)
         for core in cores:
-            self.ends.add(now, core, response, due)
+            self.ends.add(now, core, operation_end, due)
         self._start_later(due - now)
 
     async def finish(self, by: float) -> None:
@@ -145,14 +145,8 @@
     def _count_duration(self, response: AdmissionTold, seconds: float) -> None:
         """Count an ask by its duration."""
         self.ask_seconds += seconds
-        admission_step = next(
-            (admission_step for admission_step in DURATION_STEPS_S if seconds <= admission_step), None
-        )
-        within = (
-            f"within {admission_step * 1000:g} ms"
-            if admission_step is not None
-            else f"over {DURATION_STEPS_S[-1] * 1000:g} ms"
-        )
+        bound = next((bound for bound in DURATION_BOUNDS_S if seconds <= bound), None)
+        within = f"within {bound * 1000:g} ms" if bound is not None else f"over {DURATION_BOUNDS_S[-1] * 1000:g} ms"
         self.counts()[f"asked, {'not told' if response is NO_ANSWER else within}"] += 1
 
     # -- calls
--- a/knotwalk/edge/client_server.py
+++ b/knotwalk/edge/client_server.py
@@ -50,7 +50,7 @@
         self.view_ready = self.can_serve
         self.open_requests = 0  # requests read and not yet answered
         self.listener: socket.socket | None = None  # the listening socket
-        self._accept_paused: asyncio.TimerHandle | None = None  # next poll while accepting is paused
+        self._accept_timer: asyncio.TimerHandle | None = None  # next poll while accepting is paused
         self._sweep: asyncio.TimerHandle | None = None
         self.loop_delay = LoopDelay()
         self._sweep_due = 0.0
@@ -144,7 +144,7 @@
         return False
 
     def _pause_accepting(self) -> None:
-        if self._accept_paused is None and self.listener is not None:
+        if self._accept_timer is None and self.listener is not None:
             asyncio.get_running_loop().remove_reader(self.listener)
             self._poll_for_room(CROWDED_POLLS)
 
@@ -154,7 +154,7 @@
         elif self.listener is not None:
             if polls < CROWDED_POLLS:
                 self._close_idle_client()
-            self._accept_paused = asyncio.get_running_loop().call_later(
+            self._accept_timer = asyncio.get_running_loop().call_later(
                 CROWDED_POLL_S, self._poll_for_room, max(0, polls - 1)
             )
 
@@ -173,18 +173,18 @@
         self._resume_accepting()
 
     def _resume_accepting(self) -> None:
-        if self._accept_paused is not None:
-            self._accept_paused.cancel()
-            self._accept_paused = None
+        if self._accept_timer is not None:
+            self._accept_timer.cancel()
+            self._accept_timer = None
             if self.listener is not None:
                 asyncio.get_running_loop().add_reader(self.listener, self._accept)
 
     def _close_listener(self) -> None:
         if self.listener is not None:
-            if self._accept_paused is None:
+            if self._accept_timer is None:
                 asyncio.get_running_loop().remove_reader(self.listener)
             else:
-                self._accept_paused.cancel()
+                self._accept_timer.cancel()
             self.listener.close()
             self.listener = None
 
@@ -266,7 +266,7 @@
         """A connection has ended or is about to: its descriptor is free after this iteration of the event loop."""
         self.clients.discard(client)
         self._progress.set()
-        if self._accept_paused is not None and not self.is_full:
+        if self._accept_timer is not None and not self.is_full:
             self._resume_accepting()
 
     @property
--- a/knotwalk/edge/node_try.py
+++ b/knotwalk/edge/node_try.py
@@ -35,8 +35,8 @@
         pool = self._pool(node)
         connection = None if is_retry else pool.reuse(not exchange.route.idempotent, exchange.attempt)
         if connection is None:
-            bound = max(MIN_CONNECTIONS, self.service(node.service).max_connections // max(1, self.edges))
-            if len(pool.all) >= bound and not pool.close_oldest_idle():
+            max_connections = max(MIN_CONNECTIONS, self.service(node.service).max_connections // max(1, self.edges))
+            if len(pool.all) >= max_connections and not pool.close_oldest_idle():
                 return Answer(TryOutcome.UNREACHED, "full"), False
             if not await self._acquire_slot(exchange):
                 return Answer(TryOutcome.UNREACHED, "full"), False
