--- a/tests/simulation/connections.py
+++ b/tests/simulation/connections.py
@@ -1,9 +1,9 @@
-"""Connections that are used again: the real ones of edges to cores and to nodes, on bytes that misbehave.
+"""Reuse of connections: the real ones of edges to cores and to nodes, with peers that misbehave.
 
-Each call bears a number and its answer bears it too, so a judge that knows only calls and answers sees whether any is
-given to another's caller. A peer answers late, twice, unasked, in part, not at all, or ends the connection at any byte.
-Calls to nodes are carried by the real `Forwarder` over its pools; half of them must not run twice. Some clients leave
-meanwhile: nothing of theirs begins after that.
+Each call and its answer carry a number, so a judge that knows only calls and answers sees whether a caller gets the
+answer to another call. A peer answers late, twice, unasked, in part or not at all, or ends the connection at any byte.
+Calls to nodes go through the real `Forwarder` and its pools; half of them must not run twice. Some clients leave before
+they have an answer: none of their calls may start after that.
 """
 
 from __future__ import annotations
@@ -32,40 +32,40 @@
 CALLS = 80  # of one walk by each client
 CLIENTS = 3  # of an edge's nodes at the same time
 NODES = 2
-WAY = 0.001  # seconds one way
-UNREAD = 0.004  # seconds at most between the coming of bytes and their reading: a busy loop
+DELAY_S = 0.001  # one way
+MAX_READ_DELAY_S = 0.004  # between the arrival of bytes and their reading, as in a busy loop
 PORT = 9000
-LEAVES_PART = 0.25  # of the clients, before they have their answer
+LEAVE_SHARE = 0.25  # of the clients leave before they have their answer
 
 
-Answering = Callable[[int, bytes], bytes]  # the answer to a call, from its number and its bytes
+AnswerFunction = Callable[[int, bytes], bytes]  # the answer to a call, from its number and its bytes
 
 
 @dataclass
 class Calls:
-    """What is known of all calls of a walk, whichever peer had them."""
+    """Records all calls of a walk, over all peers."""
 
     loop: VirtualLoop
-    ran: dict[int, int] = field(default_factory=dict)  # how often each has run
+    ran: dict[int, int] = field(default_factory=dict)  # by number: how often each has run
     careful: set[int] = field(default_factory=set)  # those that must not run twice
     violations: list[str] = field(default_factory=list)
-    left: dict[int, float] = field(default_factory=dict)  # when the client of each that left did so
+    left: dict[int, float] = field(default_factory=dict)  # by number: when the client left
 
     def report(self, number: int, why: str) -> None:
-        """Something is wrong with a call."""
+        """Report a violation by a call."""
         self.violations.append(f"{self.loop.now:.3f} call {number} {why}")
 
 
 class Transport(asyncio.Transport):
-    """The client's end of a connection in memory, and the peer's."""
+    """An in-memory connection: the client's transport, which delivers to the peer."""
 
     def __init__(self, peer: Peer, protocol: asyncio.Protocol):
         super().__init__()
         self.peer, self.protocol = peer, protocol
         self.closed = False
-        self.unread = 0  # pieces that came and were not read yet
-        self.read_at = 0.0  # when the last of them is read: none overtakes another
-        self.torn = False  # an answer was begun and never ends: nothing but the end can follow it
+        self.unread = 0  # pieces that have arrived and are not read yet
+        self.read_at = 0.0  # when the last of them is read, so that they stay in order
+        self.truncated = False  # an answer was cut short: only the end can follow it
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return SimpleNamespace(fileno=lambda: self)
@@ -73,8 +73,8 @@
     def write(self, data: bytes) -> None:
         if not self.closed:
             if self.unread:
-                self.peer.stale(data)
-            self.peer.later(WAY, lambda: self.peer.request(self, data))
+                self.peer.check_reuse(data)
+            self.peer.later(DELAY_S, lambda: self.peer.request(self, data))
 
     def is_closing(self) -> bool:
         return self.closed
@@ -96,13 +96,13 @@
     def resume_reading(self) -> None:
         pass
 
-    def comes(self, data: bytes | None) -> None:
-        """Bytes, or the end, arrive from the peer; they are read a little later, in their order."""
-        if self.torn and data is not None:
+    def on_arrival(self, data: bytes | None) -> None:
+        """Handle bytes, or the end (None), from the peer; they are read a little later, in order."""
+        if self.truncated and data is not None:
             return
         now = self.peer.calls.loop.now
         self.unread += 1
-        self.read_at = max(self.read_at, now + self.peer.random.uniform(0, UNREAD))
+        self.read_at = max(self.read_at, now + self.peer.random.uniform(0, MAX_READ_DELAY_S))
         self.peer.later(self.read_at - now, lambda: self._read(data))
 
     def _read(self, data: bytes | None) -> None:
@@ -117,30 +117,30 @@
 
 
 class Peer:
-    """A core or a node: answers calls by their numbers, and misbehaves."""
+    """A core or a node that answers calls by their numbers, and misbehaves."""
 
-    def __init__(self, calls: Calls, seed: int, answer: Answering, number: Callable[[bytes], int], edge: Process):
+    def __init__(self, calls: Calls, seed: int, answer: AnswerFunction, number: Callable[[bytes], int], edge: Process):
         self.calls, self.random = calls, random.Random(f"peer {seed}")
         self.answer, self.number, self.edge = answer, number, edge
 
     def later(self, wait: float, act: Callable[[], Any]) -> None:
-        """In the edge's own context: its clocks are asked."""
+        """Run something later in the edge's context, whose clock it uses."""
         self.edge.soon(act, wait=wait)
 
     def connect(self, protocol: asyncio.Protocol) -> Transport:
         made = Transport(self, protocol)
         protocol.connection_made(made)
         if self.random.random() < 0.05:
-            made.comes(None)
+            made.on_arrival(None)
         return made
 
-    def stale(self, data: bytes) -> None:
-        """A call is sent on a connection on which something lies unread."""
+    def check_reuse(self, data: bytes) -> None:
+        """Check a call that is sent on a connection with unread input."""
         if self.number(data) in self.calls.careful:
             self.calls.report(self.number(data), "is sent on a connection that has ended or has spoken")
 
     def request(self, transport: Transport, data: bytes) -> None:
-        """A call arrives."""
+        """Handle a call."""
         if transport.closed and self.random.random() < 0.5:
             return
         number, chance = self.number(data), self.random.random()
@@ -148,7 +148,7 @@
         if chance < 0.06 and number in self.calls.careful:
             self._send(transport, REFUSED % number, wait)
             return
-        if self.calls.loop.now - self.calls.left.get(number, math.inf) > WAY + UNREAD:
+        if self.calls.loop.now - self.calls.left.get(number, math.inf) > DELAY_S + MAX_READ_DELAY_S:
             self.calls.report(number, "begins after its client has left")
         self.calls.ran[number] = self.calls.ran.get(number, 0) + 1
         if self.calls.ran[number] > 1 and number in self.calls.careful:
@@ -156,37 +156,37 @@
         self._misbehave(transport, number, data, chance, wait)
 
     def _misbehave(self, transport: Transport, number: int, data: bytes, chance: float, wait: float) -> None:
-        """Answer a call that has run, well in half of the cases."""
-        told = self.answer(number, data)
+        """Answer a call that has run, properly in half of the cases."""
+        answer = self.answer(number, data)
         if chance < 0.55:
-            self._send(transport, told, wait)
+            self._send(transport, answer, wait)
         elif chance < 0.65:
-            self._send(transport, told, self.random.uniform(0.05, 0.3))  # perhaps after it was given up
+            self._send(transport, answer, self.random.uniform(0.05, 0.3))  # perhaps after it was abandoned
         elif chance < 0.72:
-            self._send(transport, told, wait)
-            self._send(transport, told, wait + self.random.choice((0.0, 0.001, 0.05, 0.1)))
+            self._send(transport, answer, wait)
+            self._send(transport, answer, wait + self.random.choice((0.0, 0.001, 0.05, 0.1)))
         elif chance < 0.78:
-            self._send(transport, told[: self.random.randrange(1, len(told))], wait, torn=True)
+            self._send(transport, answer[: self.random.randrange(1, len(answer))], wait, truncated=True)
             self._send(transport, None, wait + 0.002)
         elif chance < 0.84:
             self._send(transport, None, wait)
         elif chance < 0.92:
-            self._send(transport, told, wait)
+            self._send(transport, answer, wait)
             self._send(transport, None, wait + self.random.choice((0.002, 0.02, 0.2)))
         elif chance < 0.96:
-            self._send(transport, told, wait)
+            self._send(transport, answer, wait)
             self._send(transport, self.answer(number + 1_000_000, data), wait + self.random.choice((0.0, 0.01, 0.05)))
 
-    def _send(self, transport: Transport, data: bytes | None, wait: float, torn: bool = False) -> None:
+    def _send(self, transport: Transport, data: bytes | None, wait: float, truncated: bool = False) -> None:
         def arrive() -> None:
-            transport.comes(data)
-            transport.torn = transport.torn or torn
+            transport.on_arrival(data)
+            transport.truncated = transport.truncated or truncated
 
-        self.later(WAY + wait, arrive)
+        self.later(DELAY_S + wait, arrive)
 
 
 class _Poll:
-    """In place of `select.poll`: tells what lies unread on a connection in memory."""
+    """Replaces `select.poll`: reports unread input of an in-memory connection."""
 
     def __init__(self) -> None:
         self.transport: Transport
@@ -199,7 +199,7 @@
 
 
 class _Socket:
-    """In place of a socket that is opened to a node: remembers to which."""
+    """Replaces the socket of a connection to a node; it records the host."""
 
     host = ""
 
@@ -214,7 +214,7 @@
 
 
 def _core_answer(number: int, asked: bytes) -> bytes:
-    """An answer that repeats the id of the call that it answers, as cores do."""
+    """An answer that repeats the call's id, as those of cores do."""
     body = json.dumps({"n": number}).encode()
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % len(body)
     if b"Call-Id: " in asked:
@@ -235,17 +235,17 @@
     made = caller.Caller()
     for number in range(CALLS):
         try:
-            told = await made.json("POST", f"http://core:{PORT}/x", {"n": number}, chance.choice((0.02, 0.1)))
+            answer = await made.json("POST", f"http://core:{PORT}/x", {"n": number}, chance.choice((0.02, 0.1)))
         except PeerError:
             continue
         finally:
             await asyncio.sleep(chance.choice((0.0, 0.002, 0.03)))
-        if told != {"n": number}:
-            calls.report(number, f"is answered by {told}")
+        if answer != {"n": number}:
+            calls.report(number, f"is answered by {answer}")
 
 
 def _leave(calls: Calls, number: int, exchange: Exchange) -> None:
-    """The client of a call is gone."""
+    """Handle that the client of a call leaves."""
     calls.left[number] = calls.loop.now
     exchange.leave()
 
@@ -265,7 +265,7 @@
         exchange.to(Stage.RUNNING)
         later = asyncio.get_running_loop().call_later
         timers = [later(chance.choice((0.03, 0.1, 0.5)), exchange.expire)]
-        if chance.random() < LEAVES_PART:
+        if chance.random() < LEAVE_SHARE:
             timers.append(later(chance.choice((0.0, 0.002, 0.01, 0.05)), _leave, calls, number, exchange))
         await forwarder.carry(exchange)
         for timer in timers:
@@ -273,16 +273,16 @@
         if exchange.answer is not None and exchange.answer.status == 200 and exchange.answer.body != b"%08d" % number:
             calls.report(number, f"is answered by {exchange.answer.body!r}")
         if exchange.status == 503 and calls.ran.get(number):
-            calls.report(number, "is told to come back, and has run")
+            calls.report(number, "gets 503, which promises that it has not run, but it has")
         await asyncio.sleep(chance.choice((0.0, 0.002, 0.03)))
 
 
 @contextlib.contextmanager
-def _in_place(loop: VirtualLoop, peers: dict[str, Peer]) -> Iterator[None]:
-    """Sockets in memory to these peers, for the rooms that open and ask them."""
+def _patched(loop: VirtualLoop, peers: dict[str, Peer]) -> Iterator[None]:
+    """Patch the modules that open and poll sockets to use in-memory connections to these peers."""
 
     async def sock_connect(made: _Socket, address: tuple[str, int]) -> None:
-        await asyncio.sleep(2 * WAY)
+        await asyncio.sleep(2 * DELAY_S)
         made.host = address[0]
         if peers[made.host].random.random() < 0.05:
             raise ConnectionRefusedError
@@ -291,7 +291,7 @@
         kind: Callable[[], asyncio.Protocol], host: str = "", port: int = 0, sock: Any = None
     ) -> tuple[Transport, Any]:
         if sock is None:
-            await asyncio.sleep(2 * WAY)
+            await asyncio.sleep(2 * DELAY_S)
         protocol = kind()
         return peers[sock.host if sock is not None else host].connect(protocol), protocol
 
@@ -300,8 +300,8 @@
     polled = SimpleNamespace(poll=_Poll, POLLIN=1)
     numbers = dict.fromkeys(("AF_INET", "SOCK_STREAM", "IPPROTO_TCP", "TCP_NODELAY", "TCP_USER_TIMEOUT"), 0)
     with contextlib.ExitStack() as stack:
-        for room in (caller, node_connection, node_connection_state):
-            stack.enter_context(mock.patch.object(room, "select", polled))
+        for module in (caller, node_connection, node_connection_state):
+            stack.enter_context(mock.patch.object(module, "select", polled))
         stack.enter_context(
             mock.patch.object(connection_pool, "socket", SimpleNamespace(socket=lambda *_: _Socket(), **numbers))
         )
@@ -317,7 +317,7 @@
 
 
 def walk(seed: int) -> list[str]:
-    """One walk over both sorts of connections: what broke."""
+    """Run one walk over both sorts of connections: its violations."""
     chance, loop = random.Random(f"connections {seed}"), VirtualLoop(seed)
     edge = Process(loop, "edge", "e")
     to_core, to_nodes = Calls(loop), Calls(loop)
@@ -328,7 +328,7 @@
         view.nodes[f"n{n}"] = Node(f"n{n}", "s", (f"n{n}", PORT), "z", 8)
     view.nodes_by_service["s"] = list(view.nodes.values())
     forwarder = edge.context.run(lambda: Forwarder(settings("e", [], False, 1), view, clock, seed))
-    with _in_place(loop, peers):
+    with _patched(loop, peers):
         works = [edge.spawn(_to_core(to_core, chance))]
         works += [edge.spawn(_to_nodes(to_nodes, forwarder, chance, 10_000 * n)) for n in range(CLIENTS)]
         loop.run(600.0)
--- a/tests/simulation/crash_gap.py
+++ b/tests/simulation/crash_gap.py
@@ -47,7 +47,7 @@
     name = sorted(world.nodes)[0]
     node = world.nodes[name]
     node.process.kill()
-    world.wire.dark.add(node.process.host)
+    world.wire.silent_hosts.add(node.process.host)
     world.owners.died(name)
     world.loop.world.soon(lambda: world.nodes.pop(name), wait=LISTED_S)
     return name
@@ -57,7 +57,7 @@
     leader = world.leader()
     assert leader is not None
     world.crash(leader)
-    world.wire.dark.add(leader.host)
+    world.wire.silent_hosts.add(leader.host)
 
 
 def measure_world(seed: int, core: bool = False) -> Measurements:
@@ -95,7 +95,7 @@
         found.gaps += [now - crashed_at] * len(served)
         for k, line in enumerate(lines):
             node = world.nodes.get(line.owner)
-            if line.open and line.owner != name and node is not None and node.held.get(k, 0.0) <= now:
+            if line.open and line.owner != name and node is not None and node.held_until.get(k, 0.0) <= now:
                 lapsed.add(k)
     found.unserved, found.lapsed = len(waiting), len(lapsed)
 
--- a/tests/simulation/disk.py
+++ b/tests/simulation/disk.py
@@ -1,7 +1,7 @@
-"""Disks in memory under the real driver: slow, hanging, refusing, and losing at a loss of power what was not kept.
+"""Simulated disks under the real driver: slow, hanging, refusing writes, and losing unfinished writes with the power.
 
-A write is one transaction, as `consensus.store` makes it: after a loss of power it is there whole or not at all, which
-tests/system/test_consensus_store.py shows of the real one, torn and lost writes included.
+A write is one transaction, as in `consensus.store`: after a loss of power it is complete or absent.
+tests/system/test_consensus_store.py checks this of the real store, with torn and lost writes.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from tests.simulation.loop import Process, VirtualLoop
 from tests.system.cluster import Disk as Kept
 
-WRITE = 0.001  # seconds of a write on a disk that is well
+WRITE_S = 0.001  # of a write on a healthy disk
 
 
 class Disk:
-    """One machine's disk; empty until a program opens it. Other folders' files are parts of it, that share its ills."""
+    """One machine's disk, empty until a program opens it. Its folders are disks of their own that share its faults."""
 
     def __init__(self, loop: VirtualLoop, name: str, seed: int):
         self.loop, self.name, self.seed, self.random = loop, name, seed, random.Random(f"disk {name} {seed}")
@@ -33,14 +33,14 @@
         self.under_way: tuple[Process, Callable[[], None]] | None = None
 
     def folder(self, name: str) -> Disk:
-        """The part that a group's folder makes."""
+        """The disk of a group's folder."""
         if name not in self.folders:
             self.folders[name] = FolderDisk(self, name)
         return self.folders[name]
 
-    def work(self, process: Process, future: asyncio.Future, act: Callable, given: tuple) -> None:
-        """Carry out a write, some time later; its process may be gone by then."""
-        wait = WRITE + self.random.uniform(0, self.slow) + max(0.0, self.hangs_until - self.loop.now)
+    def work(self, process: Process, future: asyncio.Future, act: Callable, arguments: tuple) -> None:
+        """Perform a write after a delay, unless its process has ended by then."""
+        wait = WRITE_S + self.random.uniform(0, self.slow) + max(0.0, self.hangs_until - self.loop.now)
 
         def done() -> None:
             if self.under_way is None or self.under_way[0] is not process or not process.alive:
@@ -49,16 +49,16 @@
             try:
                 if self.loop.now < self.refuses_until:
                     raise StoreUnavailableError(Path(self.name), "refuses")
-                found, error = act(*given), None
+                found, error = act(*arguments), None
             except StoreUnavailableError as refused:
                 found, error = None, refused
-            process.soon(lambda: self._tell(future, found, error))
+            process.soon(lambda: self._resolve(future, found, error))
 
-        self.under_way = process, lambda: act(*given)
+        self.under_way = process, lambda: act(*arguments)
         self.loop.world.soon(done, wait=wait)
 
     @staticmethod
-    def _tell(future: asyncio.Future, found: Any, error: Exception | None) -> None:
+    def _resolve(future: asyncio.Future, found: Any, error: Exception | None) -> None:
         if future.done():
             return
         if error is not None:
@@ -67,7 +67,7 @@
             future.set_result(found)
 
     def power_lost(self) -> None:
-        """What was under way is on the disk or is not; no one was told."""
+        """Lose the power: the write in progress is kept or lost, and is not acknowledged."""
         for one in self.folders.values():
             one.power_lost()
         work, self.under_way = self.under_way, None
@@ -76,19 +76,19 @@
 
 
 class FolderDisk(Disk):
-    """A folder of a disk: slow, hanging or refusing whenever the disk is."""
+    """A folder of a disk, which is slow, hangs or refuses whenever the disk does."""
 
-    slow = property(lambda self: self.whole.slow, lambda self, value: None)
-    hangs_until = property(lambda self: self.whole.hangs_until, lambda self, value: None)
-    refuses_until = property(lambda self: self.whole.refuses_until, lambda self, value: None)
+    slow = property(lambda self: self.disk.slow, lambda self, value: None)
+    hangs_until = property(lambda self: self.disk.hangs_until, lambda self, value: None)
+    refuses_until = property(lambda self: self.disk.refuses_until, lambda self, value: None)
 
-    def __init__(self, whole: Disk, name: str):
-        self.whole = whole
-        super().__init__(whole.loop, f"{whole.name}/{name}", whole.seed)
+    def __init__(self, disk: Disk, name: str):
+        self.disk = disk
+        super().__init__(disk.loop, f"{disk.name}/{name}", disk.seed)
 
 
 class Store:
-    """In place of `consensus.store.Store`, on such a disk."""
+    """Replaces `consensus.store.Store`, on a simulated disk."""
 
     def __init__(self, disk: Disk, disk_mb: float):
         self.disk, self.disk_mb = disk, disk_mb
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -99,10 +99,10 @@
 def _crash_core(world: World, fault: Fault, core: CoreMachine) -> None:
     world.crash(core)
     if fault.how < 0.4:
-        world.wire.dark.add(core.host)
+        world.wire.silent_hosts.add(core.host)
 
     def back() -> None:
-        world.wire.dark.discard(core.host)
+        world.wire.silent_hosts.discard(core.host)
         world.start_core(core)
 
     _call_later(world, fault.length, back)
@@ -190,10 +190,14 @@
 
 def _degrade_network(world: World, fault: Fault, core: CoreMachine) -> None:
     wire = world.wire
-    wire.loss, wire.double, wire.late = fault.how * 0.3, fault.who * 0.2, (0.0005, 0.02, 0.2)[int(fault.how * 89) % 3]
+    wire.loss_share, wire.duplicate_share, wire.max_jitter_s = (
+        fault.how * 0.3,
+        fault.who * 0.2,
+        (0.0005, 0.02, 0.2)[int(fault.how * 89) % 3],
+    )
 
     def over() -> None:
-        wire.loss, wire.double, wire.late = 0.0, 0.0, 0.0005
+        wire.loss_share, wire.duplicate_share, wire.max_jitter_s = 0.0, 0.0, 0.0005
 
     _call_later(world, fault.length, over)
 
@@ -344,10 +348,10 @@
 def end_all_faults(world: World) -> None:
     """End all faults: restore links and disks, thaw and restart programs."""
     world.wire.cuts.clear()
-    world.wire.dark.clear()
+    world.wire.silent_hosts.clear()
     world.wire.rates.clear()
-    world.wire.loss = world.wire.double = 0.0
-    world.wire.late = 0.0005
+    world.wire.loss_share = world.wire.duplicate_share = 0.0
+    world.wire.max_jitter_s = 0.0005
     for core in world.core_machines.values():
         core.disk.slow = core.disk.hangs_until = core.disk.refuses_until = 0.0
         if core.process is not None and core.process.frozen:
--- a/tests/simulation/loop.py
+++ b/tests/simulation/loop.py
@@ -1,7 +1,7 @@
-"""An asyncio event loop in virtual time that carries many processes, each with a clock of its own.
+"""An asyncio event loop in virtual time that runs many simulated processes, each with a clock of its own.
 
-What a process does runs in its own context, so every handle tells whose it is: those of a dead process are dropped,
-those of a frozen one wait until it thaws. Nothing sleeps; the same seed gives the same order of all handles.
+The code of a process runs in its own context, so every handle belongs to a process: those of a dead process are
+dropped, those of a frozen one wait until it thaws. Nothing sleeps; the same seed gives the same order of all handles.
 """
 
 from __future__ import annotations
@@ -15,41 +15,42 @@
 
 from knotwalk.runtime.errors import PeerError
 
-TURN = 1e-6  # seconds by which a timer comes late: a loop's own turn; without it one could come due too early for ever
-STEPS_MOST = 3_000_000  # handles of one walk: some twenty times what a usual one runs; more is a loop without end
+TIMER_DELAY_S = 1e-6  # of every timer: rounding could otherwise make one fire too early, again and again
+MAX_STEPS = 3_000_000  # handles of one walk: some twenty times the usual number; more means an endless loop
 
 
-class Endless(AssertionError):
-    """A walk does not come to its end."""
+class EndlessWalkError(AssertionError):
+    """A walk exceeds MAX_STEPS."""
 
 
 class Process:
-    """One running program on a host: a clock that may be off and drift, freezes, and an end without any goodbye."""
+    """A simulated process on a host: its clock may be offset and drift, and it can be frozen or killed."""
 
     def __init__(self, loop: VirtualLoop, name: str, host: str, offset: float = 0.0, rate: float = 1.0):
         self.loop, self.name, self.host, self.offset, self.rate = loop, name, host, offset, rate
         self.alive = True
         self.frozen = False
         self.backlog: list[asyncio.Handle] = []
-        self.tasks: list[asyncio.Task] = []  # kept, so that none of a dead process is collected in the midst of a walk
+        # Keeps references, so that tasks of a dead process are not garbage-collected during a walk.
+        self.tasks: list[asyncio.Task] = []
         self.context = contextvars.copy_context()
         self.context.run(PROCESS.set, self)
         loop.processes.append(self)
 
     def clock(self) -> float:
-        """This process's steady clock."""
+        """This process's monotonic clock."""
         return self.offset + self.rate * self.loop.now
 
     def spawn(self, work: Coroutine) -> asyncio.Task:
-        """Begin a task of this process."""
+        """Start a task of this process."""
         return self.loop.create_task(work, context=self.context)
 
-    def soon(self, act: Callable, *given: Any, wait: float = 0.0) -> None:
-        """Run something in this process after `wait` seconds of the world's time."""
-        self.loop.push(self.loop.now + wait, asyncio.Handle(act, given, self.loop, self.context))
+    def soon(self, act: Callable, *arguments: Any, wait: float = 0.0) -> None:
+        """Run something in this process after `wait` seconds of virtual time."""
+        self.loop.push(self.loop.now + wait, asyncio.Handle(act, arguments, self.loop, self.context))
 
     def kill(self) -> None:
-        """It is gone; nothing of it runs any more."""
+        """End the process: nothing of it runs any more."""
         self.alive = False
         self.backlog.clear()
 
@@ -57,7 +58,7 @@
         self.frozen = True
 
     def thaw(self) -> None:
-        """Go on where it stood: what came due meanwhile runs now, in its order."""
+        """Resume the process: handles that came due meanwhile run now, in their order."""
         self.frozen = False
         backlog, self.backlog = self.backlog, []
         for handle in backlog:
@@ -68,12 +69,12 @@
 
 
 def clock() -> float:
-    """The steady clock of whichever process runs now."""
+    """The monotonic clock of the current process."""
     return PROCESS.get().clock()
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """The loop. `now` is the world's time, which no process sees."""
+    """The loop. `now` is the virtual time, which no process sees."""
 
     def __init__(self, seed: int):
         self.now = 0.0
@@ -90,19 +91,19 @@
         heapq.heappush(self.queue, (when, self.serial, handle))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run all handles that are due by a time."""
         before = asyncio._get_running_loop()
         asyncio._set_running_loop(self)
         try:
             while self.queue and self.queue[0][0] <= until:
                 when, _, handle = heapq.heappop(self.queue)
                 self.now = max(self.now, when)
-                self._one(handle)
+                self._run_handle(handle)
             self.now = max(self.now, until)
         finally:
             asyncio._set_running_loop(before)
 
-    def _one(self, handle: asyncio.Handle) -> None:
+    def _run_handle(self, handle: asyncio.Handle) -> None:
         process = handle._context.get(PROCESS, self.world)
         if handle._cancelled or not process.alive:
             return
@@ -110,11 +111,11 @@
             process.backlog.append(handle)
             return
         self.steps += 1
-        if self.steps > STEPS_MOST:
-            raise Endless(f"a walk without end: {process.name} {handle}")
+        if self.steps > MAX_STEPS:
+            raise EndlessWalkError(f"a walk without end: {process.name} {handle}")
         handle._run()
 
-    # -- what asyncio asks of a loop
+    # -- the interface of asyncio's event loops
 
     def _process(self, context: contextvars.Context | None) -> Process:
         return (context.get(PROCESS, self.world) if context is not None else PROCESS.get(self.world)) or self.world
@@ -135,7 +136,7 @@
     def call_at(self, when: float, callback: Callable, *args: Any, context: Any = None) -> asyncio.TimerHandle:
         process = self._process(context)
         handle = asyncio.TimerHandle(when, callback, args, self, context)
-        self.push(max(self.now, (when - process.offset) / process.rate) + TURN, handle)
+        self.push(max(self.now, (when - process.offset) / process.rate) + TIMER_DELAY_S, handle)
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
@@ -165,12 +166,12 @@
         return False
 
     def call_exception_handler(self, context: dict) -> None:
-        """Errors that nobody took: part of what a walk is judged by."""
+        """Record an error that nobody handled; it counts as a violation."""
         error = context.get("exception")
         self.errors.append(f"{context.get('message')} {type(error).__name__} {error}")
 
     def failed(self) -> list[str]:
-        """By what tasks of running processes have ended, other than by a call that failed."""
+        """Unhandled errors, and those that ended tasks of running processes, other than failed calls."""
         found = list(self.errors)
         for process in self.processes:
             for task in process.tasks if process.alive else ():
--- a/tests/simulation/programs.py
+++ b/tests/simulation/programs.py
@@ -1,4 +1,4 @@
-"""The real programs on the loop of a walk: what of them is put in place of clocks, sockets, files and chance."""
+"""Runs the real programs in a simulated system: replaces their clocks, sockets, files and random numbers."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 PEERS, CONTROL = 7660, 8080  # ports of a core
 PLATFORM = ("10.9.0.1", 80)
-KEY_PERIOD, MARGIN = 4.0, 0.5  # seconds, of walks: so short that claims end within them
-SAYS = ("log_info", "log_warning", "log_exception")
-ROOMS = (
+KEY_PERIOD, MARGIN = 4.0, 0.5  # seconds: so short that claims expire within a walk
+LOG_FUNCTIONS = ("log_info", "log_warning", "log_exception")
+MODULES = (
     program,
     allowances,
     claim_group,
@@ -49,59 +49,61 @@
 )
 
 
-class Exited(Exception):
-    """A program ended itself at once."""
+class ExitedError(Exception):
+    """A program has called `os._exit`."""
 
 
 def _exit(code: int) -> None:
     PROCESS.get().kill()
-    raise Exited(code)
+    raise ExitedError(code)
 
 
-def _due(made: Any, each: int) -> bool:
-    """Have the state put down whole after so many entries: walks are short, and restarts from snapshots many."""
-    made.entries = getattr(made, "entries", 0) + 1
-    return made.entries % each == 0
+def _should_compact(compaction: Any, interval: int) -> bool:
+    """Take a snapshot after every so many entries, so that many restarts in a short walk begin from one."""
+    compaction.entries = getattr(compaction, "entries", 0) + 1
+    return compaction.entries % interval == 0
 
 
 @contextlib.contextmanager
 def in_place(wire: Wire, seed: int, log: Any, compact: int, trail: int, parts: int = 1) -> Iterator[None]:
-    """The rooms of core and edge, with a world's clocks, wire, disks and chance. `say` hears their log. Operations have
-    `parts`, each with a group of its own."""
+    """Patch the modules of core and edge to use the simulated clocks, network, disks and random numbers.
+
+    `log` gets their log lines. Operations have `parts` partitions, each with a consensus group of its own.
+    """
     chance = random.Random(f"programs {seed}")
 
-    def told(event: str, **fields: object) -> None:
+    def log_line(event: str, **fields: object) -> None:
         log(PROCESS.get(), event, fields)
 
     with contextlib.ExitStack() as stack:
 
-        def put(room: Any, name: str, made: Any) -> None:
-            stack.enter_context(mock.patch.object(room, name, made))
-
-        for room in ROOMS:
-            for name in ("clock", *SAYS):
-                if hasattr(room, name):
-                    put(room, name, clock if name == "clock" else told)
-        put(logs, "clock", clock)
-        put(program, "Store", lambda disk_mb: Store(PROCESS.get().disk, disk_mb))
-        put(program, "HttpClient", lambda reset_on_close=False, with_call_ids=True: Caller(wire, reset_on_close))
-        put(program, "Listener", lambda made: Listener(wire, made))
-        put(program, "os", SimpleNamespace(urandom=chance.randbytes, getpid=lambda: 1, _exit=_exit))
-        put(peer_api, "make_app", App)
-        put(control, "make_app", App)
-        put(lifecycle.ProcessSignals, "install", lambda ending: None)
-        put(Compaction, "should_compact", lambda made, *worth: _due(made, compact))
-        put(consensus_machine, "TRAILING_ENTRIES", trail)
-        for room in (messages, claim_group, claim_groups):
-            put(room, "PARTITION_COUNT", parts)
-        put(claim_group, "HOLD_MARGIN_S", MARGIN)
+        def patch(module: Any, name: str, replacement: Any) -> None:
+            stack.enter_context(mock.patch.object(module, name, replacement))
+
+        for module in MODULES:
+            for name in ("clock", *LOG_FUNCTIONS):
+                if hasattr(module, name):
+                    patch(module, name, clock if name == "clock" else log_line)
+        patch(logs, "clock", clock)
+        patch(program, "Store", lambda disk_mb: Store(PROCESS.get().disk, disk_mb))
+        patch(program, "HttpClient", lambda reset_on_close=False, with_call_ids=True: Caller(wire, reset_on_close))
+        patch(program, "Listener", lambda app: Listener(wire, app))
+        patch(program, "os", SimpleNamespace(urandom=chance.randbytes, getpid=lambda: 1, _exit=_exit))
+        patch(peer_api, "make_app", App)
+        patch(control, "make_app", App)
+        patch(lifecycle.ProcessSignals, "install", lambda ending: None)
+        patch(Compaction, "should_compact", lambda compaction, *sizes: _should_compact(compaction, compact))
+        patch(consensus_machine, "TRAILING_ENTRIES", trail)
+        for module in (messages, claim_group, claim_groups):
+            patch(module, "PARTITION_COUNT", parts)
+        patch(claim_group, "HOLD_MARGIN_S", MARGIN)
         yield
 
 
 def settings(
     host: str, seeds: list[str], first_start: bool, machines: int, keyed: bool = False, bounds: Bounds = Bounds()
 ) -> Settings:
-    """A core's settings file."""
+    """A core's settings."""
     return Settings(
         node_name=host,
         ip_address=host,
@@ -120,7 +122,7 @@
 
 
 class CoreProcess(Process):
-    """A core program, from its start to its end."""
+    """A core's process."""
 
     def __init__(self, loop: Any, name: str, host: str, disk: Disk, offset: float, rate: float):
         super().__init__(loop, name, host, offset, rate)
@@ -128,12 +130,12 @@
         self.plane: program.ControlPlane = None  # type: ignore[assignment]
         self.ended = False
 
-    def begin(self, given: Settings) -> None:
+    def begin(self, settings: Settings) -> None:
         """Start the program."""
 
         def make() -> None:
             program.PROCESS_STARTED_AT = self.clock()
-            self.plane = program.ControlPlane(given)
+            self.plane = program.ControlPlane(settings)
 
         async def live() -> None:
             make()
@@ -148,5 +150,5 @@
         return self.plane.consensus.machine if self.plane else None
 
     def member(self, group: int | None) -> Any:
-        """Its consensus machine of the configuration's group, or of one for claims."""
+        """Its consensus machine in the configuration's group (None) or in one for claims."""
         return self.machine if group is None else self.plane.claims.groups[group].machine
--- a/tests/simulation/wire.py
+++ b/tests/simulation/wire.py
@@ -1,4 +1,4 @@
-"""The wire between processes: calls and answers that are lost, held up, doubled, reset and refused."""
+"""The simulated network between processes: calls and answers that are lost, delayed, duplicated, reset and refused."""
 
 from __future__ import annotations
 
@@ -16,18 +16,17 @@
 from knotwalk.runtime.http_client import ConnectionRefusedPeerError
 from tests.simulation.loop import PROCESS, Process, VirtualLoop
 
-DELAY = 0.0014  # seconds one way
-DOUBLED = frozenset(
-    {"/consensus", "/lease", "/cluster-view", "/configuration", "/claim-groups", "/claims"}
-)  # what may come twice without harm
-CANCELS = 0.5  # share of the calls given up whose handler is cancelled by the end of its connection
+DELAY_S = 0.0014  # one way
+# Calls that may arrive twice without harm.
+DUPLICATED_PATHS = frozenset({"/consensus", "/lease", "/cluster-view", "/configuration", "/claim-groups", "/claims"})
+CANCEL_SHARE = 0.5  # of the abandoned calls have their handler cancelled by the end of its connection
 
 
 @dataclass
 class Cut:
-    """What happens to messages from one host to another: lost, held until it heals, answered by a reset, or refused.
+    """What happens to messages from one host to another: `lost`, `hold` (until the cut ends), `reset` or `refused`.
 
-    `refused`: connections are refused as by a closed port, though the host lives; what is under way is reset.
+    `refused`: new connections are refused as by a closed port, though the host is up; calls in progress are reset.
     """
 
     mode: str
@@ -35,8 +34,8 @@
 
 
 @dataclass
-class Answered:
-    """What came back: status, headers in lower case, body, and the name of the process that answered."""
+class Response:
+    """A response: status, headers in lower case, body, and the name of the process that answered."""
 
     status: int
     headers: dict[str, str]
@@ -48,17 +47,17 @@
 
 
 class Wire:
-    """All hosts and what lies between them."""
+    """The network between all hosts, and the processes that listen on it."""
 
     def __init__(self, loop: VirtualLoop, seed: int):
         self.loop, self.random = loop, random.Random(f"wire {seed}")
         self.listening: dict[str, tuple[Process, dict[str, Handler]]] = {}
         self.cuts: dict[tuple[str, str], Cut] = {}
-        self.dark: set[str] = set()  # hosts that say nothing at all where no program listens
-        self.rates: dict[str, float] = {}  # bytes a second of hosts whose links are narrow
-        self._busy: dict[str, float] = {}  # until when such a link is taken
-        self.loss = self.double = 0.0
-        self.late = 0.0005
+        self.silent_hosts: set[str] = set()  # hosts that do not refuse connections either when no program listens
+        self.rates: dict[str, float] = {}  # bytes a second, of hosts with narrow links
+        self._busy_until: dict[str, float] = {}  # until when such a link is busy
+        self.loss_share = self.duplicate_share = 0.0
+        self.max_jitter_s = 0.0005
         self.on_message: Callable[[str, str, str, Any], None] = lambda sender, to, path, body: None
 
     # -- one way
@@ -67,7 +66,7 @@
         cut = self.cuts.get((sender, to))
         return cut if cut is not None and cut.until > self.loop.now else None
 
-    def _set_out(
+    def _send_first(
         self,
         sender: str,
         to: str,
@@ -76,46 +75,46 @@
         refuse: Callable[[], None],
         size: int,
     ) -> None:
-        """Have a call's first message arrive, unless something on the way refuses its connection."""
+        """Send the first message of a call, unless a cut refuses its connection."""
         cut = self._cut(sender, to)
         if cut is not None and cut.mode == "refused":
-            self.loop.world.soon(refuse, wait=DELAY)
+            self.loop.world.soon(refuse, wait=DELAY_S)
         else:
-            self._travel(sender, to, arrive, reset, size)
+            self._send_message(sender, to, arrive, reset, size)
 
-    def _queued(self, sender: str, to: str, size: int) -> float:
-        """Seconds that a message takes over the narrower of two links, behind what they carry already."""
+    def _queueing_delay(self, sender: str, to: str, size: int) -> float:
+        """Seconds for a message over the narrower of two links, behind earlier messages."""
         wait = 0.0
         for host in (sender, to):
             if rate := self.rates.get(host):
-                done = max(self.loop.now, self._busy.get(host, 0.0)) + size / rate
-                self._busy[host] = done
+                done = max(self.loop.now, self._busy_until.get(host, 0.0)) + size / rate
+                self._busy_until[host] = done
                 wait = max(wait, done - self.loop.now)
         return wait
 
-    def _travel(
+    def _send_message(
         self, sender: str, to: str, arrive: Callable[[], None], reset: Callable[[], None], size: int = 0
     ) -> None:
-        """Have one message of `size` bytes arrive, or not."""
+        """Send one message of `size` bytes: it arrives, is lost, or is answered by a reset."""
         cut = self._cut(sender, to)
-        wait = DELAY + self.random.uniform(0, self.late) + self._queued(sender, to, size)
+        wait = DELAY_S + self.random.uniform(0, self.max_jitter_s) + self._queueing_delay(sender, to, size)
         if cut is not None and cut.mode in ("reset", "refused"):
             self.loop.world.soon(reset, wait=wait)
         elif cut is not None and cut.mode == "hold":
             self.loop.world.soon(arrive, wait=cut.until - self.loop.now + wait)
-        elif cut is None and self.random.random() >= self.loss:
+        elif cut is None and self.random.random() >= self.loss_share:
             self.loop.world.soon(arrive, wait=wait)
-        elif cut is None and self.random.random() < 0.8:  # lost once, sent again by the kernel
+        elif cut is None and self.random.random() < 0.8:  # lost once, retransmitted by the kernel
             self.loop.world.soon(arrive, wait=wait + self.random.choice((0.2, 0.2, 0.6, 1.4)))
 
     # -- a call and its answer
 
     async def call(
-        self, method: str, url: str, data: bytes, headers: dict, patience: float, step: str, resets: bool
-    ) -> Answered:
-        """An HTTP call from the process that runs."""
+        self, method: str, url: str, data: bytes, headers: dict, timeout_s: float, step: str, resets: bool
+    ) -> Response:
+        """An HTTP call from the current process."""
         caller, parts = PROCESS.get(), urlsplit(url)
-        to, given_up = parts.netloc, [False]
+        to, abandoned = parts.netloc, [False]
         serving: list[tuple[Process, asyncio.Task]] = []
         future = self.loop.create_future()
 
@@ -126,12 +125,12 @@
             fail(PeerError(step, url, "reset"))
 
         def arrive() -> None:
-            if (given_up[0] or not caller.alive) and (resets or self.random.random() < 0.2):
+            if (abandoned[0] or not caller.alive) and (resets or self.random.random() < 0.2):
                 return
             found = self.listening.get(to)
             if found is None or not found[0].alive:
-                if to.partition(":")[0] not in self.dark:
-                    self._travel(
+                if to.partition(":")[0] not in self.silent_hosts:
+                    self._send_message(
                         parts.hostname,
                         caller.host,
                         lambda: fail(ConnectionRefusedPeerError(step, url, "refused")),
@@ -148,11 +147,11 @@
 
         async def serve(process: Process, handler: Handler, request: Any) -> None:
             answer = await handler(request)
-            found = Answered(
+            found = Response(
                 answer.status, {k.lower(): v for k, v in answer.headers.items()}, answer.body, process.name
             )
             self.on_message(process.host, caller.host, "answer " + parts.path, found.body)
-            self._travel(
+            self._send_message(
                 process.host,
                 caller.host,
                 lambda: caller.soon(lambda: future.done() or future.set_result(found)),
@@ -161,29 +160,29 @@
             )
 
         refuse = functools.partial(fail, ConnectionRefusedPeerError(step, url, "refused on the way"))
-        self._set_out(caller.host, parts.hostname, arrive, reset, refuse, len(data))
-        if parts.path in DOUBLED and self.random.random() < self.double:
-            self._travel(caller.host, parts.hostname, arrive, reset)
+        self._send_first(caller.host, parts.hostname, arrive, reset, refuse, len(data))
+        if parts.path in DUPLICATED_PATHS and self.random.random() < self.duplicate_share:
+            self._send_message(caller.host, parts.hostname, arrive, reset)
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
-            raise PeerError(step, url, f"no answer within {patience:g} s") from None
+            raise PeerError(step, url, f"no answer within {timeout_s:g} s") from None
         finally:
-            given_up[0] = True
+            abandoned[0] = True
             if not future.done() or future.cancelled():
-                self._give_up(caller, parts.hostname, serving)
+                self._abandon(caller, parts.hostname, serving)
 
-    def _give_up(self, caller: Process, to: str, serving: list[tuple[Process, asyncio.Task]]) -> None:
-        """The connection ends: its server may cancel what it does for it."""
-        if self.random.random() < CANCELS:
-            self._travel(
+    def _abandon(self, caller: Process, to: str, serving: list[tuple[Process, asyncio.Task]]) -> None:
+        """End the connection of an abandoned call: the server may cancel its handler."""
+        if self.random.random() < CANCEL_SHARE:
+            self._send_message(
                 caller.host, to, lambda: [process.soon(task.cancel) for process, task in serving], lambda: None
             )
 
 
 class Caller:
-    """In place of `http_client.HttpClient` and `edge.caller.Caller`: the same interface, over the world's wire."""
+    """Replaces `http_client.HttpClient` and `edge.caller.Caller`: the same interface, over the simulated network."""
 
     def __init__(self, wire: Wire, resets: bool = False):
         self.wire, self.resets = wire, resets
@@ -193,23 +192,23 @@
         method: str,
         url: str,
         body: Any = None,
-        patience: float = 1.0,
+        timeout_s: float = 1.0,
         step: str = "call",
         headers: dict[str, str] | None = None,
         single_use: bool = False,
     ) -> tuple[int, dict[str, str], bytes]:
-        found = await self.answered(method, url, body, patience, step, headers)
+        found = await self.send_for_response(method, url, body, timeout_s, step, headers)
         return found.status, found.headers, found.body
 
-    async def answered(
-        self, method: str, url: str, body: Any, patience: float, step: str, headers: dict[str, str] | None = None
-    ) -> Answered:
-        """The whole answer, with who gave it."""
+    async def send_for_response(
+        self, method: str, url: str, body: Any, timeout_s: float, step: str, headers: dict[str, str] | None = None
+    ) -> Response:
+        """Send a call and return the full response, with the process that answered."""
         data = b"" if body is None else json.dumps(body, separators=(",", ":")).encode()
-        return await self.wire.call(method, url, data, headers or {}, patience, step, self.resets)
+        return await self.wire.call(method, url, data, headers or {}, timeout_s, step, self.resets)
 
-    async def json(self, method: str, url: str, body: Any = None, patience: float = 1.0, step: str = "call") -> Any:
-        status, _, data = await self.send(method, url, body, patience, step)
+    async def json(self, method: str, url: str, body: Any = None, timeout_s: float = 1.0, step: str = "call") -> Any:
+        status, _, data = await self.send(method, url, body, timeout_s, step)
         return decode_json_response(step, url, status, data)
 
     async def close(self) -> None:
@@ -217,7 +216,7 @@
 
 
 class App:
-    """In place of a sanic app: its routes alone."""
+    """Replaces a sanic app; it only has routes."""
 
     def __init__(self, name: str):
         self.name, self.routes = name, {}
@@ -228,15 +227,15 @@
 
 
 class Listener:
-    """In place of `runtime.http_server.Listener`."""
+    """Replaces `runtime.http_server.Listener`."""
 
-    def __init__(self, wire: Wire, made: App):
-        self.wire, self.made, self.at = wire, made, ""
+    def __init__(self, wire: Wire, app: App):
+        self.wire, self.app, self.address = wire, app, ""
 
     async def start(self, host: str, port: int) -> None:
-        self.at = f"{host}:{port}"
-        self.wire.listening[self.at] = PROCESS.get(), self.made.routes
+        self.address = f"{host}:{port}"
+        self.wire.listening[self.address] = PROCESS.get(), self.app.routes
 
     async def close(self) -> None:
-        if self.wire.listening.get(self.at, (None,))[0] is PROCESS.get():
-            del self.wire.listening[self.at]
+        if self.wire.listening.get(self.address, (None,))[0] is PROCESS.get():
+            del self.wire.listening[self.address]
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -26,8 +26,8 @@
 from tests.simulation.wire import Caller, Wire
 from tests.system.test_leases import OwnerChecker
 
-EDGES = 2
-LINES_KEPT = 400  # of the programs' log, for the report of a walk with violations
+EDGE_COUNT = 2
+MAX_LOG_LINES = 400  # of the programs' log, for the report of a walk with violations
 
 
 @dataclass
@@ -54,7 +54,7 @@
     keyed: bool = False  # whether operations run once, so that cores have consensus groups for claims
     limited: bool = False  # whether requests of tenants with limits are sent
     core_machines: dict[str, CoreMachine] = field(default_factory=dict)
-    log_lines: deque = field(default_factory=lambda: deque(maxlen=LINES_KEPT))
+    log_lines: deque = field(default_factory=lambda: deque(maxlen=MAX_LOG_LINES))
 
     def __post_init__(self) -> None:
         self.random = random.Random(f"world {self.seed}")
@@ -97,7 +97,7 @@
             self.add_node()
         for core in list(self.core_machines.values()):
             self.start_core(core)
-        for n in range(EDGES):
+        for n in range(EDGE_COUNT):
             self.start_edge(f"e{n}")
         self.operators.start()
         self.loop.world.spawn(self.keys.watch())
@@ -249,13 +249,15 @@
         super().__init__(world.wire)
         self.world, self.edge, self.view = world, edge, view
 
-    async def json(self, method: str, url: str, body: Any = None, patience: float = 1.0, step: str = "call") -> Any:
-        begun = self.world.loop.now
-        found = await self.answered(method, url, body, patience, step)
-        told = decode_json_response(step, url, found.status, found.body)
+    async def json(self, method: str, url: str, body: Any = None, timeout_s: float = 1.0, step: str = "call") -> Any:
+        started_at = self.world.loop.now
+        response = await self.send_for_response(method, url, body, timeout_s, step)
+        answer = decode_json_response(step, url, response.status, response.body)
         # Judged by the process that answered: it may have ended since, and another may run on that machine.
-        self.world.loop.call_soon(self.world.edge_judge.on_answer, self.edge, found.server, begun, told, self.view)
-        return told
+        self.world.loop.call_soon(
+            self.world.edge_judge.on_answer, self.edge, response.server, started_at, answer, self.view
+        )
+        return answer
 
 
 class NodeProgram:
@@ -264,36 +266,36 @@
     def __init__(self, world: World, name: str, host: str):
         self.world, self.name, self.state = world, name, "ready"
         self.process = Process(world.loop, name, host, 0.0, world.random.choice((1.0, 0.99)))
-        self.seen: dict[int, int] = {}
-        self.held: dict[int, float] = {}
-        self.keeps_longest = int(name[1:]) % 2 == 0  # whether a shorter grant leaves a longer hold as it is
+        self.fences: dict[int, int] = {}
+        self.held_until: dict[int, float] = {}
+        self.keeps_longest_hold = int(name[1:]) % 2 == 0  # whether a shorter grant leaves a longer hold as it is
         self.grants = 0  # calls received
 
     @staticmethod
-    def _slices(asked: dict) -> range:
+    def _slices(call: dict) -> range:
         return range(
-            asked["source_version"] // SLICE_WIDTH, min(SLICE_COUNT - 1, asked["target_version"] // SLICE_WIDTH) + 1
+            call["source_version"] // SLICE_WIDTH, min(SLICE_COUNT - 1, call["target_version"] // SLICE_WIDTH) + 1
         )
 
     async def grant(self, request: Any) -> Any:
-        asked, at = json.loads(request.body), self.world.loop.now
-        found = self._slices(asked)
+        call, now = json.loads(request.body), self.world.loop.now
+        slices = self._slices(call)
         self.grants += 1
-        if any(self.seen.get(k, 0) > asked["fence"] for k in found):
+        if any(self.fences.get(index, 0) > call["fence"] for index in slices):
             return SimpleNamespace(status=409, headers={}, body=b"{}")
-        for k in found:
-            self.seen[k] = asked["fence"]
-            until = at + parse_duration(asked["hold"]) / self.process.rate
-            self.held[k] = max(until, self.held.get(k, until)) if self.keeps_longest else until
-            self.world.owners.begins(at, self.name, k, self.held[k])
+        for index in slices:
+            self.fences[index] = call["fence"]
+            until = now + parse_duration(call["hold"]) / self.process.rate
+            self.held_until[index] = max(until, self.held_until.get(index, until)) if self.keeps_longest_hold else until
+            self.world.owners.begins(now, self.name, index, self.held_until[index])
         return SimpleNamespace(status=200, headers={}, body=b"{}")
 
     async def release(self, request: Any) -> Any:
-        asked, at = json.loads(request.body), self.world.loop.now
-        for k in self._slices(asked):
-            if self.seen.get(k, 0) > asked["fence"]:
+        call, now = json.loads(request.body), self.world.loop.now
+        for index in self._slices(call):
+            if self.fences.get(index, 0) > call["fence"]:
                 continue
-            self.seen[k] = asked["fence"]
-            if self.held.pop(k, 0) > at:
-                self.world.owners.ends(self.name, k)
+            self.fences[index] = call["fence"]
+            if self.held_until.pop(index, 0) > now:
+                self.world.owners.ends(self.name, index)
         return SimpleNamespace(status=200, headers={"Handover": f"h-{self.name}"}, body=b"{}")
