--- a/tests/simulation/aimed.py
+++ b/tests/simulation/aimed.py
@@ -36,15 +36,17 @@
         _call_later(world, POLL_INTERVAL_S, lambda: _call_when(world, until, moment, act))
 
 
-def _cut(world: World, ones: list[CoreMachine], others: list[CoreMachine], length: float, both: bool = True) -> None:
-    """Drop all messages between some cores and others; with `both` false only those from `ones` to `others`."""
-    until = world.loop.now + length
-    for one in ones:
+def _cut(
+    world: World, cores: list[CoreMachine], others: list[CoreMachine], duration_s: float, both: bool = True
+) -> None:
+    """Drop all messages between some cores and others; with `both` false only those from `cores` to `others`."""
+    until = world.loop.now + duration_s
+    for core in cores:
         for other in others:
-            if one is not other:
-                world.wire.cuts[one.host, other.host] = Cut("lost", until)
+            if core is not other:
+                world.wire.cuts[core.host, other.host] = Cut("lost", until)
                 if both:
-                    world.wire.cuts[other.host, one.host] = Cut("lost", until)
+                    world.wire.cuts[other.host, core.host] = Cut("lost", until)
 
 
 def _lose_power(world: World, core: CoreMachine) -> None:
@@ -55,11 +57,11 @@
     _call_later(world, RESTART_DELAY_S, lambda: world.start_core(core))
 
 
-def _other_voters(world: World, leader: CoreMachine, who: float) -> list[CoreMachine]:
-    """The other running voters, rotated by `who`."""
+def _other_voters(world: World, leader: CoreMachine, target: float) -> list[CoreMachine]:
+    """The other running voters, rotated by `target`."""
     members = leader.process.machine.members  # type: ignore[union-attr]
     found = [p for p in world.running() if p is not leader and p.process.machine.me in members]  # type: ignore[union-attr]
-    at = int(who * 7919) % len(found) if found else 0
+    at = int(target * 7919) % len(found) if found else 0
     return found[at:] + found[:at]
 
 
@@ -77,25 +79,25 @@
     leader = world.leader()
     if leader is None:
         return
-    others = _other_voters(world, leader, fault.who)
+    others = _other_voters(world, leader, fault.target)
     need = quorum(len(leader.process.machine.members)) - 1  # type: ignore[union-attr]
     few, rest = others[:need], others[need:]
     if not rest:
         return
-    for one in few:
-        one.disk.hangs_until = world.loop.now + WRITE_DELAY_S
+    for peer in few:
+        peer.disk.hangs_until = world.loop.now + WRITE_DELAY_S
     _cut(world, [leader], rest, WRITE_DELAY_S)
 
     def strike() -> None:
-        for one in few:
-            _lose_power(world, one)
-        _cut(world, [leader], [p for p in world.core_machines.values()], max(MIN_ISOLATION_S, fault.length))
+        for peer in few:
+            _lose_power(world, peer)
+        _cut(world, [leader], [p for p in world.core_machines.values()], max(MIN_ISOLATION_S, fault.duration_s))
 
     _call_when(
         world,
         world.loop.now + WRITE_DELAY_S,
-        lambda: all(_has_unsaved_entries(one) for one in few),
-        lambda: _call_later(world, 0.006 + 0.06 * fault.how, strike),
+        lambda: all(_has_unsaved_entries(peer) for peer in few),
+        lambda: _call_later(world, 0.006 + 0.06 * fault.variant, strike),
     )
 
 
@@ -105,8 +107,8 @@
     if process is None or process.machine is None or kept is None:
         return None
     machine, saved = process.machine, kept.saved
-    given = machine.vote if machine.vote != machine.me else None
-    return given if given and (saved.term, saved.vote) != (machine.term, given) else None
+    candidate = machine.vote if machine.vote != machine.me else None
+    return candidate if candidate and (saved.term, saved.vote) != (machine.term, candidate) else None
 
 
 def _lose_unsaved_vote(world: World, fault: Fault, core: CoreMachine) -> None:
@@ -114,27 +116,29 @@
     leader = world.leader()
     if leader is None:
         return
-    others = _other_voters(world, leader, fault.who)
+    others = _other_voters(world, leader, fault.target)
     world.crash(leader)
-    for one in others:
-        one.disk.slow = 0.3
+    for peer in others:
+        peer.disk.slow = 0.3
 
     def strike() -> None:
-        given = {_unsaved_vote(one) for one in others}
-        chosen = [one for one in others if one.process and one.process.machine and one.process.machine.me in given]
-        for one in others:
-            one.disk.slow = 0.0
-            if _unsaved_vote(one) is not None:
-                _lose_power(world, one)
-        _cut(world, chosen, list(world.core_machines.values()), max(MIN_ISOLATION_S, fault.length))
+        candidates = {_unsaved_vote(peer) for peer in others}
+        chosen = [
+            peer for peer in others if peer.process and peer.process.machine and peer.process.machine.me in candidates
+        ]
+        for peer in others:
+            peer.disk.slow = 0.0
+            if _unsaved_vote(peer) is not None:
+                _lose_power(world, peer)
+        _cut(world, chosen, list(world.core_machines.values()), max(MIN_ISOLATION_S, fault.duration_s))
         world.start_core(leader)
 
     until = world.loop.now + 3.0
     _call_when(
-        world, until, lambda: any(_unsaved_vote(one) for one in others), lambda: _call_later(world, 0.004, strike)
+        world, until, lambda: any(_unsaved_vote(peer) for peer in others), lambda: _call_later(world, 0.004, strike)
     )
     _call_later(world, 3.1, lambda: world.start_core(leader))
-    _call_later(world, 3.1, lambda: [setattr(one.disk, "slow", 0.0) for one in others] and None)
+    _call_later(world, 3.1, lambda: [setattr(peer.disk, "slow", 0.0) for peer in others] and None)
 
 
 def _cut_during_read(world: World, fault: Fault, core: CoreMachine) -> None:
@@ -151,7 +155,7 @@
             world,
             POLL_INTERVAL_S,
             lambda: _cut(
-                world, [leader], list(world.core_machines.values()), max(MIN_ISOLATION_S, fault.length), False
+                world, [leader], list(world.core_machines.values()), max(MIN_ISOLATION_S, fault.duration_s), False
             ),
         ),
     )
@@ -162,18 +166,18 @@
     if not world.can_lose_a_core():
         return
     world.retire(core)
-    there = [one.host for one in world.core_machines.values() if not one.retired]
+    hosts_in_service = [peer.host for peer in world.core_machines.values() if not peer.retired]
 
     def changing() -> bool:
         leader = world.leader()
         return leader is not None and leader.process.machine.configs[-1][0] > leader.process.machine.commit  # type: ignore
 
     def hold_up() -> None:
-        for one in world.running():
-            if one is not world.leader():
-                one.disk.hangs_until = world.loop.now + WRITE_DELAY_S
+        for peer in world.running():
+            if peer is not world.leader():
+                peer.disk.hangs_until = world.loop.now + WRITE_DELAY_S
 
-    _call_later(world, REPLACEMENT_DELAY_S, lambda: world.add_core(there) and None)
+    _call_later(world, REPLACEMENT_DELAY_S, lambda: world.add_core(hosts_in_service) and None)
     _call_later(world, REPLACEMENT_DELAY_S, lambda: _call_when(world, world.loop.now + 2.0, changing, hold_up))
 
 
@@ -182,16 +186,16 @@
     leader = world.leader()
     if leader is None or not world.can_lose_a_core():
         return
-    before = [one for one in world.core_machines.values() if one is not leader]
-    there = [one.host for one in world.core_machines.values() if not one.retired]
+    before = [peer for peer in world.core_machines.values() if peer is not leader]
+    hosts_in_service = [peer.host for peer in world.core_machines.values() if not peer.retired]
     for _ in range(2):
-        world.add_core(there)
+        world.add_core(hosts_in_service)
     machine = leader.process.machine  # type: ignore[union-attr]
     _call_when(
         world,
         world.loop.now + 1.0,
         lambda: any(peer.kind == "learner" for peer in machine._peers.values()),
-        lambda: _cut(world, [leader], before, max(MIN_ISOLATION_S, fault.length)),
+        lambda: _cut(world, [leader], before, max(MIN_ISOLATION_S, fault.duration_s)),
     )
 
 
--- a/tests/simulation/wide_faults.py
+++ b/tests/simulation/wide_faults.py
@@ -25,37 +25,37 @@
     """The arguments of the faults of a walk (see `faults.Fault`)."""
     chance = random.Random(f"wide {seed}")
     for _ in range(int(span / MEAN_INTERVAL_S)):
-        at, sort = round(chance.uniform(0.5, span), 3), chance.choice(list(WIDE_FAULTS))
-        yield at, sort, chance.choice((0.3, 1.0, 3.0, 9.0)), chance.random(), chance.random()
+        at, kind = round(chance.uniform(0.5, span), 3), chance.choice(list(WIDE_FAULTS))
+        yield at, kind, chance.choice((0.3, 1.0, 3.0, 9.0)), chance.random(), chance.random()
 
 
 def split_cores(world: World, fault: Fault, core: CoreMachine) -> None:
     """Partition the cores into two halves; edges, operators and nodes reach both."""
-    hosts = [one.host for one in world.core_machines.values() if not one.retired]
-    random.Random(fault.who).shuffle(hosts)
-    ones, others = hosts[: len(hosts) // 2], hosts[len(hosts) // 2 :]
-    cut = Cut(MODES[int(fault.how * 97) % len(MODES)], world.loop.now + fault.length)
-    for one in ones:
-        for other in others:
-            world.wire.cuts[one, other] = world.wire.cuts[other, one] = cut
+    hosts = [peer.host for peer in world.core_machines.values() if not peer.retired]
+    random.Random(fault.target).shuffle(hosts)
+    half, other_half = hosts[: len(hosts) // 2], hosts[len(hosts) // 2 :]
+    cut = Cut(MODES[int(fault.variant * 97) % len(MODES)], world.loop.now + fault.duration_s)
+    for host in half:
+        for other in other_half:
+            world.wire.cuts[host, other] = world.wire.cuts[other, host] = cut
 
 
 def reset_core_connections(world: World, fault: Fault, core: CoreMachine) -> None:
     """Reset all connections between cores, and those opened for a moment after."""
-    hosts = [one.host for one in world.core_machines.values()]
-    cut = Cut("reset", world.loop.now + min(0.3, fault.length))
-    world.wire.cuts |= {(one, other): cut for one in hosts for other in hosts if one != other}
+    hosts = [peer.host for peer in world.core_machines.values()]
+    cut = Cut("reset", world.loop.now + min(0.3, fault.duration_s))
+    world.wire.cuts |= {(peer, other): cut for peer in hosts for other in hosts if peer != other}
 
 
 def kill_most_processes(world: World, fault: Fault, core: CoreMachine) -> None:
     """Kill most core and edge processes at once and restart them within a second; disks are kept."""
-    chance = random.Random(fault.who)
-    for one in list(world.core_machines.values()):
-        if one.process is not None and chance.random() < 0.4 + 0.6 * fault.how:
-            world.crash(one)
-            world.loop.world.soon(world.start_core, one, wait=chance.uniform(0.05, 1.0))
+    chance = random.Random(fault.target)
+    for peer in list(world.core_machines.values()):
+        if peer.process is not None and chance.random() < 0.4 + 0.6 * fault.variant:
+            world.crash(peer)
+            world.loop.world.soon(world.start_core, peer, wait=chance.uniform(0.05, 1.0))
     for name in list(world.edge_processes):
-        if chance.random() < 0.4 + 0.6 * fault.how:
+        if chance.random() < 0.4 + 0.6 * fault.variant:
             world.start_edge(name)
 
 
@@ -63,21 +63,21 @@
     """Lose the disk of one core while all other cores lose power, including those that are no members."""
     if not world.can_lose_a_core():
         return
-    chance = random.Random(fault.who)
+    chance = random.Random(fault.target)
     world.wipe(core)
-    for one in world.core_machines.values():
-        world.crash(one)
-        world.loop.world.soon(world.start_core, one, wait=0.2 + chance.uniform(0.0, min(3.0, fault.length)))
+    for peer in world.core_machines.values():
+        world.crash(peer)
+        world.loop.world.soon(world.start_core, peer, wait=0.2 + chance.uniform(0.0, min(3.0, fault.duration_s)))
     for name in list(world.edge_processes):
         world.start_edge(name)
 
 
 def narrow_links(world: World, fault: Fault, core: CoreMachine) -> None:
     """Limit the bandwidth of one core's link, or of all cores' links."""
-    hosts = [one.host for one in world.core_machines.values()] if fault.who < 0.3 else [core.host]
+    hosts = [peer.host for peer in world.core_machines.values()] if fault.target < 0.3 else [core.host]
     for host in hosts:
-        world.wire.rates[host] = NARROW_LINK_BYTES_PER_S[fault.how < 0.3]
-    world.loop.world.soon(lambda: [world.wire.rates.pop(host, None) for host in hosts], wait=fault.length)
+        world.wire.rates[host] = NARROW_LINK_BYTES_PER_S[fault.variant < 0.3]
+    world.loop.world.soon(lambda: [world.wire.rates.pop(host, None) for host in hosts], wait=fault.duration_s)
 
 
 WIDE_FAULTS: dict[str, Callable[[World, Fault, CoreMachine], None]] = {
