--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Whole walks of the system under one seeded scheduler: its real programs, on a wire, disks and clocks of ours."""
+"""Random walks of the whole system: its real programs on a simulated network, disks and clocks, from one seed."""
--- a/tests/simulation/aimed.py
+++ b/tests/simulation/aimed.py
@@ -60,9 +60,9 @@
 def _other_voters(world: World, leader: CoreMachine, target: float) -> list[CoreMachine]:
     """The other running voters, rotated by `target`."""
     members = leader.process.machine.members  # type: ignore[union-attr]
-    found = [p for p in world.running() if p is not leader and p.process.machine.me in members]  # type: ignore[union-attr]
-    at = int(target * 7919) % len(found) if found else 0
-    return found[at:] + found[:at]
+    voters = [voter for voter in world.running() if voter is not leader and voter.process.machine.me in members]  # type: ignore[union-attr]
+    start = int(target * 7919) % len(voters) if voters else 0
+    return voters[start:] + voters[:start]
 
 
 def _has_unsaved_entries(core: CoreMachine) -> bool:
@@ -91,7 +91,7 @@
     def strike() -> None:
         for peer in few:
             _lose_power(world, peer)
-        _cut(world, [leader], [p for p in world.core_machines.values()], max(MIN_ISOLATION_S, fault.duration_s))
+        _cut(world, [leader], [core for core in world.core_machines.values()], max(MIN_ISOLATION_S, fault.duration_s))
 
     _call_when(
         world,
--- a/tests/simulation/claimants.py
+++ b/tests/simulation/claimants.py
@@ -61,7 +61,9 @@
 
     def _holder(self, operation: str) -> Holder:
         """A new attempt, or one that has claimed the operation before."""
-        known = [one for one in self.holders.setdefault(operation, []) if (operation, one) not in self.released]
+        known = [
+            holder for holder in self.holders.setdefault(operation, []) if (operation, holder) not in self.released
+        ]
         if known and self.random.random() < 0.3:
             return self.random.choice(known)
         self.serial += 1
@@ -91,8 +93,8 @@
     def _is_in_use(self, claim: Claim) -> bool:
         """Whether the holder waits for another answer or has been granted the operation, and so must not release it."""
         key = claim.operation, claim.holder.attempt
-        others = [one for one in self.asking[key] if one[0].alive and not one[1].done()]
-        used = any(one.holder == key[1] for one in self.claims.grants.get(key[0], []))
+        others = [task for process, task in self.asking[key] if process.alive and not task.done()]
+        used = any(grant.holder == key[1] for grant in self.claims.grants.get(key[0], []))
         return used or len(others) > 1
 
     def check_recovery(self) -> None:
--- a/tests/simulation/claims_judge.py
+++ b/tests/simulation/claims_judge.py
@@ -46,14 +46,14 @@
 
     def _granted(self, claim: Claim) -> None:
         now, holder = self.loop.now, claim.holder.attempt
-        found = self.grants.setdefault(claim.operation, [])
-        for one in found:
-            if one.holder != holder and now - one.at < self.window:
+        operation_grants = self.grants.setdefault(claim.operation, [])
+        for grant in operation_grants:
+            if grant.holder != holder and now - grant.at < self.window:
                 self.judge.report(
-                    f"{now:.3f} {claim.operation[:8]} is granted to {holder}, and to {one.holder} at {one.at:.3f}"
+                    f"{now:.3f} {claim.operation[:8]} is granted to {holder}, and to {grant.holder} at {grant.at:.3f}"
                 )
-        self.ended += any(one.holder != holder for one in found)
-        found[:] = [one for one in found if one.holder != holder] + [Grant(holder, now)]
+        self.ended += any(grant.holder != holder for grant in operation_grants)
+        operation_grants[:] = [grant for grant in operation_grants if grant.holder != holder] + [Grant(holder, now)]
 
     def _held(self, claim: Claim, result: ClaimResult) -> None:
         if result.holder is None or result.holder.attempt == claim.holder.attempt:
@@ -64,5 +64,5 @@
     def on_release(self, claim: Claim) -> None:
         """Handle that a holder releases its claim."""
         self.released += 1
-        found = self.grants.get(claim.operation, [])
-        found[:] = [one for one in found if one.holder != claim.holder.attempt]
+        operation_grants = self.grants.get(claim.operation, [])
+        operation_grants[:] = [grant for grant in operation_grants if grant.holder != claim.holder.attempt]
--- a/tests/simulation/claims_walk.py
+++ b/tests/simulation/claims_walk.py
@@ -33,10 +33,10 @@
         """Check the messages of a call that is sent."""
         self.others(sender, to, path, body)
         if path.endswith("/claim-groups"):
-            messages = [unpack(one) for one in json.loads(body)]
+            messages = [unpack(message) for message in json.loads(body)]
             for part, judge in enumerate(self.groups):
-                found = [one for one in messages if one["group"] == part]
-                judge.on_message(sender, to, "/consensus", json.dumps(found).encode())
+                group_messages = [message for message in messages if message["group"] == part]
+                judge.on_message(sender, to, "/consensus", json.dumps(group_messages).encode())
 
 
 def walk(seed: int, plan: list[Fault] | None = None, span: float = SPAN_S, early: bool = False) -> Outcome:
@@ -73,10 +73,10 @@
     """The first of a mistake's walks that finds it, None if none does."""
     with mistake.applied():
         for seed in mistake.seeds():
-            found = walk(seed, early=True)
+            outcome = walk(seed, early=True)
             gc.collect()
-            if found.violations:
-                return found
+            if outcome.violations:
+                return outcome
     return None
 
 
@@ -89,29 +89,29 @@
     parser.add_argument("--trace", type=int)
     options = parser.parse_args()
     if options.trace is not None:
-        found = walk(options.trace)
-        for line in [*found.log_lines, *found.violations]:
+        outcome = walk(options.trace)
+        for line in [*outcome.log_lines, *outcome.violations]:
             print(line)
-        if found.violations:
+        if outcome.violations:
             print(
-                *shrink(found.faults, lambda fewer: bool(walk(options.trace, fewer, early=True).violations)), sep="\n"
+                *shrink(outcome.faults, lambda fewer: bool(walk(options.trace, fewer, early=True).violations)), sep="\n"
             )
         return
     if options.mistakes:
         for name, mistake in MISTAKES.items():
-            found = find(mistake)
-            print(name, found and (found.seed, found.violations[0]), flush=True)
+            outcome = find(mistake)
+            print(name, outcome and (outcome.seed, outcome.violations[0]), flush=True)
         return
     started_at, done, broken, granted, ended = time.monotonic(), 0, 0, 0, 0
     for seed in range(options.first, options.first + options.walks):
         if time.monotonic() - started_at > options.seconds:
             break
-        found = walk(seed)
+        outcome = walk(seed)
         gc.collect()
-        done, granted, ended = done + 1, granted + found.changes, ended + found.calls
-        if found.violations:
+        done, granted, ended = done + 1, granted + outcome.changes, ended + outcome.calls
+        if outcome.violations:
             broken += 1
-            print(seed, *found.violations[:5], sep="\n   ", flush=True)
+            print(seed, *outcome.violations[:5], sep="\n   ", flush=True)
     took = round(time.monotonic() - started_at, 1)
     print(json.dumps({"walks": done, "walks_broken": broken, "granted": granted, "ended": ended, "seconds": took}))
 
--- a/tests/simulation/connections.py
+++ b/tests/simulation/connections.py
@@ -128,11 +128,11 @@
         self.edge.soon(act, wait=wait)
 
     def connect(self, protocol: asyncio.Protocol) -> Transport:
-        made = Transport(self, protocol)
-        protocol.connection_made(made)
+        transport = Transport(self, protocol)
+        protocol.connection_made(transport)
         if self.random.random() < 0.05:
-            made.on_arrival(None)
-        return made
+            transport.on_arrival(None)
+        return transport
 
     def check_reuse(self, data: bytes) -> None:
         """Check a call that is sent on a connection with unread input."""
@@ -213,16 +213,16 @@
         pass
 
 
-def _core_answer(number: int, asked: bytes) -> bytes:
+def _core_answer(number: int, request: bytes) -> bytes:
     """An answer that repeats the call's id, as those of cores do."""
     body = json.dumps({"n": number}).encode()
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % len(body)
-    if b"Call-Id: " in asked:
+    if b"Call-Id: " in request:
         head += b"Call-Id: %d\r\n" % (number + 1)
     return head + b"\r\n" + body
 
 
-def _node_answer(number: int, asked: bytes) -> bytes:
+def _node_answer(number: int, request: bytes) -> bytes:
     head = b"HTTP/1.1 200 OK\r\nAttempt-Id: a%d\r\nServer-Seal: x\r\nContent-Length: 8\r\n\r\n" % number
     return head + b"%08d" % number
 
@@ -232,10 +232,10 @@
 
 async def _to_core(calls: Calls, chance: random.Random) -> None:
     """An edge's calls to a core, one after the other."""
-    made = caller.Caller()
+    client = caller.Caller()
     for number in range(CALLS):
         try:
-            answer = await made.json("POST", f"http://core:{PORT}/x", {"n": number}, chance.choice((0.02, 0.1)))
+            answer = await client.json("POST", f"http://core:{PORT}/x", {"n": number}, chance.choice((0.02, 0.1)))
         except PeerError:
             continue
         finally:
@@ -281,10 +281,10 @@
 def _patched(loop: VirtualLoop, peers: dict[str, Peer]) -> Iterator[None]:
     """Patch the modules that open and poll sockets to use in-memory connections to these peers."""
 
-    async def sock_connect(made: _Socket, address: tuple[str, int]) -> None:
+    async def sock_connect(sock: _Socket, address: tuple[str, int]) -> None:
         await asyncio.sleep(2 * DELAY_S)
-        made.host = address[0]
-        if peers[made.host].random.random() < 0.05:
+        sock.host = address[0]
+        if peers[sock.host].random.random() < 0.05:
             raise ConnectionRefusedError
 
     async def connect(
--- a/tests/simulation/crash_gap.py
+++ b/tests/simulation/crash_gap.py
@@ -62,7 +62,7 @@
 
 def measure_world(seed: int, core: bool = False) -> Measurements:
     """Run one world: crash a node without other faults, and watch its slices until they are served again."""
-    found = Measurements()
+    measurements = Measurements()
     world = World(seed, 3, True)
     with programs.in_place(world.wire, seed, world.log, 4000, 512):
         world.start()
@@ -72,17 +72,17 @@
         world.operators.stopped = True
         before = sum(node.grants for node in world.nodes.values())
         world.loop.run(CALM_S)
-        found.grants = sum(node.grants for node in world.nodes.values()) - before
+        measurements.grants = sum(node.grants for node in world.nodes.values()) - before
         if core:
             _crash_core(world)
         crashed_at = world.loop.now + seed % 20 * 0.1  # crashes fall anywhere between two renewals
         world.loop.run(crashed_at)
         name = _crash_node(world)
-        _watch(world, name, crashed_at, found)
-    return found
+        _watch(world, name, crashed_at, measurements)
+    return measurements
 
 
-def _watch(world: World, name: str, crashed_at: float, found: Measurements) -> None:
+def _watch(world: World, name: str, crashed_at: float, measurements: Measurements) -> None:
     """Record when each slice of the node `name` is served again, and which live nodes' holds run out."""
     lines = world.edge_processes["e0"].link.view.assignments["s"].by_slice  # type: ignore[attr-defined]
     waiting = {k for k, line in enumerate(lines) if line.owner == name}
@@ -92,12 +92,12 @@
         now = world.loop.now
         served = {k for k in waiting if lines[k].open and lines[k].owner != name}
         waiting -= served
-        found.gaps += [now - crashed_at] * len(served)
+        measurements.gaps += [now - crashed_at] * len(served)
         for k, line in enumerate(lines):
             node = world.nodes.get(line.owner)
             if line.open and line.owner != name and node is not None and node.held_until.get(k, 0.0) <= now:
                 lapsed.add(k)
-    found.unserved, found.lapsed = len(waiting), len(lapsed)
+    measurements.unserved, measurements.lapsed = len(waiting), len(lapsed)
 
 
 def measure(
@@ -111,12 +111,12 @@
         if lease is not None:
             stack.enter_context(mock.patch.object(conductor_leases, "LEASE_S", lease))
         for seed in range(worlds):
-            found = measure_world(seed, core)
+            measurements = measure_world(seed, core)
             gc.collect()
-            total.gaps += found.gaps
-            total.grants += found.grants
-            total.unserved += found.unserved
-            total.lapsed += found.lapsed
+            total.gaps += measurements.gaps
+            total.grants += measurements.grants
+            total.unserved += measurements.unserved
+            total.lapsed += measurements.lapsed
     return {
         "gap_p50": round(median(total.gaps), 2),
         "gap_p99": round(quantiles(total.gaps, n=100)[98], 2),
--- a/tests/simulation/disk.py
+++ b/tests/simulation/disk.py
@@ -49,27 +49,27 @@
             try:
                 if self.loop.now < self.refuses_until:
                     raise StoreUnavailableError(Path(self.name), "refuses")
-                found, error = act(*arguments), None
+                result, error = act(*arguments), None
             except StoreUnavailableError as refused:
-                found, error = None, refused
-            process.soon(lambda: self._resolve(future, found, error))
+                result, error = None, refused
+            process.soon(lambda: self._resolve(future, result, error))
 
         self.under_way = process, lambda: act(*arguments)
         self.loop.world.soon(done, wait=wait)
 
     @staticmethod
-    def _resolve(future: asyncio.Future, found: Any, error: Exception | None) -> None:
+    def _resolve(future: asyncio.Future, result: Any, error: Exception | None) -> None:
         if future.done():
             return
         if error is not None:
             future.set_exception(error)
         else:
-            future.set_result(found)
+            future.set_result(result)
 
     def power_lost(self) -> None:
         """Lose the power: the write in progress is kept or lost, and is not acknowledged."""
-        for one in self.folders.values():
-            one.power_lost()
+        for folder in self.folders.values():
+            folder.power_lost()
         work, self.under_way = self.under_way, None
         if work is not None and self.loop.now >= self.refuses_until and self.random.random() < 0.4:
             work[1]()
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -43,18 +43,18 @@
     weights = [chance.choice((0, 1, 1, 4)) for _ in FAULTS]
     if not any(weights):
         weights = [1] * len(FAULTS)
-    found, at = [], chance.uniform(0.0, 2.0)
+    faults, at = [], chance.uniform(0.0, 2.0)
     while at < span:
         kind = chance.choices(list(FAULTS), weights)[0]
         duration_s = chance.choice((0.05, 0.3, 0.8, 2.0, 5.0, 20.0)[: 4 if every < 0.3 else 6])
-        found.append(Fault(round(at, 3), kind, min(duration_s, span - at), chance.random(), chance.random()))
+        faults.append(Fault(round(at, 3), kind, min(duration_s, span - at), chance.random(), chance.random()))
         at += chance.expovariate(1 / every)
-    found += (
+    faults += (
         _plan_node_cuts(seed, span)
         + _plan_edge_cuts(seed, span)
         + [Fault(*arguments) for arguments in plan_wide_faults(seed, span)]
     )
-    return sorted(found, key=lambda fault: fault.at)
+    return sorted(faults, key=lambda fault: fault.at)
 
 
 def _plan_node_cuts(seed: int, span: float) -> list[Fault]:
--- a/tests/simulation/keys_judge.py
+++ b/tests/simulation/keys_judge.py
@@ -69,7 +69,7 @@
         known = register.newest_acknowledged(now - REVOKE_TIMEOUT)
         if has < known:
             self.world.judge.report(
-                f"{now:.3f} {edge} takes keys by r{has}; r{known} was told {REVOKE_TIMEOUT:g} s ago"
+                f"{now:.3f} {edge} takes keys by r{has}; r{known} was acknowledged {REVOKE_TIMEOUT:g} s ago"
             )
         revoked = (content.mark for content in reversed(register.first_sent_at) if content.version < known)
         for mark in islice(revoked, REVOKED_KEYS_TRIED):
--- a/tests/simulation/loop.py
+++ b/tests/simulation/loop.py
@@ -172,13 +172,13 @@
 
     def failed(self) -> list[str]:
         """Unhandled errors, and those that ended tasks of running processes, other than failed calls."""
-        found = list(self.errors)
+        errors = list(self.errors)
         for process in self.processes:
             for task in process.tasks if process.alive else ():
                 error = task.exception() if task.done() and not task.cancelled() else None
                 if error is not None and not isinstance(error, PeerError):
-                    found.append(f"{process.name}: {type(error).__name__} {error}")
-        return found
+                    errors.append(f"{process.name}: {type(error).__name__} {error}")
+        return errors
 
     def default_exception_handler(self, context: dict) -> None:
         self.call_exception_handler(context)
--- a/tests/simulation/operators.py
+++ b/tests/simulation/operators.py
@@ -104,22 +104,22 @@
         url = f"http://{self._address()}/configuration"
         for _ in range(MAX_REDIRECTS):
             try:
-                found = await self.world.wire.call(method, url, body, headers, timeout_s, "operator", False)
+                response = await self.world.wire.call(method, url, body, headers, timeout_s, "operator", False)
             except PeerError:
                 return 0, None
-            if found.status != 307:
-                return found.status, json.loads(found.body) if found.body else None
-            url = found.headers["location"]
+            if response.status != 307:
+                return response.status, json.loads(response.body) if response.body else None
+            url = response.headers["location"]
         return 0, None
 
     async def read(self) -> bool:
         """Read the configuration; whether the call was answered."""
         started_at = self.world.loop.now
-        status, found = await self._call("GET", b"", {}, 1.5)
+        status, response_body = await self._call("GET", b"", {}, 1.5)
         if status not in (200, 404):
             return False
-        version = int(found["config_version"][1:]) if status == 200 else 0
-        mark = mark_of(found) if status == 200 else None
+        version = int(response_body["config_version"][1:]) if status == 200 else 0
+        mark = mark_of(response_body) if status == 200 else None
         self.known = max(self.known, version)
         self.world.register.record(OperatorCall(started_at, self.world.loop.now, status, None, version, mark))
         return True
@@ -147,10 +147,12 @@
         started_at, content = self.world.loop.now, change.content
         self.world.register.record_sent(content, started_at)
         headers = {"if-match": f"r{content.base}" if content.base else "0"}
-        status, found = await self._call(change.method, change.body, headers, self.random.choice((0.4, 1.5, 4.0)))
+        status, response_body = await self._call(
+            change.method, change.body, headers, self.random.choice((0.4, 1.5, 4.0))
+        )
         call = OperatorCall(started_at, self.world.loop.now, status if status in (200, 400, 412) else 0, content)
-        if status == 412 and "config_version" in (found or {}):
-            call.version = int(found["config_version"][1:])
+        if status == 412 and "config_version" in (response_body or {}):
+            call.version = int(response_body["config_version"][1:])
             self.known = max(self.known, call.version)
         if status == 200:
             self.known = max(self.known, content.version)
--- a/tests/simulation/walk.py
+++ b/tests/simulation/walk.py
@@ -144,12 +144,12 @@
     with mistake.applied():
         for seed in seeds:
             if mistake.point == 5:
-                found = Outcome(seed, connections.walk(seed), [])
+                outcome = Outcome(seed, connections.walk(seed), [])
             else:
-                found = walk(seed, early=True, limited=mistake.point == QUOTA)
+                outcome = walk(seed, early=True, limited=mistake.point == QUOTA)
             gc.collect()
-            if found.violations:
-                return found
+            if outcome.violations:
+                return outcome
     return None
 
 
@@ -164,7 +164,7 @@
 
 def measure(count: int) -> dict[str, int]:
     """Count walks, those with violations, and the seeded mistakes and those found; for `benchmarks.system`."""
-    broken = sum(bool(found.violations) for found in walks(range(count)))
+    broken = sum(bool(outcome.violations) for outcome in walks(range(count)))
     shown = sum(find(mistake, mistake.seeds()) is not None for mistake in MISTAKES.values())
     return {
         "walks": count,
@@ -180,12 +180,12 @@
 
 def print_trace(seed: int) -> None:
     """Print a walk's log, faults and violations; if there are any, also a minimal plan that still causes one."""
-    found = walk(seed)
-    for line in found.log_lines:
+    outcome = walk(seed)
+    for line in outcome.log_lines:
         print(*line)
-    print(*found.violations, sep="\n")
-    if found.violations:
-        print(*shrink(found.faults, lambda fewer: bool(walk(seed, fewer, early=True).violations)), sep="\n")
+    print(*outcome.violations, sep="\n")
+    if outcome.violations:
+        print(*shrink(outcome.faults, lambda fewer: bool(walk(seed, fewer, early=True).violations)), sep="\n")
 
 
 def main() -> None:
@@ -202,20 +202,20 @@
         print_trace(options.trace)
         return
     if options.digest is not None:
-        found = walk(options.digest, span=4.0)
-        print(found.steps, sha256(repr(found.log_lines).encode()).hexdigest())
+        outcome = walk(options.digest, span=4.0)
+        print(outcome.steps, sha256(repr(outcome.log_lines).encode()).hexdigest())
         return
     if options.mistakes:
         for name, mistake in MISTAKES.items():
-            found = find(mistake, mistake.seeds())
-            print(name, found and (found.seed, found.violations[0]), flush=True)
+            outcome = find(mistake, mistake.seeds())
+            print(name, outcome and (outcome.seed, outcome.violations[0]), flush=True)
         return
     done = broken = changes = 0
-    for found in walks(range(options.first, options.first + options.walks), started_at + options.seconds):
-        done, changes = done + 1, changes + found.changes
-        if found.violations:
+    for outcome in walks(range(options.first, options.first + options.walks), started_at + options.seconds):
+        done, changes = done + 1, changes + outcome.changes
+        if outcome.violations:
             broken += 1
-            print(found.seed, *found.violations[:5], sep="\n   ", flush=True)
+            print(outcome.seed, *outcome.violations[:5], sep="\n   ", flush=True)
     took = time.monotonic() - started_at
     print(json.dumps({"walks": done, "walks_broken": broken, "changes": changes, "seconds": round(took, 1)}))
 
--- a/tests/simulation/wire.py
+++ b/tests/simulation/wire.py
@@ -127,8 +127,8 @@
         def arrive() -> None:
             if (abandoned[0] or not caller.alive) and (resets or self.random.random() < 0.2):
                 return
-            found = self.listening.get(to)
-            if found is None or not found[0].alive:
+            listener = self.listening.get(to)
+            if listener is None or not listener[0].alive:
                 if to.partition(":")[0] not in self.silent_hosts:
                     self._send_message(
                         parts.hostname,
@@ -137,7 +137,7 @@
                         reset,
                     )
                 return
-            process, routes = found
+            process, routes = listener
             handler = routes.get(f"{method} {parts.path}") or routes.get("*")
             if handler is None:
                 raise LookupError(f"nothing at {url}")
@@ -147,16 +147,16 @@
 
         async def serve(process: Process, handler: Handler, request: Any) -> None:
             answer = await handler(request)
-            found = Response(
+            response = Response(
                 answer.status, {k.lower(): v for k, v in answer.headers.items()}, answer.body, process.name
             )
-            self.on_message(process.host, caller.host, "answer " + parts.path, found.body)
+            self.on_message(process.host, caller.host, "answer " + parts.path, response.body)
             self._send_message(
                 process.host,
                 caller.host,
-                lambda: caller.soon(lambda: future.done() or future.set_result(found)),
+                lambda: caller.soon(lambda: future.done() or future.set_result(response)),
                 reset,
-                len(found.body),
+                len(response.body),
             )
 
         refuse = functools.partial(fail, ConnectionRefusedPeerError(step, url, "refused on the way"))
@@ -197,8 +197,8 @@
         headers: dict[str, str] | None = None,
         single_use: bool = False,
     ) -> tuple[int, dict[str, str], bytes]:
-        found = await self.send_for_response(method, url, body, timeout_s, step, headers)
-        return found.status, found.headers, found.body
+        response = await self.send_for_response(method, url, body, timeout_s, step, headers)
+        return response.status, response.headers, response.body
 
     async def send_for_response(
         self, method: str, url: str, body: Any, timeout_s: float, step: str, headers: dict[str, str] | None = None
