--- a/knotwalk/replay/exact.py
+++ b/knotwalk/replay/exact.py
@@ -84,20 +84,20 @@
 
 def describe_state(module: Conductor, orders: Iterable) -> list[str]:
     """Describe the state of the slices and servers that some orders name."""
-    out: list[str] = []
+    descriptions: list[str] = []
     for _, arguments in orders:
         for value in arguments:
             if (s := module.slices.get(value)) is not None and not isinstance(value, float | bool):
                 sent_lines = ", ".join(f"{x.id} {w:g}" for x, w in s.sent_lines.items())
-                out.append(
-                    f"slice {s.id}: demand {s.demand:.4g}, on {', '.join(x.id for x in s.shares)}; told {sent_lines}"
+                descriptions.append(
+                    f"slice {s.id}: demand {s.demand:.4g}, on {', '.join(x.id for x in s.shares)}; sent {sent_lines}"
                 )
             elif isinstance(value, str) and (x := module.servers.get(value)) is not None:
-                out.append(
+                descriptions.append(
                     f"server {x.id}: {x.state}, load {x.load:.4g} of {x.capacity:.4g}, health {x.health:g}, "
                     f"used {x.reported_use:.3g}"
                 )
-    return list(dict.fromkeys(out))[:6]
+    return list(dict.fromkeys(descriptions))[:6]
 
 
 class Player:
--- a/knotwalk/replay/inference.py
+++ b/knotwalk/replay/inference.py
@@ -237,8 +237,8 @@
         return self
 
     def align_reports(self) -> None:
-        """Place the period of each report in time. Reports are delayed by varying times, but their periods are contiguous,
-        so the fastest of many reports fixes the periods of all. Periods taken too short made servers look too fast."""
+        """Place the period of each report in time. Reports are delayed by varying times, but their periods are
+        contiguous: the fastest of many reports fixes all of them. Periods taken too short made servers look fast."""
         aligned: list[Report] = []
         for k, report in enumerate(self.reports):
             aligned.append(report)
--- a/knotwalk/replay/model.py
+++ b/knotwalk/replay/model.py
@@ -41,14 +41,14 @@
 class Server:
     """A simulated server."""
 
-    __slots__ = ("id", "history", "free_at", "busy", "server_stats", "cores")
+    __slots__ = ("id", "history", "free_at", "busy", "sums_by_zone", "cores")
 
     def __init__(self, id: str, inferred: InferredDay):
         self.id, self.history = id, inferred.server_histories[id]
         self.cores = max(1, round(self.history.size))
-        self.free_at = [0.0] * self.cores
-        self.busy = 0.0
-        self.server_stats: dict[str, list] = {}
+        self.free_at = [0.0] * self.cores  # by core: when its queue is empty
+        self.busy = 0.0  # core seconds of work accepted, including work carried over from the last period
+        self.sums_by_zone: dict[str, list] = {}  # by the proxies' zone: [tries, aborted, latency sum]
 
 
 class PolicyFailedError(Exception):
@@ -199,10 +199,10 @@
         try:
             self.module.decide(now, inbox, order_log)
         except Exception as error:
-            at = error.__traceback__
-            while at is not None and at.tb_next is not None:
-                at = at.tb_next
-            line = f" in line {at.tb_lineno}" if at else ""
+            traceback = error.__traceback__
+            while traceback is not None and traceback.tb_next is not None:
+                traceback = traceback.tb_next
+            line = f" in line {traceback.tb_lineno}" if traceback else ""
             raise PolicyFailedError(
                 f"the decisions failed {now - self.inferred.since:.1f} s into the day{line}: "
                 f"{type(error).__name__}: {error}"
@@ -313,33 +313,37 @@
             if not open_names:
                 return
             name = self.random.choice(open_names)
-        x = self.server(name)
-        if x is None:
+        server = self.server(name)
+        if server is None:
             return
-        sums = x.server_stats.get(self.zones[zone])
+        sums = server.sums_by_zone.get(self.zones[zone])
         if sums is None:
-            sums = x.server_stats[self.zones[zone]] = [0, 0, 0.0]
+            sums = server.sums_by_zone[self.zones[zone]] = [0, 0, 0.0]
         sums[0] += 1
-        host = x.history
-        reach = host.reachable_share.get(self.zones[zone])
-        if not host.alive.value_at(now, True) or reach is not None and self.random.random() >= reach.value_at(now, 1.0):
+        history = server.history
+        reach = history.reachable_share.get(self.zones[zone])
+        if (
+            not history.alive.value_at(now, True)
+            or reach is not None
+            and self.random.random() >= reach.value_at(now, 1.0)
+        ):
             sums[1] += 1
             return
         self.sent += 1
-        self.unseen += now - host.speed.changed_at(now) > SPEED_VALID_S
+        self.unseen += now - history.speed.changed_at(now) > SPEED_VALID_S
         speed = (
-            host.speed.value_at(now) or (host.speed.values[0] if host.speed.values else self.mean_speed)
-        ) * host.capacity_share(now, self.recorded_settings)
-        others = host.other_utilization.value_at(now, 0.0)
-        rate = speed * max(0.05, 1 - others)
-        free = x.free_at
-        core = min(range(x.cores), key=free.__getitem__) if x.cores > 1 else 0
-        wait = max(0.0, free[core] - now)
+            history.speed.value_at(now) or (history.speed.values[0] if history.speed.values else self.mean_speed)
+        ) * history.capacity_share(now, self.recorded_settings)
+        other_utilization = history.other_utilization.value_at(now, 0.0)
+        rate = speed * max(0.05, 1 - other_utilization)
+        free_at = server.free_at
+        core = min(range(server.cores), key=free_at.__getitem__) if server.cores > 1 else 0
+        wait = max(0.0, free_at[core] - now)
         if wait > MAX_QUEUE_WAIT_S:
             sums[1] += 1
             return
-        free[core] = now + wait + work / rate
-        x.busy += work / rate
+        free_at[core] = now + wait + work / rate
+        server.busy += work / rate
         latency = wait + work / speed
         if latency > self.give_up[method]:
             sums[1] += 1
@@ -352,24 +356,35 @@
         now, span = self.now, report.until - report.since
         inbox: list = []
         used = self.used.setdefault(int((now - self.inferred.since) / BUCKET_S), {})
-        for x in self.servers.values():
-            ahead = sum(max(0.0, free - now) for free in x.free_at)
-            others = float(x.history.other_utilization.value_at(now, 0.0))
-            busy = min(1.0, max(0.0, x.busy - ahead) / (x.cores * span))
-            x.busy = ahead
-            if not x.history.alive.value_at(now, True):
-                x.free_at, x.busy = [0.0] * x.cores, 0.0
-            used[x.id] = busy
-            tries = sum(m[0] for m in x.server_stats.values())
-            load = {"utilization": min(1.0, busy), "qps": tries / span / max(0.05, 1 - others)}
+        for server in self.servers.values():
+            ahead = sum(max(0.0, free_at - now) for free_at in server.free_at)
+            other_utilization = float(server.history.other_utilization.value_at(now, 0.0))
+            busy = min(1.0, max(0.0, server.busy - ahead) / (server.cores * span))
+            server.busy = ahead
+            if not server.history.alive.value_at(now, True):
+                server.free_at, server.busy = [0.0] * server.cores, 0.0
+            used[server.id] = busy
+            tries = sum(m[0] for m in server.sums_by_zone.values())
+            load = {"utilization": min(1.0, busy), "qps": tries / span / max(0.05, 1 - other_utilization)}
             if not self.servers_report_qps():
                 del load["qps"]
-            for zone, (tried, aborted, seconds) in x.server_stats.items():
-                good = tried - aborted
+            for zone, (tried, aborted, seconds) in server.sums_by_zone.items():
+                answered = tried - aborted
                 inbox.append(
-                    ("heard", (x.id, zone, span, tried, aborted, seconds / good if good else 0.0, load if good else {}))
+                    (
+                        "heard",
+                        (
+                            server.id,
+                            zone,
+                            span,
+                            tried,
+                            aborted,
+                            seconds / answered if answered else 0.0,
+                            load if answered else {},
+                        ),
+                    )
                 )
-            x.server_stats = {}
+            server.sums_by_zone = {}
         inbox += [("wanted", (slice_id, method, span, count)) for (slice_id, method), count in report.wanted.items()]
         self.schedule(report.at, lambda: self.run_round(inbox))
 
--- a/knotwalk/replay/timeline.py
+++ b/knotwalk/replay/timeline.py
@@ -42,10 +42,8 @@
 
     def __init__(self, at: float, span: float):
         self.at, self.span = at, span
-        self.since, self.until = (
-            at - MIN_REPORT_DELAY_S - span,
-            at - MIN_REPORT_DELAY_S,
-        )  # refined by InferredDay.align_reports
+        # The period's start and end, refined by InferredDay.align_reports.
+        self.since, self.until = at - MIN_REPORT_DELAY_S - span, at - MIN_REPORT_DELAY_S
         self.wanted: dict[tuple[int, int], int] = {}
         self.server_stats: dict[str, ServerStats] = {}
         self.expected_tries: dict[str, list[float]] = {}  # by server: tries by method that the tables imply
@@ -99,12 +97,12 @@
         self.zone, self.size = "", 1.0
         self.states = StepSeries()  # (state, start time), as listed by service discovery
         self.speed = StepSeries()  # work per second and core when warm, by the middle of periods
-        self.alive = StepSeries()  # whether it answers
+        self.alive = StepSeries()  # whether it answers RPCs
         self.other_utilization = StepSeries()  # utilization caused by other callers
         self.reachable_share: dict[str, StepSeries] = {}  # by the proxies' zone: share of tries that reach it
 
     def capacity_share(self, at: float, settings: Settings) -> float:
-        """The share of its capacity after a cold start: grows linearly from `cold_share` to 1 within `cold_time`."""
+        """The share of the capacity after a cold start, which grows linearly from `cold_share` to 1 in `cold_time`."""
         _, started = self.states.value_at(at, ("ready", 0.0))
         if not started or not settings.cold_time:
             return 1.0
--- a/knotwalk/replay/verdict.py
+++ b/knotwalk/replay/verdict.py
@@ -93,8 +93,8 @@
 def service_share(rows: Iterable[list[float]], settings: Settings) -> float:
     """Criticality earned, as a share of that requested."""
     pairs = [criticality_sums(row, settings) for row in rows]
-    asked = sum(a for a, _ in pairs)
-    return sum(e for _, e in pairs) / asked if asked else 1.0
+    requested = sum(a for a, _ in pairs)
+    return sum(e for _, e in pairs) / requested if requested else 1.0
 
 
 def service_by_method(rows: Iterable[list[float]], count: int) -> list[float]:
@@ -111,8 +111,8 @@
     out: dict[int, list[float]] = {}
     for k, row in inferred.estimate_service().items():
         report = inferred.reports[k]
-        span = int(((report.since + report.until) / 2 - inferred.since) / BUCKET_S)
-        row_sums = out.setdefault(span, [0.0] * len(row))
+        bucket = int(((report.since + report.until) / 2 - inferred.since) / BUCKET_S)
+        row_sums = out.setdefault(bucket, [0.0] * len(row))
         for i, value in enumerate(row):
             row_sums[i] += value
     return out
@@ -124,15 +124,17 @@
     count = len(settings.methods)
     heard_rows = heard_by_bucket(inferred)
     heard = service_share(heard_rows.values(), settings)
-    a, b = ([service_share(run.service.values(), settings) for run in runs] for runs in (recorded, tried))
-    error = fmean(a) - heard
+    recorded_shares, tried_shares = (
+        [service_share(run.service.values(), settings) for run in runs] for runs in (recorded, tried)
+    )
+    error = fmean(recorded_shares) - heard
     course = service_by_bucket(heard_rows, settings)
     modelled = [service_by_bucket(run.service, settings) for run in recorded]
     deviations = [
         fmean(m[k] for m in modelled if k in m) - value for k, value in course.items() if any(k in m for m in modelled)
     ]
     error_span = sqrt(fmean(x * x for x in deviations)) if deviations else 0.0
-    differences = [y - x for x, y in zip(a, b)]
+    differences = [y - x for x, y in zip(recorded_shares, tried_shares)]
     chance = stdev(differences) if len(differences) > 1 else abs(differences[0])
     margin = max(MIN_MARGIN, abs(error), prediction_half_width(differences))
     difference = fmean(differences)
@@ -140,15 +142,17 @@
 
     def side(runs: list[Run], shift: float, half_width: float) -> Side:
         base = service_by_method(heard_rows.values(), count)
-        zero = [service_by_method(run.service.values(), count) for run in recorded]
-        own = [service_by_method(run.service.values(), count) for run in runs]
+        recorded_rows = [service_by_method(run.service.values(), count) for run in recorded]
+        own_rows = [service_by_method(run.service.values(), count) for run in runs]
         methods = []
         for k in range(count):
-            moved = base[k] + fmean(x[k] for x in own) - fmean(x[k] for x in zero)
+            shifted = base[k] + fmean(x[k] for x in own_rows) - fmean(x[k] for x in recorded_rows)
             spread = max(
-                half_width, abs(fmean(x[k] for x in zero) - base[k]), prediction_half_width([x[k] for x in own])
+                half_width,
+                abs(fmean(x[k] for x in recorded_rows) - base[k]),
+                prediction_half_width([x[k] for x in own_rows]),
             )
-            methods.append(estimate(moved, spread))
+            methods.append(estimate(shifted, spread))
         by_bucket = [service_by_bucket(run.service, settings) for run in runs]
         keys = sorted(set().union(*by_bucket))
         used = {k: (fmean(v.values()), max(v.values())) for k, v in runs[0].used.items() if v}
@@ -207,15 +211,14 @@
     tables: tuple[dict, dict] = ({}, {})
     out, first, k = [], None, 0
     differ: set[int] = set()
-    span = 0
-    while k < len(changes) or span * BUCKET_S <= inferred.until - inferred.since:
-        end = inferred.since + (span + 1) * BUCKET_S
+    bucket = 0
+    while k < len(changes) or bucket * BUCKET_S <= inferred.until - inferred.since:
+        end = inferred.since + (bucket + 1) * BUCKET_S
         while k < len(changes) and changes[k][0] < end:
             at = changes[k][0]
             touched = set()
-            while (
-                k < len(changes) and changes[k][0] == at
-            ):  # apply all changes of the same time before comparing: both runs may change a table in the same round
+            # Apply all changes of one time before comparing: both runs may change a table in the same round.
+            while k < len(changes) and changes[k][0] == at:
                 _, which, slice_id, lines = changes[k]
                 tables[which][slice_id] = lines
                 touched.add(slice_id)
@@ -226,6 +229,6 @@
                     first = at - inferred.since if first is None else first
                 else:
                     differ.discard(slice_id)
-        out.append((span * BUCKET_S, len(differ)))
-        span += 1
+        out.append((bucket * BUCKET_S, len(differ)))
+        bucket += 1
     return out, first
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -186,11 +186,11 @@
     recorder = Recorder("n0", "i1", "digest", 1e9, max_waiting_bytes=40_000)
     day = Day(1, SMALL)
     recorder.record_life(0.0, day.module, day.settings, LIMITS, 1, "start")
-    held = len(recorder.waiting)
+    initial_bytes = len(recorder.waiting)
     for k in range(3000):
         recorder.record_round(float(k), [("joined", (k,))], [], day.module)
     recorder.pack_rounds()
-    assert held < len(recorder.waiting) <= 40_000 and recorder.gap and recorder.lost > 1000
+    assert initial_bytes < len(recorder.waiting) <= 40_000 and recorder.gap and recorder.lost > 1000
     lost, last = recorder.lost, recorder.number
     recorder.waiting.clear()
     recorder.record_round(3000.0, [], [], day.module)
@@ -231,7 +231,7 @@
     def record_round(self, now, inbox, orders, module):
         self.recorder.record_round(now, inbox, orders, module)
 
-    def rounds(self, seconds):
+    def run_rounds(self, seconds):
         self.day.run(seconds)
         self.feed.flush()
         self.run_loop(0.0)
@@ -264,12 +264,12 @@
     run, random = FeedRun(tmp_path), Random(5)
     for _ in range(5):
         run.wait_until(lambda: run.feed.sock)
-        run.rounds(10.0)
+        run.run_rounds(10.0)
         run.run_loop(random.uniform(0, 0.2))
         run.feed.process.kill()
         run.wait_until(lambda: run.recorder.gap)
     run.wait_until(lambda: run.feed.sock)
-    run.rounds(20.0)
+    run.run_rounds(20.0)
     run.wait_until(lambda: run.logged[-1] == "recording resumed")
     run.close()
     outcome = replay(Recording([tmp_path]))
@@ -283,13 +283,13 @@
     folder = tmp_path / "there"
     folder.write_text("a file in place of the folder")
     run = FeedRun(folder)
-    run.rounds(8.0)
+    run.run_rounds(8.0)
     run.wait_until(lambda: run.recorder.is_suspended)
-    run.rounds(8.0)
+    run.run_rounds(8.0)
     assert run.logged == ["recording stopped"] and not run.recorder.waiting
     folder.unlink()
     run.wait_until(lambda: not run.recorder.is_suspended)
-    run.rounds(20.0)
+    run.run_rounds(20.0)
     run.wait_until(lambda: len(run.logged) == 2)
     run.close()
     assert run.logged == ["recording stopped", "recording resumed"]
@@ -350,7 +350,7 @@
     assert middle - started < 3 * (time.process_time() - middle) + 1
     run.feed.process.send_signal(signal.SIGCONT)
     run.wait_until(lambda: len(run.recorder.waiting) < 50_000)
-    run.rounds(3.0)
+    run.run_rounds(3.0)
     run.close()
     outcome = replay(Recording([tmp_path]))
     assert not outcome.divergences and any("the writer is behind" in x.why for x in outcome.losses)
