--- a/knotwalk/replay/inference.py
+++ b/knotwalk/replay/inference.py
@@ -43,9 +43,7 @@
         self.losses: list[Loss] = []
         self.external_events: list[tuple[float, list]] = []  # time of a round, its input of EXTERNAL_HANDLERS
         self.reports: list[Report] = []
-        self.orders: list[
-            tuple[float, list]
-        ] = []  # time of a round, its orders, for rounds with line, admit or withdraw
+        self.orders: list[tuple[float, list]] = []  # (time, orders) of rounds with line, admit or withdraw
         self.server_histories: dict[str, ServerHistory] = {}
         self.tables: dict[int, StepSeries] = {}  # by slice: its lines, {server: weight}, as ordered
         self.levels: dict[tuple[int, int], StepSeries] = {}
@@ -239,24 +237,24 @@
     def align_reports(self) -> None:
         """Place the period of each report in time. Reports are delayed by varying times, but their periods are
         contiguous: the fastest of many reports fixes all of them. Periods taken too short made servers look fast."""
-        aligned: list[Report] = []
+        group: list[Report] = []
         for k, report in enumerate(self.reports):
-            aligned.append(report)
+            group.append(report)
             following = self.reports[k + 1] if k + 1 < len(self.reports) else None
             if (
                 following
-                and len(aligned) < MAX_ALIGNED_REPORTS
+                and len(group) < MAX_ALIGNED_REPORTS
                 and abs(following.at - report.at - following.span) < 0.75 * report.span
             ):
                 continue
             ends, end = [], 0.0
-            for x in aligned:
+            for x in group:
                 end += x.span
                 ends.append(end)
-            begin = min(x.at - end for x, end in zip(aligned, ends)) - MIN_REPORT_DELAY_S
-            for x, end in zip(aligned, ends):
+            begin = min(x.at - end for x, end in zip(group, ends)) - MIN_REPORT_DELAY_S
+            for x, end in zip(group, ends):
                 x.since, x.until = begin + end - x.span, begin + end
-            aligned = []
+            group = []
 
     def estimate_expected_tries(self) -> None:
         """Estimate how many tries of each method each server should have received, by the tables then in effect."""
@@ -322,16 +320,30 @@
             speed = {x: done[x] / took[x] for x in done}
             if count == 2:
                 # Ridge regression of busy * speed on tries; it tends to equal costs where the method mix hardly varies.
-                a = b = c = p = q = 0.0
-                for server, (n, m), busy in rows:
-                    y = busy * speed[server]
-                    a, b, c, p, q = a + n * n, b + n * m, c + m * m, p + n * y, q + m * y
-                ridge = 0.002 * (a + c)
-                level = (p + q) / max(a + 2 * b + c, 1e-9)
-                a, c, p, q = a + ridge, c + ridge, p + ridge * level, q + ridge * level
-                determinant = a * c - b * b
+                tries_sum_00 = tries_sum_01 = tries_sum_11 = work_sum_0 = work_sum_1 = 0.0
+                for server, (tries_0, tries_1), busy in rows:
+                    work = busy * speed[server]
+                    tries_sum_00, tries_sum_01, tries_sum_11, work_sum_0, work_sum_1 = (
+                        tries_sum_00 + tries_0 * tries_0,
+                        tries_sum_01 + tries_0 * tries_1,
+                        tries_sum_11 + tries_1 * tries_1,
+                        work_sum_0 + tries_0 * work,
+                        work_sum_1 + tries_1 * work,
+                    )
+                ridge = 0.002 * (tries_sum_00 + tries_sum_11)
+                level = (work_sum_0 + work_sum_1) / max(tries_sum_00 + 2 * tries_sum_01 + tries_sum_11, 1e-9)
+                tries_sum_00, tries_sum_11, work_sum_0, work_sum_1 = (
+                    tries_sum_00 + ridge,
+                    tries_sum_11 + ridge,
+                    work_sum_0 + ridge * level,
+                    work_sum_1 + ridge * level,
+                )
+                determinant = tries_sum_00 * tries_sum_11 - tries_sum_01 * tries_sum_01
                 if determinant > 1e-9:
-                    costs = [(p * c - q * b) / determinant, (q * a - p * b) / determinant]
+                    costs = [
+                        (work_sum_0 * tries_sum_11 - work_sum_1 * tries_sum_01) / determinant,
+                        (work_sum_1 * tries_sum_00 - work_sum_0 * tries_sum_01) / determinant,
+                    ]
                     self.method_costs = [min(max(w, 0.2 * level), 5 * level) for w in costs]
         # Normalize, so that a core of mean speed does one core second of work per second.
         mean = sum(done.values()) / max(1e-9, sum(took.values()))
@@ -343,7 +355,8 @@
     def infer_server(self, server: ServerHistory) -> None:
         """Infer a server's speed, availability and reachability over the day."""
         settings = self.lives[0].settings
-        points: list[tuple[float, float, float, float, float]] = []  # middle, work, core seconds, ramp, others
+        # For each period: middle, work, core seconds, capacity share, other utilization.
+        points: list[tuple[float, float, float, float, float]] = []
         observed = [
             (r, r.server_stats[server.id])
             for r in self.reports
@@ -374,19 +387,18 @@
             speed = points[-1][1] / points[-1][2] * ramp if points else 1.0
             wait = max(0.0, stats.latency_sum_s / max(1, stats.answered) - work / stats.tries / speed)
             busy = stats.utilization * span * server.size
-            if (
-                stats.utilization >= SATURATED_UTILIZATION
-            ):  # saturated: the growth of the wait shows how much work was queued
+            if stats.utilization >= SATURATED_UTILIZATION:  # the growth of the wait shows how much work was queued
                 busy += max(-0.5, min(2.0, wait - wait_before)) * server.size
             wait_before = wait
             if stats.utilization > 0.02:
                 points.append(
                     (middle, work, max(1e-6, busy * own_share) * ramp, ramp, stats.utilization * (1 - own_share))
                 )
+        # Over three periods at a time, since single ones are mostly noise.
         speeds = [
             sum(p[1] for p in points[max(0, k - 1) : k + 2]) / sum(p[2] for p in points[max(0, k - 1) : k + 2])
             for k in range(len(points))
-        ]  # over three periods at a time, since single ones are mostly noise
+        ]
         for k, (middle, *_) in enumerate(points):
             low = high = k
             while (
@@ -426,14 +438,14 @@
         deviations = []
         for report in self.reports:
             for server, stats, tries_of_methods, busy in self.speed_samples(report):
-                x, middle = self.server_histories[server], (report.since + report.until) / 2
-                speed = x.speed.value_at(middle, 0.0)
+                history, middle = self.server_histories[server], (report.since + report.until) / 2
+                speed = history.speed.value_at(middle, 0.0)
                 if speed and busy:
                     deviations.append(
                         abs(
                             self.cost(tries_of_methods)
                             / busy
-                            / x.capacity_share(middle, self.lives[0].settings)
+                            / history.capacity_share(middle, self.lives[0].settings)
                             / speed
                             - 1
                         )
@@ -463,8 +475,8 @@
                 if not stats.tries:
                     continue
                 tries_of_methods, middle = self.tries_by_method(report, server), (report.since + report.until) / 2
-                x = self.server_histories[server]
-                speed = (x.speed.value_at(middle) or self.mean_speed()) * x.capacity_share(middle, settings)
+                history = self.server_histories[server]
+                speed = (history.speed.value_at(middle) or self.mean_speed()) * history.capacity_share(middle, settings)
                 latency = stats.latency_sum_s / stats.answered if stats.answered else 0.0
                 wait = max(0.0, latency - self.cost(tries_of_methods) / stats.tries / speed)
                 for m, method_settings in enumerate(settings.methods):
