--- a/knotwalk/control_plane/admissions.py
+++ b/knotwalk/control_plane/admissions.py
@@ -246,7 +246,7 @@
             return RUN if self.answers.begin(self.clock(), operation, holds) else UNAVAILABLE
         if holds.core == self.me:
             return self._response_for_holder(operation, holds)
-        return await self._ask_answer_keeper(operation, holds)
+        return await self._request_answer(operation, holds)
 
     async def _await_claim(self, claim: Claim) -> ClaimResult | None:
         """The outcome of a claim; None if there is none yet, while it is still sought for a repeated request."""
@@ -276,7 +276,7 @@
             else:
                 self.pending_claims.pop(claim, None)
 
-    async def _ask_answer_keeper(self, operation: str, holder: Holder) -> AdmissionResponse:
+    async def _request_answer(self, operation: str, holder: Holder) -> AdmissionResponse:
         """The response of the core that keeps an operation's answer; UNAVAILABLE if it does not answer."""
         requested = [[operation, holder.to_json()]]
         try:
--- a/knotwalk/control_plane/claim_group.py
+++ b/knotwalk/control_plane/claim_group.py
@@ -62,12 +62,12 @@
         saved = open_store(
             store, str(Path(settings.data_dir or ".") / name), settings.initial_boot, context.address, context.founders
         )
-        pace = RaftSettings(target_members=settings.tolerance.members, sends_commits_at_once=False)
+        raft_settings = RaftSettings(target_members=settings.tolerance.members, sends_commits_at_once=False)
         self.driver = ConsensusDriver(
             store,
             saved,
             context.caller,
-            pace,
+            raft_settings,
             context.seed + partition,
             context.process_started_at,
             ClaimTable,
--- a/knotwalk/control_plane/consensus_driver.py
+++ b/knotwalk/control_plane/consensus_driver.py
@@ -78,7 +78,7 @@
         store: Store,
         saved: Any,
         caller: HttpClient,
-        pace: RaftSettings,
+        settings: RaftSettings,
         seed: int,
         process_started_at: float,
         state_type: type[AgreedState] = ReplicatedState,
@@ -86,7 +86,7 @@
         group: str = "configuration",
     ):
         self.store, self.state_type, self.group = store, state_type, group
-        self.machine = Machine(saved, pace, seed, clock(), process_started_at)
+        self.machine = Machine(saved, settings, seed, clock(), process_started_at)
         self.state: Any = state_type.from_dict(saved.snapshot) if saved.snapshot else state_type()
         self.pending: dict[int, asyncio.Future] = {}  # proposals and reads by ticket
         self.results: dict[int, Any] = {}  # by log index: the result of applying the entry, for those who wait
@@ -139,11 +139,11 @@
         """Perform the actions that the machine has queued, and set the timer for its next tick."""
         machine = self.machine
         while machine.actions:
-            orders, machine.actions = machine.actions, []
-            for order in orders:
-                match order:
+            actions, machine.actions = machine.actions, []
+            for action in actions:
+                match action:
                     case Save():
-                        self.saves.put_nowait(order)
+                        self.saves.put_nowait(action)
                     case Send(address, message):
                         self.send(address, message)
                     case Apply(entry):
@@ -156,9 +156,9 @@
                         self.on_restore()
                     case RoleChange():
                         log_info(
-                            "role", group=self.group, role=order.role, term=order.term, leader=order.leader_address
+                            "role", group=self.group, role=action.role, term=action.term, leader=action.leader_address
                         )
-                        self.on_role(order)
+                        self.on_role(action)
         if self.notify_pending:  # once for all entries that came together: a start replays hundreds
             self.notify_pending = False
             self.on_configuration()
@@ -239,11 +239,11 @@
             self.machine.receive(now, message)
         replies, rest = [], []
         origin = messages[0].get("at", "") if messages else ""
-        for order in self.machine.actions:
-            if isinstance(order, Send) and order.to_address == origin:
-                replies.append(order.message)
+        for action in self.machine.actions:
+            if isinstance(action, Send) and action.to_address == origin:
+                replies.append(action.message)
             else:
-                rest.append(order)
+                rest.append(action)
         self.machine.actions = rest
         self.perform_actions()
         return replies
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -95,7 +95,7 @@
                 await self.maintain_service(conductor_leases, service)
 
     def is_current(self, conductor_leases: ConductorLeases) -> bool:
-        """Whether `tenure` still counts: this machine has led without a break since it began, and is confirmed."""
+        """Whether `conductor_leases` is still valid: this core has led since they began, and is confirmed."""
         return self.conductor_leases is conductor_leases and self.is_proven
 
     async def maintain_service(self, conductor_leases: ConductorLeases, service: str) -> None:
--- a/knotwalk/control_plane/metrics.py
+++ b/knotwalk/control_plane/metrics.py
@@ -24,7 +24,8 @@
 def slices(plane: ControlPlane) -> Metric:
     """The slices that this core leases, by state."""
     counts = Counter(
-        (tenure.service, tenure.state.value) for tenure in plane.conductor.grant_manager.slice_leases.values()
+        (slice_lease.service, slice_lease.state.value)
+        for slice_lease in plane.conductor.grant_manager.slice_leases.values()
     )
     samples: dict[tuple[str, ...], float] = {
         (service, state.value): counts[service, state.value]
--- a/knotwalk/control_plane/peer_api.py
+++ b/knotwalk/control_plane/peer_api.py
@@ -317,7 +317,7 @@
         """Every LOAD_SHARE_INTERVAL_S, report the loads seen here to the other cores."""
         while True:
             await asyncio.sleep(LOAD_SHARE_INTERVAL_S)
-            self.update_ailing_nodes()
+            self.update_outliers()
             report = self.loads.take_unsent(clock())
             if unreached := self.conductor.unreached(clock()):
                 report["unreached"] = unreached.to_dict()
@@ -331,8 +331,8 @@
                     return_exceptions=True,
                 )
 
-    def update_ailing_nodes(self) -> None:
-        """Determine the ailing nodes from the reported loads; edges and the placement take them into account."""
+    def update_outliers(self) -> None:
+        """Determine the outlier nodes from the reported loads; edges and the placement take them into account."""
         before = self.board.outliers
         if self.board.set_outliers(self.loads.outlier_detection.evaluate(clock(), self.board.nodes)):
             log_warning(
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -1,4 +1,4 @@
-"""One conductor: drives the keeper of leased slices and the placer, which are pure, and makes their calls to nodes."""
+"""One conductor: drives the grant manager and the placer, which are pure, and makes their calls to nodes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def log_event(event: Event) -> None:
-    """Log an event of the keeper; none for a release, which is the ordinary case."""
+    """Log an event of the grant manager; none for a release, which is the ordinary case."""
     match event:
         case NodeUnreachable(node, address, refused):
             log_warning("node unreachable", node=node, address=list(address), refused=refused)
@@ -48,14 +48,14 @@
         board: ViewPublisher,
         loads: LoadReports,
         caller: HttpClient,
-        pace: GrantTiming,
+        timing: GrantTiming,
         seed: int,
         propose: Callable[[dict], Awaitable[str | None]],
         zone: str = "",
     ):
         self.me, self.consensus, self.board, self.loads, self.caller = me, consensus, board, loads, caller
-        self.pace, self.propose = pace, propose
-        self.grant_manager = GrantManager(me, pace, seed, clock())
+        self.timing, self.propose = timing, propose
+        self.grant_manager = GrantManager(me, timing, seed, clock())
         self.peer_reachability = PeerReachability()
         self.placer = Placer(me, seed, zone)
         self.timer: asyncio.TimerHandle | None = None
@@ -84,7 +84,7 @@
         self.perform_actions()
 
     def tick(self) -> None:
-        """Advance the keeper to the current time."""
+        """Advance the grant manager to the current time."""
         self.grant_manager.tick(clock())
         self.perform_actions()
 
@@ -95,7 +95,7 @@
             self.timer.cancel()
 
     def perform_actions(self) -> None:
-        """Log the keeper's events, perform its actions, and set the timer for its next tick."""
+        """Log the grant manager's events, perform its actions, and set the timer for its next tick."""
         if self.stopped:
             return
         grant_manager = self.grant_manager
@@ -105,15 +105,15 @@
             if isinstance(event, HolderCleared):
                 self.cleared_counts[event.evidence] += event.slices
         while grant_manager.actions:
-            orders, grant_manager.actions = grant_manager.actions, []
-            for order in orders:
-                match order:
+            actions, grant_manager.actions = grant_manager.actions, []
+            for action in actions:
+                match action:
                     case Grant():
-                        self._spawn(self._grant(order))
+                        self._spawn(self._grant(action))
                     case Release():
-                        self._spawn(self._release(order))
+                        self._spawn(self._release(action))
                     case Propose():
-                        self._spawn(self.propose(order.command))
+                        self._spawn(self.propose(action.command))
         if self.timer is not None:
             self.timer.cancel()
         self.timer = asyncio.get_running_loop().call_later(
@@ -125,27 +125,27 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _grant(self, order: Grant) -> None:
+    async def _grant(self, action: Grant) -> None:
         payload = {
-            "source_version": order.first_key,
-            "target_version": order.last_key,
-            "fence": order.fence,
-            "hold": format_duration(order.hold),
+            "source_version": action.first_key,
+            "target_version": action.last_key,
+            "fence": action.fence,
+            "hold": format_duration(action.hold),
         }
-        if order.handover:
-            payload["handover"] = order.handover
-        await self._call(order, "grant", payload)
+        if action.handover:
+            payload["handover"] = action.handover
+        await self._call(action, "grant", payload)
 
-    async def _release(self, order: Release) -> None:
+    async def _release(self, action: Release) -> None:
         await self._call(
-            order,
+            action,
             "release",
-            {"source_version": order.first_key, "target_version": order.last_key, "fence": order.fence},
+            {"source_version": action.first_key, "target_version": action.last_key, "fence": action.fence},
         )
 
-    async def _call(self, order: Grant | Release, step: str, payload: dict) -> None:
-        """Wait for a slot, make the call if it may still be made, and report its outcome to the keeper."""
-        slot = self.call_slots.setdefault((order.address, step), asyncio.Semaphore(MAX_CONCURRENT_CALLS[step]))
+    async def _call(self, action: Grant | Release, step: str, payload: dict) -> None:
+        """Wait for a slot, make the call if it may still be made, and report its outcome to the grant manager."""
+        slot = self.call_slots.setdefault((action.address, step), asyncio.Semaphore(MAX_CONCURRENT_CALLS[step]))
         status: int | str | None = UNSENT
         handover = None
         try:
@@ -155,20 +155,22 @@
             pass
         else:
             try:
-                until = order.expires if isinstance(order, Grant) else self.grant_manager.lease_until
+                until = action.expires if isinstance(action, Grant) else self.grant_manager.lease_until
                 if not self.stopped and clock() < until:  # the slot may have come too late
-                    status, handover = await self._send_call(order, step, payload)
+                    status, handover = await self._send_call(action, step, payload)
             finally:
                 slot.release()
         self.call_counts[step, str(status or "silent")] += 1
         if not self.stopped:
-            self.grant_manager.on_call_ended(clock(), order, status, handover)
+            self.grant_manager.on_call_ended(clock(), action, status, handover)
             self.perform_actions()
 
-    async def _send_call(self, order: Grant | Release, step: str, payload: dict) -> tuple[int | str | None, str | None]:
-        host, port = order.address
+    async def _send_call(
+        self, action: Grant | Release, step: str, payload: dict
+    ) -> tuple[int | str | None, str | None]:
+        host, port = action.address
         try:
-            timeout_s = self.pace.call_timeout if step == "grant" else self.pace.release_timeout
+            timeout_s = self.timing.call_timeout if step == "grant" else self.timing.release_timeout
             # If a release counted as answered while work goes on, two nodes would have the same keys. Answers of nodes
             # don't name their call, so each release has its own connection, on which no other answer can arrive.
             own_connection = step == "release"
--- a/knotwalk/edge/choose.py
+++ b/knotwalk/edge/choose.py
@@ -55,8 +55,8 @@
     """The node for a request of an unsharded service with a body of `size` bytes.
 
     It is the better of two random nodes of this zone, or of two of other zones if that one is better by a margin.
-    Draining nodes and those in `skip` (ids already tried) are left out, and avoided, silent and ailing nodes as long as
-    there are others.
+    Draining nodes and those in `skip` (ids already tried) are left out; so are nodes that are avoided, silent or
+    outliers, as long as there are others.
     """
     candidates = [node for node in nodes if not node.draining and node.id not in skip]
     healthy = [
--- a/knotwalk/edge/edge_metrics.py
+++ b/knotwalk/edge/edge_metrics.py
@@ -39,7 +39,7 @@
 
 
 def nodes_metric(view: ClusterView) -> Metric:
-    """Nodes of the cluster view by state; a draining or ailing one is not counted as ready."""
+    """Nodes of the cluster view by state; a draining node or an outlier is not counted as ready."""
     by_state = Counter(
         "draining" if node.draining else "ailing" if node.is_outlier else "ready" for node in view.nodes.values()
     )
