--- a/knotwalk/record/feed.py
+++ b/knotwalk/record/feed.py
@@ -39,7 +39,7 @@
         try:
             local_end, writer_end = socket.socketpair()
         except OSError as error:
-            self.schedule_restart(f"cannot open a socket to the writer: {error.strerror}")
+            self.schedule_restart(f"no descriptors: {error.strerror}")
             return
         try:
             self.process = subprocess.Popen(
@@ -49,7 +49,7 @@
             )
         except OSError as error:
             local_end.close()
-            self.schedule_restart(f"cannot start the writer: {error.strerror}")
+            self.schedule_restart(f"no process: {error.strerror}")
             return
         finally:
             writer_end.close()
@@ -98,7 +98,7 @@
         self.sock.close()
         self.sock = None
         code = self.process.poll()  # None if it has not quite exited; the next start reaps it
-        self.schedule_restart(f"the writer exited with code {code}")
+        self.schedule_restart(f"the writer ended, exit code {code}")
 
     def send_periodically(self) -> None:
         """Every SEND_INTERVAL_S, send what was recorded and log whether recording has stopped or resumed."""
--- a/knotwalk/record/reader.py
+++ b/knotwalk/record/reader.py
@@ -17,7 +17,7 @@
 
 
 DAMAGED = "damaged, missing or never written"
-CUT_OFF = "this incarnation was cut off: what followed its last block is missing"
+CUT_OFF = "this life was cut off: what it met after its last block is not here"
 
 
 class UnusableRecordingError(Exception):
--- a/knotwalk/record/recorder.py
+++ b/knotwalk/record/recorder.py
@@ -53,7 +53,7 @@
         try:
             data = self.pack([kind, number, now, *rest])
         except (TypeError, ValueError, OverflowError) as error:
-            return self.drop_frame(now, f"frame cannot be packed: {error}")
+            return self.drop_frame(now, f"a frame that cannot be packed: {error}")
         if len(self.waiting) + len(data) + LENGTH_PREFIX.size > self.max_waiting_bytes:
             return self.drop_frame(now, "the writer is behind")
         self.waiting += LENGTH_PREFIX.pack(len(data))
