--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,6 +1,6 @@
-"""Soak runs: the started programs on loopback under series of signals, restarts and changes that overlap, by a seed.
+"""Soak runs: real processes on loopback under overlapping series of signals, restarts and changes, drawn from a seed.
 
-`plan` draws what happens and when (pure). `ledger` notes what clients, nodes and the driver saw, `judge` says what of
-it must not be (both pure). `clients` and `nodes` are the stand-ins, `drive` starts the programs and does what is due.
-`python -m tests.soak --help` runs seeds and prints a line each. Times are seconds on the steady clock.
+`plan` draws the schedule. `ledger` holds what clients, nodes and the driver observed; `judge` and `shared_judge` report
+violations in it. None of these does I/O. `clients` and `nodes` are stand-ins, `drive` starts the processes and runs the
+schedule. `python -m tests.soak --seeds 1-50` prints a line per seed. Times are seconds on the monotonic clock.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,8 +1,8 @@
 """Usage: python -m tests.soak [--seeds 1-50] [--edges 4] [--clients 24] [--length 15] [--series 8] [--keep FOLDER]
        [--contracts tenants,keys,quota]
 
-Runs seeds one after the other, a line of JSON each; exit code 1 if any has a finding. --keep: where the programs' logs
-of such a run are copied to.
+Runs the seeds one after the other and prints a line of JSON for each. Exits with 1 if any has a finding. --keep: the
+folder to which the process logs of runs with findings are copied.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from pathlib import Path
 
 from tests.soak.drive import Soak
-from tests.soak.shape import Shape, Told
+from tests.soak.shape import Outcome, Shape
 
-SHOWN = 8  # findings of a run that its line has
+MAX_FINDINGS_SHOWN = 8  # per output line
 
 
-async def soak(seed: int, shape: Shape, keep: Path | None) -> Told:
-    """One run; the logs of one with findings are kept."""
+async def soak(seed: int, shape: Shape, keep: Path | None) -> Outcome:
+    """Runs one seed, and keeps the logs in `keep` if there are findings."""
     run = Soak(seed, shape)
     stop = run.village.stop
 
@@ -32,30 +32,30 @@
         await stop()
 
     run.village.stop = stop_and_keep  # type: ignore[method-assign]
-    told = await run.run()
-    if keep is not None and not told.findings:
+    outcome = await run.run()
+    if keep is not None and not outcome.findings:
         shutil.rmtree(keep / f"seed-{seed}")
-    return told
+    return outcome
 
 
 def main() -> int:
-    """Run the seeds."""
+    """Parses the command line and runs the seeds."""
     parser = ArgumentParser(prog="python -m tests.soak", description="Soak runs by seeds.")
     parser.add_argument("--seeds", default="1-50", help="one, or FIRST-LAST")
     for name, fallback in vars(Shape()).items():
         parser.add_argument(f"--{name}", type=type(fallback), default=fallback)
     parser.add_argument("--keep", type=Path)
-    given = parser.parse_args()
-    first, _, last = given.seeds.partition("-")
-    shape = Shape(given.edges, given.clients, given.length, given.series, given.contracts)
-    found = 0
+    arguments = parser.parse_args()
+    first, _, last = arguments.seeds.partition("-")
+    shape = Shape(arguments.edges, arguments.clients, arguments.length, arguments.series, arguments.contracts)
+    seeds_with_findings = 0
     for seed in range(int(first), int(last or first) + 1):
-        told = asyncio.run(soak(seed, shape, given.keep))
-        found += bool(told.findings)
-        line = {"seed": seed, "findings": len(told.findings), **vars(shape), "lag": round(told.lag, 3)}
-        line |= {"counts": dict(sorted(told.counts.items())), "acts": dict(sorted(told.acts.items()))}
-        print(json.dumps(line | {"first": told.findings[:SHOWN]}), flush=True)
-    return int(bool(found))
+        outcome = asyncio.run(soak(seed, shape, arguments.keep))
+        seeds_with_findings += bool(outcome.findings)
+        line = {"seed": seed, "findings": len(outcome.findings), **vars(shape), "lag": round(outcome.lag, 3)}
+        line |= {"counts": dict(sorted(outcome.counts.items())), "acts": dict(sorted(outcome.acts.items()))}
+        print(json.dumps(line | {"first": outcome.findings[:MAX_FINDINGS_SHOWN]}), flush=True)
+    return int(bool(seeds_with_findings))
 
 
 if __name__ == "__main__":
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What a soak run's clients, nodes and driver saw: requests, runs at nodes, lives of programs. Pure."""
+"""Observations of a soak run: requests by clients, their execution at nodes, and process lifetimes. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,104 +8,106 @@
 
 
 class End(Enum):
-    """How a request ended, as its client saw it."""
+    """How a request ended, as observed by its client."""
 
     OPEN = "open"
     ANSWERED = "answered"
-    CUT = "cut"  # the connection ended with no whole answer
-    BEHIND = "behind"  # sent behind an answer that closed the connection: counts as not read
-    LEFT = "left"  # the client left first
-    SILENT = "silent"  # neither answer nor end came, well past its deadline
+    CONNECTION_CLOSED = "cut"  # the connection ended before a complete response
+    AFTER_CLOSE = "behind"  # pipelined behind a response that closed the connection: counts as not read
+    CLIENT_LEFT = "left"  # the client closed or reset the connection first
+    NO_RESPONSE = "silent"  # neither a response nor a close, well past the deadline
 
 
-class Death(Enum):
-    """Why a life of a program ended."""
+class ExitCause(Enum):
+    """Why an incarnation of a process ended."""
 
     TERM = "SIGTERM"
     KILL = "SIGKILL"
-    ITSELF = "by itself"
+    UNPROMPTED = "by itself"
 
 
 @dataclass
-class Asked:
-    """One request of a client. `life` is that of the edge which took its connection."""
+class ClientRequest:
+    """One request of a client. `incarnation` is that of the edge that accepted the connection."""
 
     id: str
-    life: Life
-    repeatable: bool
-    sent: float
+    incarnation: Incarnation
+    is_repeatable: bool
+    sent_at: float
     end: End = End.OPEN
-    at: float = 0.0  # when it ended so
+    ended_at: float = 0.0
     status: int = 0
     seal: str = ""
     body: bytes = b""
-    whole: bool = True  # the body is the one that a node gives for this very request
+    is_whole: bool = True  # the body is complete and belongs to this request
     path: str = ""
-    public: bool = False  # its route wants no key
-    tenant: str = ""  # whose key it bears
+    public: bool = False  # its route requires no API key
+    tenant: str = ""  # owner of the API key sent; empty: unknown key or none
     key: str = ""
-    operation: str = ""  # its `Operation-Key`
+    operation: str = ""  # value of the `Operation-Key` header
 
 
 @dataclass
 class Run:
-    """A node's work on a request, from its begin to its end."""
+    """Execution of a request at a node."""
 
     id: str
     node: str
-    begun: float
-    stopped: float | None = None
-    finished: bool = False  # worked to its end; else dropped when its connection ended
-    tenant: str = ""  # as the node was told
+    started_at: float
+    stopped_at: float | None = None
+    finished: bool = False  # otherwise dropped when its connection ended
+    tenant: str = ""  # `Tenant` header as received by the node
     operation: str = ""
-    showed_key: bool = False  # a tenant's key itself came along
+    has_raw_key: bool = False  # the node received the API key itself
     seal: str = ""
     body: bytes = b""
     status: int = 200
 
 
 @dataclass
-class InForce:
-    """Tenants of one configuration: when it was sent and acknowledged, whose each key is, what each may send."""
+class TenantConfiguration:
+    """Tenants of one configuration: `holders` maps API keys to tenants, `limits` maps tenants to (rate, burst)."""
 
-    sent: float
-    acknowledged: float = math.inf
+    sent_at: float
+    acknowledged_at: float = math.inf
     holders: dict[str, str] = field(default_factory=dict)
-    limits: dict[str, tuple[float, float]] = field(default_factory=dict)  # requests a second, and beyond; 0: no limit
+    limits: dict[str, tuple[float, float]] = field(
+        default_factory=dict
+    )  # requests per second, and burst size; rate 0: unlimited
 
 
 @dataclass(eq=False)
-class Life:
-    """One life of a program."""
+class Incarnation:
+    """One run of a process, from start to exit."""
 
     name: str
-    begun: float
-    ended: float | None = None
-    death: Death | None = None
-    asked_to_end: float | None = None
+    started_at: float
+    ended_at: float | None = None
+    exit_cause: ExitCause | None = None
+    signalled_at: float | None = None
     code: int | None = None
-    spoke: bool = True  # it has written to its log: its handlers of signals are there by then
-    outlived: bool = False  # it was killed since it had not ended within its grace
+    has_logged: bool = True  # it wrote to its log, so its signal handlers were installed
+    exceeded_grace: bool = False  # killed because it had not exited within the grace period
     frozen: list[tuple[float, float]] = field(default_factory=list)
 
-    def stood_still(self, first: float, last: float) -> bool:
-        """Whether it was frozen in some part of a span."""
+    def was_frozen_during(self, first: float, last: float) -> bool:
+        """Whether it was frozen (SIGSTOP) during any part of the span."""
         return any(begin <= last and end >= first for begin, end in self.frozen)
 
-    def stood_at(self, moment: float, first: float, last: float) -> float:
-        """Seconds of a span for which it was frozen by the freeze that covers a moment of it; 0 without one."""
+    def frozen_seconds(self, moment: float, first: float, last: float) -> float:
+        """Seconds of the span covered by the freeze that includes `moment`; 0 if it was not frozen then."""
         covering = [(begin, end) for begin, end in self.frozen if begin <= moment <= end]
         return max((min(end, last) - max(begin, first) for begin, end in covering), default=0.0)
 
 
 @dataclass
 class Ledger:
-    """All that was seen, in the order in which it was."""
+    """All observations of a run, in order. `direct_findings` are violations detected while the run is on."""
 
-    asked: dict[str, Asked] = field(default_factory=dict)
+    requests: dict[str, ClientRequest] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
-    configurations: list[InForce] = field(default_factory=list)
-    said: list[str] = field(
+    incarnations: list[Incarnation] = field(default_factory=list)
+    configurations: list[TenantConfiguration] = field(default_factory=list)
+    direct_findings: list[str] = field(
         default_factory=list
     )  # what is broken by itself: bytes that fit no request, an error logged
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that work for a time, stop when their caller leaves, and tell the ledger."""
+"""Stand-in nodes that take time to execute, stop when the caller disconnects, and record runs in the ledger."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from tests.standins.holders import HoldingNode
 from tests.standins.nodes import Request, answer
 
-# Seconds of work: mostly short, now and then longer than any client that leaves would wait.
-SHORT, LONG, LONG_PART = (0.01, 0.12), (2.5, 4.0), 0.15
-REFUSES_PART = 0.1  # of the operations, those that are answered with a failure of their own
-LOOK = 0.02  # seconds between looks whether the caller has left
+# Execution times: mostly short, sometimes longer than any client waits before it disconnects.
+SHORT_WORK_S, LONG_WORK_S, LONG_SHARE = (0.01, 0.12), (2.5, 4.0), 0.15
+FAILURE_SHARE = 0.1  # share of keyed operations answered with 422
+DISCONNECT_POLL_S = 0.02
 
 
 @dataclass
 class WorkingNode(HoldingNode):
-    """A node whose work takes its time. `ledger` and `luck` are given before the first request."""
+    """A node whose execution takes time. `ledger` and `rng` must be set before the first request."""
 
     ledger: Ledger = field(default_factory=Ledger)
-    luck: Random = field(default_factory=Random)
+    rng: Random = field(default_factory=Random)
     capacity: int = 12
 
     async def _work(self, request: Request, writer: asyncio.StreamWriter) -> bytes:
@@ -32,12 +32,12 @@
         self.ledger.runs.append(run)
         self.running.append(work)
         try:
-            until = clock() + self.luck.uniform(*(LONG if self.luck.random() < LONG_PART else SHORT))
+            until = clock() + self.rng.uniform(*(LONG_WORK_S if self.rng.random() < LONG_SHARE else SHORT_WORK_S))
             while clock() < until and not request.reader.at_eof() and not writer.transport.is_closing():
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(DISCONNECT_POLL_S)
             run.finished = clock() >= until
         finally:
-            run.stopped = clock()
+            run.stopped_at = clock()
             self.running.remove(work)
             done.set()
         load = f"Server-Load: {len(self.running)},0,{self.capacity}\r\nKeep-Alive: timeout=5\r\n"
@@ -45,16 +45,16 @@
         return answer(request, run.body, status, run.seal, load)
 
     def _run(self, request: Request) -> Run:
-        """A run that begins, with the answer that it will have."""
+        """Creates the record of a run, including the response that it will give."""
         seal = self.seal()
-        refuses = request.operation and self.luck.random() < REFUSES_PART
+        refuses = request.operation and self.rng.random() < FAILURE_SHARE
         return Run(
             request.attempt,
             self.id,
             clock(),
             tenant=request.tenant,
             operation=request.operation,
-            showed_key=request.showed_key,
+            has_raw_key=request.showed_key,
             seal=seal,
             body=f"{seal} {request.line}".encode(),
             status=422 if refuses else 200,
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a soak run, and when: drawn from a seed. Pure."""
+"""Draws the schedule of faults and changes of a soak run from a seed. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Act(Enum):
-    """What is done to a program, a node or the configuration."""
+    """A fault or change applied to a process, a node or the configuration."""
 
     TERM_EDGE = "term edge"
     KILL_EDGE = "kill edge"
@@ -25,11 +25,10 @@
     STORM = "storm"
 
 
-# Acts on what only tenants have.
-OF_TENANTS = frozenset({Act.REVOKE, Act.LIMIT, Act.STORM})
+# Acts that need a configuration with tenants.
+TENANT_ACTS = frozenset({Act.REVOKE, Act.LIMIT, Act.STORM})
 
-
-# How often a series of each kind is drawn, against the others.
+# Relative frequency with which a series of each kind is drawn.
 WEIGHTS = {
     Act.TERM_EDGE: 6,
     Act.KILL_EDGE: 2,
@@ -45,37 +44,37 @@
     Act.LIMIT: 2,
     Act.STORM: 3,
 }
-# Seconds that a process stays down, a freeze or a storm lasts, a node drains or is away.
-DOWN = {
+# Range of seconds for which a freeze or storm lasts, or a node drains or is down.
+DURATIONS_S = {
     Act.FREEZE_EDGE: (0.5, 6.5),
     Act.DRAIN_NODE: (2.0, 5.0),
     Act.CRASH_NODE: (2.0, 5.0),
     Act.STORM: (1.0, 4.0),
 }
-DOWN_USUAL = (0.05, 1.0)
-CALM = 2.0  # seconds at the beginning without a trouble
-TAIL = 4.0  # and at the end, in which what was begun before ends
+USUAL_DURATION_S = (0.05, 1.0)  # for all other acts: how long the process stays down
+QUIET_START_S = 2.0  # no step is scheduled in the first seconds
+QUIET_END_S = 4.0  # nor in the last, so that running steps can finish
 
 
 @dataclass(frozen=True, order=True)
 class Step:
-    """One thing done: `target` picks among those that fit, `lasts` is how long its effect is left."""
+    """One scheduled act: `target` (0 to 1) selects among the candidates, `duration_s` is how long its effect lasts."""
 
-    at: float
+    due_at: float
     act: Act
     target: float
-    lasts: float
+    duration_s: float
 
 
 def draw(seed: int, length: float, series: int, tenants: bool = True) -> list[Step]:
-    """The steps of a run of `length` seconds: so many series of one kind each, 1 to 8 steps long, that overlap."""
-    luck = Random(seed)
+    """Returns the steps of a run of `length` seconds: overlapping series of 1 to 8 steps of one kind each."""
+    rng = Random(seed)
     steps = []
-    weights = {act: weight for act, weight in WEIGHTS.items() if tenants or act not in OF_TENANTS}
+    weights = {act: weight for act, weight in WEIGHTS.items() if tenants or act not in TENANT_ACTS}
     for _ in range(series):
-        act = luck.choices(list(weights), list(weights.values()))[0]
-        at, gap = luck.uniform(CALM, length - TAIL), luck.choice((0.02, 0.2, 0.7))
-        for _ in range(luck.randint(1, 8)):
-            steps.append(Step(at, act, luck.random(), luck.uniform(*DOWN.get(act, DOWN_USUAL))))
-            at = min(length - TAIL, at + luck.uniform(0.5, 1.5) * gap)
-    return sorted(steps, key=lambda step: step.at)
+        act = rng.choices(list(weights), list(weights.values()))[0]
+        due_at, gap = rng.uniform(QUIET_START_S, length - QUIET_END_S), rng.choice((0.02, 0.2, 0.7))
+        for _ in range(rng.randint(1, 8)):
+            steps.append(Step(due_at, act, rng.random(), rng.uniform(*DURATIONS_S.get(act, USUAL_DURATION_S))))
+            due_at = min(length - QUIET_END_S, due_at + rng.uniform(0.5, 1.5) * gap)
+    return sorted(steps, key=lambda step: step.due_at)
--- a/tests/standins/cores.py
+++ b/tests/standins/cores.py
@@ -1,4 +1,4 @@
-"""Core machines in memory: their admissions over one agreed table, by calls that a test delays, loses or cuts."""
+"""In-memory cores: admissions over one shared claim table. Tests can delay, lose or fail the calls of edges."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Group:
-    """Agreement at once: one table for all cores."""
+    """Stand-in for consensus: one claim table for all cores, to which each claim is applied after `pause` seconds."""
 
     def __init__(self, clock: Callable[[], float], hold: float):
         self.clock, self.hold, self.table = clock, hold, ClaimTable()
@@ -25,35 +25,35 @@
         self.claiming: list[asyncio.Task] = []
         self.releasing: list[asyncio.Task] = []
 
-    async def claim(self, claim: Claim, patience: float) -> ClaimResult:
+    async def claim(self, claim: Claim, timeout_s: float) -> ClaimResult:
         if self.down:
-            await asyncio.sleep(min(patience, 0.005))
+            await asyncio.sleep(min(timeout_s, 0.005))
             return UNAVAILABLE
-        agreed = asyncio.ensure_future(self.agreed(claim))
-        self.claiming.append(agreed)
+        task = asyncio.ensure_future(self.commit(claim))
+        self.claiming.append(task)
         try:
-            return await asyncio.wait_for(asyncio.shield(agreed), patience)
+            return await asyncio.wait_for(asyncio.shield(task), timeout_s)
         except TimeoutError:
-            return UNAVAILABLE  # it comes yet
+            return UNAVAILABLE  # the claim is still applied later
 
     def release(self, claim: Claim) -> None:
-        self.releasing.append(asyncio.ensure_future(self.agreed(claim)))
+        self.releasing.append(asyncio.ensure_future(self.commit(claim)))
 
-    async def agreed(self, claim: Claim) -> ClaimResult:
+    async def commit(self, claim: Claim) -> ClaimResult:
         await asyncio.sleep(self.pause)
         entry = json.loads(json.dumps(claims_command(self.clock(), self.hold, [claim])))
         return self.table.apply(self.table.applied + 1, entry)[0][0]
 
 
 class Limits:
-    """Allowance of tenants: requests left by name, without an end for those that are not named."""
+    """Stand-in for quotas: requests left by tenant; tenants without an entry are unlimited."""
 
     def __init__(self) -> None:
         self.left: dict[str, int] = {}
         self.spent: Counter[str] = Counter()
         self.pause = 0.0
 
-    async def take(self, tenant: str, patience: float) -> AdmissionResponse:
+    async def take(self, tenant: str, timeout_s: float) -> AdmissionResponse:
         if self.pause:
             await asyncio.sleep(self.pause)
         left = self.left.get(tenant)
@@ -74,12 +74,12 @@
 
 
 class Core:
-    """One core; `restart` loses its memory."""
+    """One core; `restart` drops its state in memory."""
 
-    def __init__(self, cores: Cores, at: str):
-        self.cores, self.at = cores, at
+    def __init__(self, cores: Cores, address: str):
+        self.cores, self.address = cores, address
         self.dead = False
-        self.lose_answers = 0  # so many calls are taken, and their answers lost
+        self.lose_answers = 0  # number of further calls that are processed, but whose responses are lost
         self.pause = 0.0
         self.calls = 0
         self.restart()
@@ -88,31 +88,31 @@
         cores = self.cores
         self.answers = Answers(cores.most, cores.window)
         self.answers.max_run_s = cores.longest
-        self.admissions = Admissions(self.at, cores.limits, cores.group, self.answers, cores, cores.clock)
+        self.admissions = Admissions(self.address, cores.limits, cores.group, self.answers, cores, cores.clock)
         self.dead = False
 
     async def take(self, path: str, raw):
         self.calls += 1
-        for life in self.cores.living:  # each edge calls for its cluster view once a second
-            self.admissions.note_incarnation(life)
+        for incarnation in self.cores.living:  # as when each edge polls its cluster view once a second
+            self.admissions.note_incarnation(incarnation)
         if path == "/answers":
             return self.admissions.answers_of(raw)
-        told = await self.admissions.admit(EdgeBatch.from_json(raw))
-        return {"told": [one.to_json() for one in told]}
+        responses = await self.admissions.admit(EdgeBatch.from_json(raw))
+        return {"told": [response.to_json() for response in responses]}
 
 
 class Cores:
-    """All of them, and the callers that reach them: `json` is that of `edge.caller.Caller`."""
+    """All cores, and the HTTP client of edges that calls them: `json` replaces that of the real client."""
 
     def __init__(self, clock: Callable[[], float], count: int = 2, window: float = 60.0, most: int = 1 << 20):
         self.clock, self.window, self.most, self.longest = clock, window, most, 15.0
-        self.living: set[str] = set()  # lives of edges
+        self.living: set[str] = set()  # incarnations of running edges
         self.group, self.limits = Group(clock, window + 10), Limits()
-        self.all = {f"10.0.0.{at}:1": Core(self, f"10.0.0.{at}:1") for at in range(count)}
+        self.all = {f"10.0.0.{index}:1": Core(self, f"10.0.0.{index}:1") for index in range(count)}
         self.bytes: Counter[str] = Counter()
 
-    def __getitem__(self, at: int) -> Core:
-        return list(self.all.values())[at]
+    def __getitem__(self, index: int) -> Core:
+        return list(self.all.values())[index]
 
     async def json(self, method: str, url: str, body=None, patience: float = 1.0, step: str = "call"):
         parts = urlsplit(url)
@@ -122,14 +122,14 @@
             raise PeerError(step, url, "refused")
         raw = json.loads(json.dumps(body))
         await asyncio.sleep(core.pause)
-        told = json.loads(json.dumps(await core.take(parts.path, raw)))
+        response = json.loads(json.dumps(await core.take(parts.path, raw)))
         if core.lose_answers:
             core.lose_answers -= 1
             raise PeerError(step, url, "the connection ended before the answer")
-        return told
+        return response
 
     def close_others(self, address: str) -> None:
-        """As a caller's."""
+        """Does nothing: there are no connections."""
 
     async def close(self) -> None:
-        """As a caller's."""
+        """Does nothing: there are no connections."""
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -1,7 +1,7 @@
-"""A seeded day: servers, proxies and RPCs one by one, around one module, without sockets or real time.
+"""Seeded simulation of servers, proxies and individual RPCs around one policy module, without sockets or real time.
 
-Owns the truth of a day (who was served in time), which a replay may be compared with. All figures are simulated. It
-follows the contract of interface.py, and must never use anything that a conductor could not hear.
+Knows which RPCs were served in time, with which a replay may be compared. It follows the contract of interface.py and
+gives the module only information that a real conductor receives.
 """
 
 import heapq
@@ -17,22 +17,26 @@
 from knotwalk.order_log import OrderLog
 
 METHODS = (Method(soft_deadline=1.5, criticality=3.0), Method(soft_deadline=1.0, criticality=9.0))
-WORK, SHARE, DEADLINE = (0.26, 0.15), (0.55, 0.45), (5.0, 2.5)  # by method: core seconds, part, seconds
+WORK, SHARE, DEADLINE = (
+    (0.26, 0.15),
+    (0.55, 0.45),
+    (5.0, 2.5),
+)  # by method: work in core seconds, share of RPCs, deadline in seconds
 ZONES = ("east", "west")
-LIST_LATE = 2.0  # seconds until the list tells of a death or a start
-SPAN = 10.0  # seconds by which service is kept
-TURNED_AWAY = 8.0  # seconds of wait at which a server takes no more: the work that waits is bounded
-LEASE_LATE = 1.0  # seconds until a new life of the conductor has its proxies and slices
+LIST_LATE = 2.0  # seconds until the server list reports a crash (half of it: a start)
+SPAN = 10.0  # seconds per interval of the service statistics
+TURNED_AWAY = 8.0  # queueing time in seconds above which a server rejects RPCs: bounds its queue
+LEASE_LATE = 1.0  # seconds until a restarted conductor has its proxies and slices again
 
 
 class Size(NamedTuple):
-    """How large a day is."""
+    """Size of a simulated day."""
 
     servers: int = 10
     proxies: int = 20
-    slices: int = 60  # in our charge
-    rate: float = 90.0  # RPCs a second that come for them
-    parts: int = 1  # conductors that share the servers: the others' load is even, in the background
+    slices: int = 60  # assigned to this conductor
+    rate: float = 90.0  # RPCs per second to these slices
+    parts: int = 1  # conductors that share the servers; the others cause an even background load
 
 
 def settings_of(size: Size, **changes: object) -> Settings:
@@ -61,11 +65,13 @@
 
     def __init__(self, id: str, zone: str, cores: int, speed: float, started: float = 0.0):
         self.id, self.zone, self.cores, self.speed, self.started = id, zone, cores, speed, started
-        self.slow = 1.0  # its speed is divided by that
+        self.slow = 1.0  # divisor of its speed
         self.alive, self.state = True, "ready"
-        self.free = [0.0] * cores  # by core: when its work is done
-        self.busy = 0.0  # core seconds of work begun, less what is yet to be done
-        self.met: dict[str, list] = {}  # by zone: tries, aborted, seconds of the good ones
+        self.free = [0.0] * cores  # by core: when its queued work is done
+        self.busy = 0.0  # core seconds of work accepted in this report period
+        self.met: dict[
+            str, list
+        ] = {}  # by zone: attempts, aborted attempts, total latency of the successful ones in seconds
 
     def entry(self) -> tuple:
         return (self.id, self.zone, self.state, float(self.cores), self.started)
@@ -79,14 +85,14 @@
         self.lines: list[tuple] = [()] * slices  # by slice: (servers, cumulative weights)
         self.levels: dict[tuple, float] = {}
         self.joined = True
-        self.free = 0.0  # when the last message under way to it is taken in
+        self.free = 0.0  # when the last message in transit is applied
 
 
 class Day:
-    """One day.
+    """One simulated day.
 
-    `script` is a list of (time, name of a method below, arguments); `witness` is called with (now, inbox, orders,
-    module) after each round, and `lives` with (now, module, settings, seed) at each life's start.
+    `script` is a list of (time, name of a method below, arguments). `witness` is called with (now, inbox, orders,
+    module) after each round, `lives` with (now, module, settings, seed) at the start of each incarnation.
     """
 
     def __init__(
@@ -102,14 +108,14 @@
     ):
         self.random, self.coming, self.size, self.seed = Random(seed), Random(seed + 0.5), size, seed
         self.settings, self.make, self.witness, self.lives = settings or settings_of(size), make, witness, lives
-        r = self.random
+        rng = self.random
         self.machines: dict[str, Machine] = {}
         for k in range(size.servers):
-            cores, low, high = r.choices(((4, 1.1, 1.5), (3, 0.85, 1.1), (3, 0.6, 0.8)), (47, 31, 22))[0]
-            self.machines[f"s{k}"] = Machine(f"s{k}", ZONES[k % 2], cores, r.uniform(low, high))
+            cores, low, high = rng.choices(((4, 1.1, 1.5), (3, 0.85, 1.1), (3, 0.6, 0.8)), (47, 31, 22))[0]
+            self.machines[f"s{k}"] = Machine(f"s{k}", ZONES[k % 2], cores, rng.uniform(low, high))
         self.edges = [Edge(k, ZONES[k % 2], size.slices) for k in range(size.proxies)]
-        self.edge_sums = list(accumulate(r.uniform(0.2, 2) ** 2 for _ in self.edges))
-        self.weights = [r.paretovariate(2.5) for _ in range(size.slices)]
+        self.edge_sums = list(accumulate(rng.uniform(0.2, 2) ** 2 for _ in self.edges))
+        self.weights = [rng.paretovariate(2.5) for _ in range(size.slices)]
         self.hot: dict[int, float] = {}
         self.now = self.start = start
         self.heap: list[tuple] = []
@@ -117,13 +123,13 @@
         self.rate = size.rate
         self.wanted: Counter = Counter()
         self.since = start
-        self.cut: set[str] = set()  # zones that the other cannot reach
+        self.cut: set[str] = set()  # zones that are unreachable from the other zone
         self.store: dict[int, dict[str, float]] = {}
-        self.service: dict[int, list] = {}  # by span: [asked, earned] by method
+        self.service: dict[int, list] = {}  # by interval: requested and earned value for each method
         self.weigh()
         owners = list(self.machines)
         for k in range(size.slices):
-            self.store[k] = {owners[r.randrange(len(owners))]: 1.0}
+            self.store[k] = {owners[rng.randrange(len(owners))]: 1.0}
             for edge in self.edges:
                 edge.lines[k] = self.drawn(self.store[k])
         self.life = 0
@@ -132,7 +138,7 @@
         self.begin()
         self.at(start + self.settings.report_period, self.report)
 
-    # --- the machinery ---
+    # --- event loop ---
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         self.count += 1
@@ -154,18 +160,18 @@
             self.witness(now, inbox, out.orders, self.module)
         tables: dict[int, tuple] = {}
         levels, mark, life = {}, None, self.life
-        for name, f in out.orders:
+        for name, fields in out.orders:
             if name == "line":
-                self.store[f[0]].pop(f[1], None)
-                if f[2]:
-                    self.store[f[0]][f[1]] = f[2]
-                tables[f[0]] = self.drawn(self.store[f[0]])
-            elif name == "admit" and f[0] is not None:
-                levels[f[0], f[1]] = f[2]
+                self.store[fields[0]].pop(fields[1], None)
+                if fields[2]:
+                    self.store[fields[0]][fields[1]] = fields[2]
+                tables[fields[0]] = self.drawn(self.store[fields[0]])
+            elif name == "admit" and fields[0] is not None:
+                levels[fields[0], fields[1]] = fields[2]
             elif name == "receipt":
-                mark = f[0]
+                mark = fields[0]
             elif name == "wake":
-                self.at(max(f[0], now), lambda: self.life == life and self.round([]))
+                self.at(max(fields[0], now), lambda: self.life == life and self.round([]))
         if tables or levels or mark is not None:
             late = self.settings.message_delay
             for edge in self.edges:
@@ -181,58 +187,65 @@
             self.round([("applied", (edge.id, mark))])
 
     def report(self) -> None:
-        """The sums of a period, some time late; the next period begins."""
+        """Reports the sums of a period with a delay and begins the next period."""
         now, span = self.now, self.now - self.since
         inbox = []
-        for x in self.machines.values():
-            ahead = sum(max(0.0, free - now) for free in x.free)
-            busy = min(1.0, max(0.0, x.busy - ahead) / (x.cores * span))
-            x.busy = ahead
-            tries = sum(m[0] for m in x.met.values())
+        for machine in self.machines.values():
+            ahead = sum(max(0.0, free - now) for free in machine.free)
+            busy = min(1.0, max(0.0, machine.busy - ahead) / (machine.cores * span))
+            machine.busy = ahead
+            tries = sum(m[0] for m in machine.met.values())
             load = {"utilization": round(busy, 3), "qps": round(tries * self.size.parts / span, 1)}
-            for zone, (tried, aborted, seconds) in x.met.items():
+            for zone, (tried, aborted, seconds) in machine.met.items():
                 good = tried - aborted
                 inbox.append(
-                    ("heard", (x.id, zone, span, tried, aborted, seconds / good if good else 0.0, load if good else {}))
+                    (
+                        "heard",
+                        (machine.id, zone, span, tried, aborted, seconds / good if good else 0.0, load if good else {}),
+                    )
                 )
-            x.met = {}
+            machine.met = {}
         inbox += [("wanted", (k, m, span, n)) for (k, m), n in self.wanted.items()]
         self.wanted, self.since = Counter(), now
         self.at(now + self.random.uniform(0.24, 1.0), lambda: self.round(inbox))
         self.at(now + self.settings.report_period, self.report)
 
-    def rpc(self, t: float) -> None:
-        # What comes is drawn apart from what the tables make of it: another setting meets the same day.
-        r = self.coming.random
-        method = 0 if r() < SHARE[0] else 1
-        slice_id = bisect(self.sums, r() * self.sums[-1])
-        edge = self.edges[bisect(self.edge_sums, r() * self.edge_sums[-1])]
-        work, let_in, r = WORK[method] * self.coming.gammavariate(4, 0.25), r(), self.random.random
+    def rpc(self, now: float) -> None:
+        # Arrivals use a generator of their own, so that days with other settings have the same arrivals.
+        draw = self.coming.random
+        method = 0 if draw() < SHARE[0] else 1
+        slice_id = bisect(self.sums, draw() * self.sums[-1])
+        edge = self.edges[bisect(self.edge_sums, draw() * self.edge_sums[-1])]
+        work, admission_draw, draw = WORK[method] * self.coming.gammavariate(4, 0.25), draw(), self.random.random
         self.wanted[slice_id, method] += 1
-        row = self.service.get(int((t - self.start) / SPAN))
+        row = self.service.get(int((now - self.start) / SPAN))
         if row is None:
-            row = self.service[int((t - self.start) / SPAN)] = [0, 0.0, 0, 0.0]
+            row = self.service[int((now - self.start) / SPAN)] = [0, 0.0, 0, 0.0]
         row[2 * method] += 1
-        if let_in >= edge.levels.get((slice_id, method), 1.0) or not edge.lines[slice_id]:
+        if admission_draw >= edge.levels.get((slice_id, method), 1.0) or not edge.lines[slice_id]:
             return
         names, sums = edge.lines[slice_id]
-        x = self.machines[names[bisect(sums, r() * sums[-1]) if len(names) > 1 else 0]]
-        met = x.met.get(edge.zone)
+        machine = self.machines[names[bisect(sums, draw() * sums[-1]) if len(names) > 1 else 0]]
+        met = machine.met.get(edge.zone)
         if met is None:
-            met = x.met[edge.zone] = [0, 0, 0.0]
+            met = machine.met[edge.zone] = [0, 0, 0.0]
         met[0] += 1
-        if not x.alive or (edge.zone != x.zone and (edge.zone in self.cut or x.zone in self.cut)):
+        if not machine.alive or (edge.zone != machine.zone and (edge.zone in self.cut or machine.zone in self.cut)):
             met[1] += 1
             return
-        age = (t - x.started) / self.settings.cold_time if x.started else 1.0
-        speed = x.speed / x.slow * (1 if age >= 1 else self.settings.cold_share + (1 - self.settings.cold_share) * age)
-        core = min(range(x.cores), key=x.free.__getitem__)
-        wait = max(0.0, x.free[core] - t)
+        age = (now - machine.started) / self.settings.cold_time if machine.started else 1.0
+        speed = (
+            machine.speed
+            / machine.slow
+            * (1 if age >= 1 else self.settings.cold_share + (1 - self.settings.cold_share) * age)
+        )
+        core = min(range(machine.cores), key=machine.free.__getitem__)
+        wait = max(0.0, machine.free[core] - now)
         if wait > TURNED_AWAY:
             met[1] += 1
             return
-        x.free[core] = t + wait + work / speed * self.size.parts
-        x.busy += work / speed * self.size.parts
+        machine.free[core] = now + wait + work / speed * self.size.parts
+        machine.busy += work / speed * self.size.parts
         latency = wait + work / speed
         if latency > DEADLINE[method]:
             met[1] += 1
@@ -241,7 +254,7 @@
         row[2 * method + 1] += 1.0 if latency <= METHODS[method].soft_deadline else 0.1
 
     def run(self, seconds: float) -> "Day":
-        """Go on for so long."""
+        """Advances the simulation."""
         end = self.now + seconds
         coming = self.now + self.coming.expovariate(self.rate)
         while True:
@@ -257,21 +270,21 @@
             call()
 
     def earned(self) -> float:
-        """Criticality answered in time over criticality asked for."""
+        """Returns the share of requested criticality that was answered in time."""
         worth = [m.criticality for m in METHODS]
         asked = sum(row[0] * worth[0] + row[2] * worth[1] for row in self.service.values())
         return sum(row[1] * worth[0] + row[3] * worth[1] for row in self.service.values()) / asked
 
-    # --- what the script may say ---
+    # --- actions of scripts ---
 
     def begin(self) -> None:
-        """A life of the conductor begins, from what the store holds."""
+        """Starts an incarnation of the conductor with the lines in the store."""
         self.life += 1
         seed = self.seed + self.life
         self.module = self.make(self.settings, seed)
         if self.lives:
             self.lives(self.now, self.module, self.settings, seed)
-        inbox = [("listed", (True, False, [x.entry() for x in self.machines.values()]))]
+        inbox = [("listed", (True, False, [machine.entry() for machine in self.machines.values()]))]
         inbox += [("joined", (edge.id,)) for edge in self.edges if edge.joined]
         for k, lines in self.store.items():
             inbox.append(("given", (k,)))
@@ -279,13 +292,13 @@
         self.round(inbox)
 
     def restart(self) -> None:
-        """The conductor is killed and comes back."""
+        """Kills the conductor; a new incarnation begins after LEASE_LATE seconds."""
         self.module = None
         self.life += 1
         self.at(self.now + LEASE_LATE, self.begin)
 
     def reload(self, **changes: object) -> None:
-        """Another configuration takes the old one's place."""
+        """Replaces the settings and starts a new incarnation with them."""
         self.settings = self.settings._replace(**changes)
         self.begin()
 
@@ -293,27 +306,27 @@
         self.machines[server].slow = times
 
     def die(self, server: str) -> None:
-        x = self.machines[server]
-        x.alive, x.state = False, "gone"
-        self.at(self.now + LIST_LATE, lambda: self.round([("listed", (False, False, [x.entry()]))]))
+        machine = self.machines[server]
+        machine.alive, machine.state = False, "gone"
+        self.at(self.now + LIST_LATE, lambda: self.round([("listed", (False, False, [machine.entry()]))]))
 
     def come(self, server: str) -> None:
-        """A server starts, anew or for the first time: cold."""
+        """Starts a server (again), which is cold at first."""
         old = self.machines.get(server)
-        x = Machine(
+        machine = Machine(
             server,
             old.zone if old else ZONES[len(self.machines) % 2],
             old.cores if old else 4,
             old.speed if old else 1.2,
             self.now,
         )
-        self.machines[server] = x
-        self.at(self.now + LIST_LATE / 2, lambda: self.round([("listed", (False, False, [x.entry()]))]))
+        self.machines[server] = machine
+        self.at(self.now + LIST_LATE / 2, lambda: self.round([("listed", (False, False, [machine.entry()]))]))
 
     def drain(self, server: str) -> None:
-        x = self.machines[server]
-        x.state = "draining"
-        self.round([("listed", (False, False, [x.entry()]))])
+        machine = self.machines[server]
+        machine.state = "draining"
+        self.round([("listed", (False, False, [machine.entry()]))])
 
     def heat(self, slice_id: int, times: float) -> None:
         self.hot[slice_id] = times
@@ -323,7 +336,7 @@
         self.rate = self.size.rate * times
 
     def flap(self, proxy: int, seconds: float) -> None:
-        """A proxy loses its stream for so long."""
+        """Disconnects a proxy for some seconds."""
         edge = self.edges[proxy]
         edge.joined = False
         self.round([("left", (proxy,))])
@@ -338,22 +351,27 @@
 
 
 def storm(seed: int, size: Size, seconds: float, every: float = 25.0) -> list:
-    """A script of troubles, one about every so many seconds: slow servers, deaths and returns, drains, hot
-    slices, bursts, flaps."""
-    r, at, script = Random(seed), 0.0, []
-    while (at := at + r.uniform(0.6, 1.4) * every) < seconds:
-        kind, server = r.randrange(6), f"s{r.randrange(size.servers)}"
+    """Returns a script of faults, one about every `every` seconds: slow servers, crashes with restarts, drains, hot
+    slices, bursts of traffic, and proxies that disconnect."""
+    rng, at, script = Random(seed), 0.0, []
+    while (at := at + rng.uniform(0.6, 1.4) * every) < seconds:
+        kind, server = rng.randrange(6), f"s{rng.randrange(size.servers)}"
         if kind == 0:
-            script += [(at, "slow_down", server, r.uniform(2, 5)), (at + r.uniform(10, 30), "slow_down", server, 1.0)]
+            script += [
+                (at, "slow_down", server, rng.uniform(2, 5)),
+                (at + rng.uniform(10, 30), "slow_down", server, 1.0),
+            ]
         elif kind == 1:
-            script += [(at, "die", server), (at + r.uniform(8, 20), "come", server)]
+            script += [(at, "die", server), (at + rng.uniform(8, 20), "come", server)]
         elif kind == 2:
-            script += [(at, "drain", server), (at + r.uniform(8, 20), "come", server)]
+            script += [(at, "drain", server), (at + rng.uniform(8, 20), "come", server)]
         elif kind == 3:
-            k = r.randrange(size.slices)
-            script += [(at, "heat", k, r.uniform(4, 12)), (at + r.uniform(8, 25), "heat", k, 1.0)]
+            k = rng.randrange(size.slices)
+            script += [(at, "heat", k, rng.uniform(4, 12)), (at + rng.uniform(8, 25), "heat", k, 1.0)]
         elif kind == 4:
-            script += [(at, "burst", r.uniform(1.2, 1.6)), (at + r.uniform(3, 9), "burst", 1.0)]
+            script += [(at, "burst", rng.uniform(1.2, 1.6)), (at + rng.uniform(3, 9), "burst", 1.0)]
         else:
-            script += [(at + r.uniform(0, 1), "flap", p, r.uniform(0.5, 4)) for p in r.sample(range(size.proxies), 3)]
+            script += [
+                (at + rng.uniform(0, 1), "flap", p, rng.uniform(0.5, 4)) for p in rng.sample(range(size.proxies), 3)
+            ]
     return script
--- a/tests/standins/disk.py
+++ b/tests/standins/disk.py
@@ -1,9 +1,9 @@
-"""A disk under SQLite that counts what is done to it, and at any count refuses, tears or loses power.
+"""A simulated disk under SQLite that numbers all operations and can fail, tear a write or lose power at any of them.
 
-A VFS of SQLite's own kind, by way of ctypes: files are real, locks are granted and do nothing, and each write, change
-of length, sync, removal and renaming is noted by number. `left` says what a loss of power after any number may leave of
-it: what the last sync of a file covered, and of later writes each there, missing or torn, or none; names as of the last
-sync of their folder.
+Implemented as an SQLite VFS through ctypes. Files are real; locks are always granted and have no effect. Each write,
+truncation, sync, deletion and rename is recorded under a number. `files_after_power_loss` returns what may remain after
+a loss of power that follows any number: file contents as of the last sync, with each later write present, missing or
+torn (or all of them missing), and file names as of the last sync of their folder.
 """
 
 import atexit
@@ -21,7 +21,7 @@
 from knotwalk.consensus import store
 
 SECTOR = 512
-FULL, REFUSED = 13, {"write": 778, "truncate": 1546, "sync": 1034, "delete": 2570}  # SQLite's codes
+FULL, REFUSED = 13, {"write": 778, "truncate": 1546, "sync": 1034, "delete": 2570}  # SQLite's error codes
 KEPT: list["FaultyDisk"] = []
 LIBRARY = ctypes.CDLL("libsqlite3.so.0")
 LIBRARY.sqlite3_vfs_find.restype = c_void_p
@@ -70,16 +70,19 @@
 
 
 class FaultyDisk:
-    """Use as a context: SQLite's files and the store's own renames go through it. `refuse` is asked for each number and
-    kind and gives a code of SQLite's, or 0; `most` is how many bytes the folder may hold."""
+    """A context manager: inside, SQLite's files (and with `patch_store` the store's renames) go through this disk.
 
-    open: list[sqlite3.Connection] = []  # that a test left so: closed at the end, while their disk still lives
+    `done` lists the operations in order. `refuse` is called with number and kind of each and returns an SQLite error
+    code, or 0. `max_bytes` is the capacity of the folder.
+    """
+
+    open: list[sqlite3.Connection] = []  # left open by tests: closed at exit, while their VFS still exists
 
     def __init__(self) -> None:
         self.done: list[tuple] = []
         self.refuse: Callable[[int, str], int] = lambda number, kind: 0
-        self.most, self.folder = 1 << 60, Path(os.devnull)
-        self.files: dict[int, tuple[str, Methods]] = {}  # open files: name, the real methods
+        self.max_bytes, self.folder = 1 << 60, Path(os.devnull)
+        self.files: dict[int, tuple[str, Methods]] = {}  # open files: name and the real VFS's methods
         self.tables: dict[int, Methods] = {}
         real = Vfs.from_address(LIBRARY.sqlite3_vfs_find(None))
         self.real, self.vfs = real, Vfs()
@@ -90,11 +93,11 @@
         LIBRARY.sqlite3_vfs_register(byref(self.vfs), 1)
         connect = sqlite3.connect
 
-        def connected(*given: Any, **named: Any) -> sqlite3.Connection:
-            self.open.append(connect(*given, **named))
+        def tracked_connect(*arguments: Any, **options: Any) -> sqlite3.Connection:
+            self.open.append(connect(*arguments, **options))
             return self.open[-1]
 
-        self.patch = mock.patch.object(store.sqlite3, "connect", connected)
+        self.patch = mock.patch.object(store.sqlite3, "connect", tracked_connect)
         self.patch.start()
         KEPT.append(self)
         return self
@@ -104,10 +107,10 @@
         LIBRARY.sqlite3_vfs_unregister(byref(self.vfs))
         LIBRARY.sqlite3_vfs_register(byref(self.real), 1)
 
-    # ---- what SQLite calls
+    # ---- callbacks of the VFS
 
     def _open(self, _vfs: int, text: int, file: int, flags: int, out: Any) -> int:
-        name = string_at(text) if text else b""  # SQLite keeps the pointer: behind the name stand its options
+        name = string_at(text) if text else b""  # SQLite keeps the pointer: URI options follow the name in memory
         new = not os.path.exists(name)
         code = self.real.open(c_void_p(ctypes.addressof(self.real)), text, file, flags, out)
         address = cast(file, POINTER(c_void_p))[0]
@@ -134,37 +137,37 @@
     def _close(self, file: int) -> int:
         return self.files.pop(file)[1].close(file)
 
-    def _act(self, kind: str, act: Callable[[], int], *what: Any) -> int:
+    def _perform(self, kind: str, operation: Callable[[], int], *details: Any) -> int:
         code = self.refuse(len(self.done), kind)
-        self.done.append((kind if not code else "no " + kind, *what))
-        return code or act()
+        self.done.append((kind if not code else "no " + kind, *details))
+        return code or operation()
 
-    def _write(self, file: int, data: int, size: int, at: int) -> int:
+    def _write(self, file: int, data: int, size: int, offset: int) -> int:
         name, real = self.files[file]
         content = string_at(data, size)
         if (
-            self.most < 1 << 60
-            and sum(self.sizes().values()) + max(0, at + size - self.sizes().get(name, 0)) > self.most
+            self.max_bytes < 1 << 60
+            and sum(self.sizes().values()) + max(0, offset + size - self.sizes().get(name, 0)) > self.max_bytes
         ):
-            self.done.append(("no write", name, at, b""))
+            self.done.append(("no write", name, offset, b""))
             return FULL
-        code = self._act("write", lambda: real.write(file, data, size, at), name, at, content)
-        if code and size > SECTOR:  # half of it came
-            real.write(file, data, size // 2, at)
-            self.done.append(("write", name, at, content[: size // 2]))
+        code = self._perform("write", lambda: real.write(file, data, size, offset), name, offset, content)
+        if code and size > SECTOR:  # a failed write still wrote its first half
+            real.write(file, data, size // 2, offset)
+            self.done.append(("write", name, offset, content[: size // 2]))
         return code
 
     def _truncate(self, file: int, size: int) -> int:
         name, real = self.files[file]
-        return self._act("truncate", lambda: real.truncate(file, size), name, size)
+        return self._perform("truncate", lambda: real.truncate(file, size), name, size)
 
     def _sync(self, file: int, _flags: int) -> int:
-        return self._act("sync", lambda: 0, self.files[file][0])
+        return self._perform("sync", lambda: 0, self.files[file][0])
 
     def _delete(self, _vfs: int, name: bytes, folder: int) -> int:
         if not os.path.exists(name):
             return self.real.delete(c_void_p(ctypes.addressof(self.real)), name, 0)
-        code = self._act(
+        code = self._perform(
             "delete",
             lambda: self.real.delete(c_void_p(ctypes.addressof(self.real)), name, 0),
             Path(os.fsdecode(name)).name,
@@ -173,56 +176,58 @@
             self.done.append(("folder",))
         return code
 
-    # ---- what the store does by itself
+    # ---- operations of the store outside SQLite
 
     @contextlib.contextmanager
-    def own(self, folder: Path) -> Iterator[None]:
-        """Note the store's renames and syncs of its folder."""
+    def patch_store(self, folder: Path) -> Iterator[None]:
+        """Also records the store's renames and the syncs of its folder."""
         self.folder, replace = folder, os.replace
 
-        def renamed(old: Path, new: Path) -> None:
+        def recorded_replace(old: Path, new: Path) -> None:
             if self.refuse(len(self.done), "rename"):
                 raise OSError(5, "refused")
             self.done.append(("rename", Path(old).name, Path(new).name))
             replace(old, new)
 
         with (
-            mock.patch.object(store.os, "replace", renamed),
+            mock.patch.object(store.os, "replace", recorded_replace),
             mock.patch.object(store.Store, "_sync_folder", lambda _: self.done.append(("folder",))),
             self,
         ):
             yield
 
     def sizes(self) -> dict[str, int]:
-        """Bytes by file."""
-        return {one.name: one.stat().st_size for one in self.folder.iterdir()}
+        """Returns the size in bytes of each file."""
+        return {path.name: path.stat().st_size for path in self.folder.iterdir()}
+
+    # ---- state after a loss of power
 
-    # ---- after a loss of power
+    def files_after_power_loss(self, number: int, chance: random.Random, none: bool) -> dict[str, bytes]:
+        """Returns the files after a loss of power that follows the first `number` operations.
 
-    def left(self, number: int, chance: random.Random, none: bool) -> dict[str, bytes]:
-        """The files after a loss of power that follows what was done up to `number`; `none`: no unsynced write
-        lasts."""
+        With `none`, all unsynced writes are lost.
+        """
         names: dict[str, int] = {}
-        lasting: dict[str, int] = {}  # names as the folder has them for sure
+        lasting: dict[str, int] = {}  # names that are certain to survive: the folder was synced after them
         files: list[tuple[bytearray, list[tuple]]] = []
-        for kind, *what in self.done[:number]:
+        for kind, *details in self.done[:number]:
             match kind:
                 case "new":
-                    names[what[0]] = len(files)
+                    names[details[0]] = len(files)
                     files.append((bytearray(), []))
                 case "write" | "truncate":
-                    files[names[what[0]]][1].append((kind, *what[1:]))
-                case "sync" | "no sync":  # what a refused one should have covered is gone
-                    content, waiting = files[names[what[0]]]
-                    for one in waiting if kind == "sync" else ():
-                        self._put(content, one)
+                    files[names[details[0]]][1].append((kind, *details[1:]))
+                case "sync" | "no sync":  # writes before a failed sync are lost
+                    content, waiting = files[names[details[0]]]
+                    for change in waiting if kind == "sync" else ():
+                        self._put(content, change)
                     waiting.clear()
                     if kind == "sync":
-                        lasting[what[0]] = names[what[0]]
+                        lasting[details[0]] = names[details[0]]
                 case "delete":
-                    del names[what[0]]
+                    del names[details[0]]
                 case "rename":
-                    names[what[1]] = names.pop(what[0])
+                    names[details[1]] = names.pop(details[0])
                 case "folder":
                     lasting = dict(names)
         if not none and chance.random() < 0.5:
@@ -230,41 +235,44 @@
         for name, file in names.items():
             if name not in lasting and file not in lasting.values() and chance.random() < 0.5:
                 lasting[name] = file
-        found = {}
+        remaining = {}
         for name, file in lasting.items():
             content, waiting = bytearray(files[file][0]), files[file][1]
-            for one in () if none else waiting:
+            for change in () if none else waiting:
                 if chance.random() < 0.67:
-                    self._put(content, one, chance)
-            found[name] = bytes(content)
-        return found
+                    self._put(content, change, chance)
+            remaining[name] = bytes(content)
+        return remaining
 
     @staticmethod
-    def _put(content: bytearray, one: tuple, chance: random.Random | None = None) -> None:
-        """Take one write or change of length in, torn by `chance`."""
-        if one[0] == "truncate":
-            content[:] = content[: one[1]].ljust(one[1], b"\0")
+    def _put(content: bytearray, change: tuple, chance: random.Random | None = None) -> None:
+        """Applies a write or truncation to `content`; with `chance`, a write may be torn by sectors."""
+        if change[0] == "truncate":
+            content[:] = content[: change[1]].ljust(change[1], b"\0")
             return
-        at, data = one[1:]
-        parts = range(at, at + len(data), SECTOR)
-        whole = chance is None or chance.random() < 0.5
-        for start in parts:
-            if whole or chance is not None and chance.random() < 0.5:
-                part = data[start - at : start - at + SECTOR]
+        offset, data = change[1:]
+        sector_starts = range(offset, offset + len(data), SECTOR)
+        is_whole = chance is None or chance.random() < 0.5
+        for start in sector_starts:
+            if is_whole or chance is not None and chance.random() < 0.5:
+                part = data[start - offset : start - offset + SECTOR]
                 content.extend(bytes(max(0, start + len(part) - len(content))))
                 content[start : start + len(part)] = part
 
 
 class FolderNames:
-    """Real folders whose names last once the folder above was synced; the syncs with these numbers are refused."""
+    """Tracks which new folders would survive a loss of power: those whose parent was synced since.
+
+    Syncs with the numbers in `refused` fail.
+    """
 
     def __init__(self, refused: frozenset[int] = frozenset()) -> None:
         self.refused, self.syncs = refused, 0
-        self.made: dict[Path, bool] = {}  # folders made here, and whether a loss of power leaves their names
+        self.made: dict[Path, bool] = {}  # folders created here, and whether their names survive
 
     def __enter__(self) -> "FolderNames":
         self.patches = [
-            mock.patch.object(os, "mkdir", self._made(os.mkdir)),
+            mock.patch.object(os, "mkdir", self._recorded(os.mkdir)),
             mock.patch.object(os, "fsync", self._sync),
         ]
         for patch in self.patches:
@@ -275,23 +283,23 @@
         for patch in self.patches:
             patch.stop()
 
-    def _made(self, mkdir: Callable) -> Callable:
-        def made(path: Any, *given: Any, **named: Any) -> None:
-            mkdir(path, *given, **named)
+    def _recorded(self, mkdir: Callable) -> Callable:
+        def recorded_mkdir(path: Any, *arguments: Any, **options: Any) -> None:
+            mkdir(path, *arguments, **options)
             self.made[Path(path)] = False
 
-        return made
+        return recorded_mkdir
 
     def _sync(self, descriptor: int) -> None:
         self.syncs += 1
         if self.syncs - 1 in self.refused:
             raise OSError(5, "refused")
         folder = Path(os.readlink(f"/proc/self/fd/{descriptor}"))
-        self.made.update({one: True for one in self.made if one.parent == folder})
+        self.made.update({path: True for path in self.made if path.parent == folder})
 
-    def lost(self) -> list[str]:
-        """Folders that a loss of power now may take away, with all that is in them."""
-        return [one.name for one, lasts in self.made.items() if not lasts]
+    def unsynced_folders(self) -> list[str]:
+        """Returns folders that a loss of power now may remove, with all their contents."""
+        return [path.name for path, is_durable in self.made.items() if not is_durable]
 
 
 @atexit.register
--- a/tests/standins/documents.py
+++ b/tests/standins/documents.py
@@ -1,4 +1,4 @@
-"""Configurations as operators send them: one without tenants, and one whose requests bear tenants' keys."""
+"""Configuration documents as operators send them: one without tenants, and one with tenants and API keys."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def item(kind: str, name: str, specification: dict) -> dict:
-    """An entry of `objects`."""
+    """Returns an entry of `objects`."""
     return {"object_kind": kind, "metadata": {"name": name}, "specification": specification}
 
 
 def route(name: str, prefix: str, service: str, kind: str = "idempotent", **more: Any) -> dict:
-    """A route as operators send it."""
+    """Returns a route object."""
     specification = {
         "hostname": HOST,
         "path_prefix": prefix,
@@ -31,18 +31,18 @@
 
 
 def service(name: str, **more: Any) -> dict:
-    """A service as operators send it."""
+    """Returns a service object."""
     specification = {"health_check": "/health", "max_connections": 130, "protocol": "h1", "tls": False}
     return item("services", name, {**specification, **more})
 
 
 def tenant(name: str, keys: list[str], rate: float = 0, burst: float = 0, **more: Any) -> dict:
-    """A tenant as operators send it: requests a second and requests beyond; a rate of 0 is no limit."""
+    """Returns a tenant object. `rate` is in requests per second (0: unlimited), `burst` in requests."""
     return item("tenants", name, {"api_keys": keys, "rate_per_s": rate, "burst_size": burst, **more})
 
 
 def key_header(key: str) -> str:
-    """The header's line by which a client shows its key."""
+    """Returns the header line with a client's API key."""
     return f"Authorization: Token {key}\r\n"
 
 
@@ -69,7 +69,7 @@
     ],
 }
 
-# Two tenants without a limit and one with a small one; two keyed routes, one of them to the service divided by key.
+# Two tenants without a limit and one with a small limit; two keyed routes, one of them to the sharded service.
 SHARED = copy.deepcopy(FIRST) | {"config_version": "r5"}
 SHARED["objects"][3:3] = [
     route("pay", "/pay/", "tiles", "keyed"),
--- a/tests/standins/edges.py
+++ b/tests/standins/edges.py
@@ -1,4 +1,4 @@
-"""Proxies on sockets that subscribe, and count what reaches them; a publisher without a conductor; certificates."""
+"""Subscribing proxies on real sockets, a publisher without a conductor, and TLS certificates for tests."""
 
 import datetime
 import time
@@ -11,7 +11,7 @@
 
 
 class Edge(Client):
-    """A subscriber that notes when messages came."""
+    """A subscriber that records the arrival times of messages (`came`) and its log events (`words`)."""
 
     def __init__(self, loop, addresses, subscriber, **options):
         self.came, self.words = [], []
@@ -19,14 +19,17 @@
             loop,
             addresses,
             subscriber,
-            lambda told: self.came.append(loop.now()),
+            lambda message: self.came.append(loop.now()),
             lambda kind, text: self.words.append((kind, text)),
             **options,
         )
 
 
 class Site:
-    """A publisher on a loop of its own, with a table that the test changes."""
+    """A publisher on its own loop, with a table that the test changes.
+
+    `told` lists the notifications to the conductor's module, `lines` the log events.
+    """
 
     def __init__(self, settings, table, access=None, seats=200, key=b"k" * 32):
         self.loop, self.told, self.lines = Loop(), [], []
@@ -35,7 +38,7 @@
             self.loop,
             self.hub,
             access or publisher.Access(),
-            lambda *x: self.told.append(x),
+            lambda *notification: self.told.append(notification),
             lambda proxy: False,
             lambda kind, text="": self.lines.append((kind, text)),
             seats,
@@ -71,42 +74,42 @@
             if time.monotonic() >= end:
                 return
 
-    def until(self, true, seconds=90.0):
+    def until(self, condition, seconds=90.0):
         end = time.monotonic() + seconds
-        while not true():
-            assert time.monotonic() < end, "never came"
+        while not condition():
+            assert time.monotonic() < end, "the condition did not hold in time"
             self.turn()
 
     def alike(self, edges=None):
-        want = sorted(self.hub.table.rows())
+        expected = sorted(self.hub.table.rows())
         return all(
-            e.subscriber.next_slice is None and e.link and sorted(e.subscriber.rows()) == want
+            e.subscriber.next_slice is None and e.link and sorted(e.subscriber.rows()) == expected
             for e in edges or self.edges
         )
 
 
 def most_within(times, span):
-    """The most messages within a span, by the receiver's clock."""
+    """Returns the highest number of messages within any window of `span` seconds, by the receiver's clock."""
     return max((sum(1 for t in times[k:] if t < times[k] + span) for k in range(len(times))), default=0)
 
 
 def certificates(folder, names):
-    """An authority and a certificate for each name, as files; made anew."""
+    """Creates a certificate authority and a certificate for each name as files; returns the authority's path."""
     from cryptography import x509
     from cryptography.hazmat.primitives import hashes, serialization
     from cryptography.hazmat.primitives.asymmetric import ec
 
     now = datetime.datetime.now(datetime.timezone.utc)
 
-    def named(name):
+    def subject_name(name):
         return x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
 
-    def made(name, issuer, issuer_key, authority):
+    def create(name, issuer, issuer_key, authority):
         key = ec.generate_private_key(ec.SECP256R1())
         builder = (
             x509.CertificateBuilder()
-            .subject_name(named(name))
-            .issuer_name(issuer or named(name))
+            .subject_name(subject_name(name))
+            .issuer_name(issuer or subject_name(name))
             .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
             .not_valid_before(now - datetime.timedelta(days=1))
@@ -143,7 +146,7 @@
         )
         return cert, key
 
-    authority, key = made("authority", None, None, True)
+    authority, key = create("authority", None, None, True)
     for name in names:
-        made(name, authority.subject, key, False)
+        create(name, authority.subject, key, False)
     return str(folder / "authority.pem")
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -1,7 +1,7 @@
-"""A scripted fleet: several conductors at once over one set of servers, as sums and not RPC by RPC; simulated.
+"""Scripted simulation of several conductors that share servers; computes rates rather than individual RPCs.
 
-Owns the truth that no conductor sees: what all of them together send to a server, and which cold one falls over. Each
-conductor hears by its own list, late by its own lag, and of its own slices alone. It uses nothing of the policy.
+Knows what no single conductor sees: the total load of each server, and which cold servers fail under it. Each conductor
+receives its own server list with its own delay, and reports on its own slices only. It uses no code of the policy.
 """
 
 import heapq
@@ -14,7 +14,7 @@
 from knotwalk.rules import Limits, RuleChecker
 
 ZONES = ("east", "west")
-LEASE_LATE = 2.5  # seconds until a lost conductor's slices are the others'
+LEASE_LATE = 2.5  # seconds until the slices of a lost conductor are reassigned
 SETTINGS = Settings(
     methods=(Method(soft_deadline=1.0, criticality=1.0),),
     slices=0,
@@ -37,14 +37,14 @@
 
 
 class Machine:
-    """A server: what it can do, in RPCs a second, and since when."""
+    """A server: `power` is its capacity when warm, in RPCs per second."""
 
     def __init__(self, id: str, zone: str, power: float):
         self.id, self.zone, self.power = id, zone, power
         self.state, self.started, self.up = "ready", 0.0, True
         self.over_since: float | None = None
 
-    def can(self, now: float) -> float:
+    def capacity(self, now: float) -> float:
         age = min(1.0, (now - self.started) / SETTINGS.cold_time) if self.started else 1.0
         return self.power * (SETTINGS.cold_share + (1 - SETTINGS.cold_share) * age) if self.up else 0.0
 
@@ -53,7 +53,7 @@
 
 
 class Seat:
-    """A conductor and what is in its charge."""
+    """A conductor with its slices and proxies."""
 
     def __init__(self, place: int, module: Conductor, rules: RuleChecker, lag: float, proxies: list[int]):
         self.place, self.module, self.rules, self.lag, self.proxies = place, module, rules, lag, proxies
@@ -62,7 +62,7 @@
 
 
 class Fleet:
-    """Five conductors as a rule. `script` is a list of (time, name of a method below, arguments)."""
+    """`parts` conductors over shared servers. `script` is a list of (time, name of a method below, arguments)."""
 
     def __init__(
         self,
@@ -84,18 +84,19 @@
         self.settings = SETTINGS._replace(
             slices=slices, controllers=parts, lines_waiting_most=room * proxies, lines_rate=120.0 * proxies
         )
-        r = self.random
-        self.machines = {f"s{k}": Machine(f"s{k}", ZONES[k % 2], r.uniform(15, 30)) for k in range(servers)}
-        weights = [r.paretovariate(2.5) for _ in range(slices)]
-        total = load * sum(x.power for x in self.machines.values())
-        self.demand = [total * w / sum(weights) for w in weights]
+        rng = self.random
+        self.machines = {f"s{k}": Machine(f"s{k}", ZONES[k % 2], rng.uniform(15, 30)) for k in range(servers)}
+        weights = [rng.paretovariate(2.5) for _ in range(slices)]
+        total = load * sum(server.power for server in self.machines.values())
+        self.demand = [total * weight / sum(weights) for weight in weights]
         names = list(self.machines)
-        self.store: list[dict[str, float]] = [{r.choice(names): 1.0} for _ in range(slices)]  # as ordered
-        self.tables = [dict(lines) for lines in self.store]  # as the proxies have it
-        self.shut: set[tuple[int, str]] = set()  # by conductor and server
+        # `store` has the lines as ordered by the conductors, `tables` as applied by the proxies.
+        self.store: list[dict[str, float]] = [{rng.choice(names): 1.0} for _ in range(slices)]
+        self.tables = [dict(lines) for lines in self.store]
+        self.shut: set[tuple[int, str]] = set()  # (conductor, server) pairs withdrawn
         self.level = [1.0] * slices
-        self.fallen: list[tuple[float, str]] = []  # cold servers that fell over
-        self.served: list[tuple[float, float]] = []  # (time, part of the demand), each half second
+        self.fallen: list[tuple[float, str]] = []  # cold servers that failed under load
+        self.served: list[tuple[float, float]] = []  # (time, share of the demand served), every half second
         self.seats: list[Seat] = []
         for k in range(parts):
             settings = self.settings._replace(place=k)
@@ -104,19 +105,19 @@
                     k,
                     make(settings, seed * 100 + k),
                     RuleChecker(settings, LIMITS),
-                    lag * r.uniform(0.3, 3),
+                    lag * rng.uniform(0.3, 3),
                     list(range(k, proxies, parts)),
                 )
             )
         for at, name, *arguments in script:
             self.at(self.now + at, lambda name=name, arguments=arguments: getattr(self, name)(*arguments))
         for seat in self.seats:
-            # Every proxy holds a stream to every conductor, as the relay has it.
-            inbox = [("listed", (True, False, [x.entry() for x in self.machines.values()]))]
+            # Every proxy has a stream to every conductor, through the relay.
+            inbox = [("listed", (True, False, [server.entry() for server in self.machines.values()]))]
             inbox += [("joined", (p,)) for p in range(proxies)]
             self.proxies = proxies
             self.round(seat, inbox + self.given(seat, range(seat.place, slices, parts)))
-            self.at(self.now + 2.0 + r.uniform(0, 0.1), lambda seat=seat: self.report(seat))
+            self.at(self.now + 2.0 + rng.uniform(0, 0.1), lambda seat=seat: self.report(seat))
         self.at(self.now + 0.5, self.judge)
 
     def at(self, when: float, call: Callable[[], None]) -> None:
@@ -142,137 +143,146 @@
     def round(self, seat: Seat, inbox: list) -> None:
         if not seat.up:
             return
-        tape, now = OrderLog(), self.now
-        seat.module.decide(now, inbox, tape)
-        seat.rules.feed(now, inbox, tape.orders)
+        order_log, now = OrderLog(), self.now
+        seat.module.decide(now, inbox, order_log)
+        seat.rules.feed(now, inbox, order_log.orders)
         if self.keep:
-            seat.rounds.append((now, inbox, tape.orders))
-        told, mark = [], None
-        for name, f in tape.orders:
+            seat.rounds.append((now, inbox, order_log.orders))
+        updates, mark = [], None
+        for name, fields in order_log.orders:
             if name == "line":
-                self.store[f[0]].pop(f[1], None)
-                if f[2]:
-                    self.store[f[0]][f[1]] = f[2]
-                told.append(("line", f))
+                self.store[fields[0]].pop(fields[1], None)
+                if fields[2]:
+                    self.store[fields[0]][fields[1]] = fields[2]
+                updates.append(("line", fields))
             elif name in ("withdraw", "admit"):
-                told.append((name, f))
+                updates.append((name, fields))
             elif name == "receipt":
-                mark = f[0]
+                mark = fields[0]
             elif name == "wake":
-                self.at(max(f[0], now), lambda: self.round(seat, []))
+                self.at(max(fields[0], now), lambda: self.round(seat, []))
         if mark is not None:
             seat.free = max(seat.free, now) + self.settings.message_delay * self.random.uniform(0.7, 1.4)
-            self.at(seat.free, lambda: self.take_in(seat, told, mark))
+            self.at(seat.free, lambda: self.take_in(seat, updates, mark))
 
-    def take_in(self, seat: Seat, told: list, mark: int) -> None:
-        for name, f in told:
+    def take_in(self, seat: Seat, updates: list, mark: int) -> None:
+        for name, fields in updates:
             if name == "line":
-                self.tables[f[0]].pop(f[1], None)
-                if f[2]:
-                    self.tables[f[0]][f[1]] = f[2]
+                self.tables[fields[0]].pop(fields[1], None)
+                if fields[2]:
+                    self.tables[fields[0]][fields[1]] = fields[2]
             elif name == "withdraw":
-                (self.shut.add if f[1] else self.shut.discard)((seat.place, f[0]))
-            elif f[0] is not None:
-                self.level[f[0]] = f[2]
+                (self.shut.add if fields[1] else self.shut.discard)((seat.place, fields[0]))
+            elif fields[0] is not None:
+                self.level[fields[0]] = fields[2]
         self.round(seat, [("applied", (p, mark)) for p in range(self.proxies)])
 
     def sent(self) -> dict[str, dict[int, float]]:
-        """RPCs a second by server and conductor."""
-        out: dict[str, dict[int, float]] = {x: {} for x in self.machines}
+        """Returns the rate of RPCs per second by server and conductor."""
+        out: dict[str, dict[int, float]] = {server: {} for server in self.machines}
         for seat in self.seats:
             for k in seat.slices:
-                lines = {x: w for x, w in self.tables[k].items() if (seat.place, x) not in self.shut}
-                for x, w in lines.items():
-                    part = self.demand[k] * self.level[k] * w / sum(lines.values())
-                    out[x][seat.place] = out[x].get(seat.place, 0.0) + part
+                lines = {
+                    server: weight for server, weight in self.tables[k].items() if (seat.place, server) not in self.shut
+                }
+                for server, weight in lines.items():
+                    part = self.demand[k] * self.level[k] * weight / sum(lines.values())
+                    out[server][seat.place] = out[server].get(seat.place, 0.0) + part
         return out
 
     def report(self, seat: Seat) -> None:
-        """What a conductor hears of the last period: each server that its slices are on, and its slices."""
-        r, inbox = self.random, []
-        for id, by in self.sent().items():
-            x, mine = self.machines[id], by.get(seat.place, 0.0)
-            if mine and (tries := round(2.0 * mine)):
-                asked, can = sum(by.values()), x.can(self.now)
-                good = min(1.0, can / asked)
+        """Reports the last period to a conductor: the servers that its slices use, and the demand of its slices."""
+        rng, inbox = self.random, []
+        for id, by_conductor in self.sent().items():
+            server, own_rate = self.machines[id], by_conductor.get(seat.place, 0.0)
+            if own_rate and (tries := round(2.0 * own_rate)):
+                demanded, capacity = sum(by_conductor.values()), server.capacity(self.now)
+                good = min(1.0, capacity / demanded)
                 load = (
                     {
-                        "utilization": round(min(1.0, asked / can * r.uniform(0.85, 1.15)), 3),
-                        "qps": round(min(asked, can) * r.uniform(0.9, 1.1), 2),
+                        "utilization": round(min(1.0, demanded / capacity * rng.uniform(0.85, 1.15)), 3),
+                        "qps": round(min(demanded, capacity) * rng.uniform(0.9, 1.1), 2),
                     }
-                    if can
+                    if capacity
                     else {}
                 )
                 aborted = round(tries * (1 - good))
-                latency = 0.1 / max(0.05, 1 - min(0.95, asked / can)) if can else 0.0
-                inbox.append(("heard", (id, x.zone, 2.0, tries, aborted, latency if aborted < tries else 0.0, load)))
+                latency = 0.1 / max(0.05, 1 - min(0.95, demanded / capacity)) if capacity else 0.0
+                inbox.append(
+                    ("heard", (id, server.zone, 2.0, tries, aborted, latency if aborted < tries else 0.0, load))
+                )
         for k in sorted(seat.slices):
-            inbox.append(("wanted", (k, 0, 2.0, round(2.0 * self.demand[k] * r.uniform(0.9, 1.1)))))
-        self.at(self.now + r.uniform(0.3, 1.0), lambda: self.round(seat, inbox))
+            inbox.append(("wanted", (k, 0, 2.0, round(2.0 * self.demand[k] * rng.uniform(0.9, 1.1)))))
+        self.at(self.now + rng.uniform(0.3, 1.0), lambda: self.round(seat, inbox))
         self.at(self.now + 2.0, lambda: self.report(seat))
 
     def judge(self) -> None:
-        """Rule 4 by the truth, and what is served."""
-        sent, done = self.sent(), 0.0
-        for id, by in sent.items():
-            x, asked = self.machines[id], sum(by.values())
-            can = x.can(self.now)
-            done += min(asked, can)
-            if x.up and x.started and self.now - x.started < SETTINGS.cold_time and asked > LIMITS.tip_multiple * can:
-                x.over_since = self.now if x.over_since is None else x.over_since
-                if self.now - x.over_since >= LIMITS.fall_time:
+        """Checks rule 4 (no cold server fails under load) on the total load, and records the share of demand served."""
+        sent, served_rate = self.sent(), 0.0
+        for id, by_conductor in sent.items():
+            server, demanded = self.machines[id], sum(by_conductor.values())
+            capacity = server.capacity(self.now)
+            served_rate += min(demanded, capacity)
+            if (
+                server.up
+                and server.started
+                and self.now - server.started < SETTINGS.cold_time
+                and demanded > LIMITS.tip_multiple * capacity
+            ):
+                server.over_since = self.now if server.over_since is None else server.over_since
+                if self.now - server.over_since >= LIMITS.fall_time:
                     self.fallen.append((self.now, id))
-                    x.up = False
+                    server.up = False
             else:
-                x.over_since = None
-        self.served.append((self.now, done / sum(self.demand)))
+                server.over_since = None
+        self.served.append((self.now, served_rate / sum(self.demand)))
         self.at(self.now + 0.5, self.judge)
 
     def part(self, since: float, until: float) -> float:
-        """The mean part served, in seconds from the start."""
-        of = [part for at, part in self.served if since <= at - 1000.0 < until]
-        return sum(of) / len(of)
+        """Returns the mean share of demand served between two times, in seconds from the start."""
+        shares = [part for at, part in self.served if since <= at - 1000.0 < until]
+        return sum(shares) / len(shares)
 
     def breaks(self) -> list[tuple]:
-        """What the checker is sure of, over all conductors."""
+        """Returns the certain violations found by the rule checkers of all conductors."""
         return [(seat.place, *b) for seat in self.seats for b in seat.rules.violations if b.sure]
 
-    # --- what the script may say ---
+    # --- actions of scripts ---
 
     def tell(self, servers: Iterable[str]) -> None:
-        """Each conductor hears how these stand now, by its own lag."""
-        entries = [self.machines[x].entry() for x in servers]
+        """Sends the current state of these servers to each conductor, after its own lag."""
+        entries = [self.machines[server].entry() for server in servers]
         for seat in self.seats:
             self.at(self.now + seat.lag, lambda seat=seat: self.round(seat, [("listed", (False, False, entries))]))
 
     def drain(self, servers: list[str]) -> None:
-        for x in servers:
-            self.machines[x].state = "draining"
+        for server in servers:
+            self.machines[server].state = "draining"
         self.tell(servers)
 
     def die(self, servers: list[str]) -> None:
-        for x in servers:
-            self.machines[x].up, self.machines[x].state = False, "gone"
+        for server in servers:
+            self.machines[server].up, self.machines[server].state = False, "gone"
         self.tell(servers)
 
     def come(self, servers: list[str], times: float = 1.0) -> None:
-        """They start anew, cold; `times` as fast as before."""
-        for x in servers:
-            m = self.machines[x]
-            m.up, m.state, m.started, m.power = True, "ready", self.now, m.power * times
+        """Restarts these servers, cold; their capacity is multiplied by `times`."""
+        for server in servers:
+            machine = self.machines[server]
+            machine.up, machine.state, machine.started, machine.power = True, "ready", self.now, machine.power * times
         self.tell(servers)
 
     def heat(self, slice_id: int, times: float) -> None:
         self.demand[slice_id] *= times
 
     def lose(self, place: int) -> None:
-        """A conductor is gone for good; the others get its slices, in turn."""
+        """Removes a conductor permanently; its slices are distributed over the others."""
         lost = self.seats[place]
         lost.up = False
         slices, lost.slices = sorted(lost.slices), set()
         left = [seat for seat in self.seats if seat.up]
         parts = {seat.place: slices[k :: len(left)] for k, seat in enumerate(left)}
-        # Until then its tables stand, and count for who will have them.
+        # Until then its tables stay in force, and their load counts for the later owners.
         for seat in left:
             seat.slices.update(parts[seat.place])
 
@@ -283,6 +293,6 @@
         self.at(self.now + LEASE_LATE, pass_on)
 
     def list_whole(self, place: int, without: list[str]) -> None:
-        """One conductor's list is told whole, and lacks some."""
-        entries = [x.entry() for x in self.machines.values() if x.id not in without]
+        """Sends one conductor a full server list that lacks some servers."""
+        entries = [server.entry() for server in self.machines.values() if server.id not in without]
         self.round(self.seats[place], [("listed", (True, False, entries))])
--- a/tests/standins/holders.py
+++ b/tests/standins/holders.py
@@ -1,4 +1,7 @@
-"""Nodes that hold keys: they take grants and releases, run only what they hold, and watch each other for OWNER."""
+"""Stand-in nodes with leases on keys: they handle grants and releases, and execute requests only for keys they hold.
+
+They also detect keys that two nodes hold at once (the soak's finding OWNER).
+"""
 
 from __future__ import annotations
 
@@ -17,12 +20,15 @@
 
 @dataclass
 class Watch:
-    """What all nodes of a village see together. `broken` names keys that two nodes held, both up, as work began."""
+    """Observations shared by all nodes of a village.
+
+    `broken` lists (key, node, other node) where another running node held the key too when execution began.
+    """
 
     nodes: list[HoldingNode] = field(default_factory=list)
     broken: list[tuple[int, str, str]] = field(default_factory=list)
-    begun: dict[str, list[str]] = field(default_factory=dict)  # by Attempt-Id: nodes that began work on it
-    twice: list[str] = field(default_factory=list)  # of those that may run once, begun again
+    begun: dict[str, list[str]] = field(default_factory=dict)  # by Attempt-Id: nodes that began to execute the request
+    twice: list[str] = field(default_factory=list)  # non-idempotent attempts that were executed again
 
     def begins(self, node: HoldingNode, request: Request, key: int | None) -> None:
         begun = self.begun.setdefault(request.attempt, [])
@@ -40,7 +46,11 @@
 
 @dataclass
 class HoldingNode(StandIn):
-    """A node of a sharded service (`sharded`), or of a plain one. While `gate` is not set, begun work waits."""
+    """A node of a sharded (`sharded`) or plain service. Execution of requests waits while `gate` is not set.
+
+    `until` and `fences` hold for each key the end of its grant and its fencing token. `running` lists the key of each
+    request in execution, with an event that is set at its end. `longest` is the longest hold granted, in seconds.
+    """
 
     watch: Watch = field(default_factory=Watch)
     service: str = ""
@@ -48,7 +58,7 @@
     state: str = "ready"
     capacity: int = 4
     up: bool = True
-    shown: bool = True  # in the platform's list, where a node that crashed stays for a while
+    shown: bool = True  # whether the platform lists it: a crashed node stays listed for a while
     until: list[float] = field(default_factory=lambda: [0.0] * KEY_COUNT, repr=False)
     fences: list[int] = field(default_factory=lambda: [0] * KEY_COUNT, repr=False)
     running: list[tuple[int, asyncio.Event]] = field(default_factory=list, repr=False)
@@ -56,7 +66,7 @@
     place: tuple[str, int] = ("", 0)
     longest: float = 0.0
     released: int = 0
-    runs: int = 0  # begun
+    runs: int = 0  # executions started
 
     def __post_init__(self) -> None:
         self.gate.set()
@@ -73,12 +83,12 @@
 
     @property
     def held(self) -> int:
-        """How many keys it holds now."""
+        """Number of keys that it holds now."""
         now = clock()
         return sum(until > now for until in self.until)
 
     def listed(self) -> dict:
-        """Its entry in the platform's list."""
+        """Its entry in the platform's list of nodes."""
         host, port = self.place
         return {
             "service": self.service,
@@ -98,15 +108,15 @@
             return self._release
         if target == "/health":
             return answer(request, seal=False, extra=f"Instance-Id: {self.id}\r\n")
-        wanted = request.headers.get("target-instance", self.id)
+        target_node = request.headers.get("target-instance", self.id)
         key = int(request.headers["shard-key"]) if self.sharded else None
-        if wanted != self.id or key is not None and self.until[key] <= clock():
+        if target_node != self.id or key is not None and self.until[key] <= clock():
             return answer(request, b"", "421 Misdirected Request", seal=False, extra=NOT_HELD)
         self.watch.begins(self, request, key)
         return self._work
 
     def seal(self) -> str:
-        """The stamp of a run that begins: no other run has it."""
+        """Returns a unique `Server-Seal` for an execution that begins."""
         self.runs += 1
         return f"{self.id}.{self.runs}"
 
@@ -128,22 +138,22 @@
         )
 
     def _grant(self, request: Request) -> bytes:
-        asked = json.loads(request.body)
-        part, fence = slice(asked["source_version"], asked["target_version"] + 1), asked["fence"]
-        if max(self.fences[part]) > fence:
+        grant = json.loads(request.body)
+        keys, fence = slice(grant["source_version"], grant["target_version"] + 1), grant["fence"]
+        if max(self.fences[keys]) > fence:
             return answer(request, b"{}", "409 Conflict", seal=False)
-        hold = parse_duration(asked["hold"])
+        hold = parse_duration(grant["hold"])
         self.longest = max(self.longest, hold)
-        count = part.stop - part.start
-        self.fences[part], self.until[part] = [fence] * count, [clock() + hold] * count
+        count = keys.stop - keys.start
+        self.fences[keys], self.until[keys] = [fence] * count, [clock() + hold] * count
         return answer(request, b"{}", seal=False)
 
     async def _release(self, request: Request, writer: asyncio.StreamWriter) -> bytes:
-        """Answered once what runs on the keys has ended."""
-        asked = json.loads(request.body)
-        first, last = asked["source_version"], asked["target_version"]
+        """Answers once all requests in execution on the released keys have ended."""
+        release = json.loads(request.body)
+        first, last = release["source_version"], release["target_version"]
         for key in range(first, last + 1):
-            if self.fences[key] <= asked["fence"]:
+            if self.fences[key] <= release["fence"]:
                 self.until[key] = 0.0
         for key, done in list(self.running):
             if first <= key <= last:
--- a/tests/standins/jumps.py
+++ b/tests/standins/jumps.py
@@ -1,4 +1,4 @@
-"""Event loops whose time isn't the machine's: one jumps to what is due next, one stands until the test moves it."""
+"""Event loops with simulated time: one jumps to the next timer, one stands still until the test advances it."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from typing import Any
 from unittest import mock
 
-BOUND = 120.0  # seconds of the machine's time that work on other threads may take; a calm machine needs milliseconds
+THREAD_TIMEOUT_S = 120.0  # real time allowed for work on other threads; an idle machine needs milliseconds
 
 
-class Stuck(AssertionError):
-    """Nothing will ever happen again: no timer, no call and no thread's work is outstanding."""
+class LoopDeadlockError(AssertionError):
+    """The loop is deadlocked: no timer, callback or work on another thread is outstanding."""
 
 
 class Jumps(selectors.DefaultSelector):
-    """Waits for nothing but other threads: the time that a loop would have waited is added to `now`."""
+    """A selector that waits only for other threads: instead of waiting, it adds the time-out to `now`."""
 
     now = 0.0
-    outside = 0  # pieces of work that other threads do; time stands while there are any
+    outside = 0  # work items on other threads; simulated time stands still while there are any
 
     def select(self, timeout: float | None = None) -> list:
-        found = super().select(0)
-        if found or timeout == 0:
-            return found
+        events = super().select(0)
+        if events or timeout == 0:
+            return events
         if self.outside:
-            found = super().select(BOUND)
-            if not found:
-                raise Stuck(f"a thread's work took more than {BOUND:g} s")
+            events = super().select(THREAD_TIMEOUT_S)
+            if not events:
+                raise LoopDeadlockError(f"work on another thread took more than {THREAD_TIMEOUT_S:g} s")
         elif timeout is None:
-            raise Stuck("waits for what nobody will do")
+            raise LoopDeadlockError("the loop waits, but no timer, callback or thread is outstanding")
         else:
-            self.now += timeout + 1e-6  # past the moment, whatever the rounding
-        return found
+            self.now += timeout + 1e-6  # past the timer's due time in spite of rounding
+        return events
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop whose time only jumps, so that twenty seconds last some milliseconds, however busy the machine."""
+    """An event loop that jumps to the next timer: twenty seconds take milliseconds, however busy the machine is."""
 
     def __init__(self) -> None:
         self.jumps = Jumps()
@@ -47,16 +47,16 @@
     def time(self) -> float:
         return self.jumps.now
 
-    def run_in_executor(self, executor: Executor | None, work: Any, *given: Any) -> asyncio.Future:
-        future = super().run_in_executor(executor, work, *given)
+    def run_in_executor(self, executor: Executor | None, work: Any, *arguments: Any) -> asyncio.Future:
+        future = super().run_in_executor(executor, work, *arguments)
         self.jumps.outside += 1
         future.add_done_callback(self._came_back)
         return future
 
-    async def shutdown_default_executor(self, *given: Any) -> None:
+    async def shutdown_default_executor(self, *arguments: Any) -> None:
         self.jumps.outside += 1
         try:
-            await super().shutdown_default_executor(*given)
+            await super().shutdown_default_executor(*arguments)
         finally:
             self.jumps.outside -= 1
 
@@ -65,12 +65,12 @@
 
 
 def clock() -> float:
-    """The running loop's time, for what would read the steady clock."""
+    """Returns the running loop's time, in place of the monotonic clock."""
     return asyncio.get_running_loop().time()
 
 
 class JumpingCase(unittest.IsolatedAsyncioTestCase):
-    """Tests in time that only jumps. `clocks` are the modules whose steady clock is the loop's time meanwhile."""
+    """Test case on the jumping loop. `clocks` are the modules whose `clock` is replaced by the loop's time."""
 
     clocks: tuple = ()
 
@@ -80,12 +80,12 @@
             patch.start()
             self.addCleanup(patch.stop)
 
-    def _setupAsyncioRunner(self) -> None:  # noqa: N802, the name that unittest has; from Python 3.13 on loop_factory
+    def _setupAsyncioRunner(self) -> None:  # noqa: N802, overrides unittest's method; from Python 3.13 on, loop_factory replaces it
         self._asyncioRunner = asyncio.Runner(debug=True, loop_factory=Loop)
 
 
 class Held:
-    """A loop's time that stands until the test moves it on: `now` in place of the loop's and of the steady clock."""
+    """Time that stands still until the test changes `moment`; `now` replaces `loop.time` and the monotonic clock."""
 
     def __init__(self, loop: asyncio.BaseEventLoop):
         self.moment = loop.time()
--- a/tests/standins/nodes.py
+++ b/tests/standins/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes on loopback that do what a test tells them, request by request; and clients that speak raw bytes."""
+"""Stand-in nodes on loopback, scripted per request, and clients that write raw bytes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class Request:
-    """A request as a node read it."""
+    """A request as received by a node."""
 
     line: str
     headers: dict[str, str]
@@ -32,7 +32,7 @@
 
     @property
     def tenant(self) -> str:
-        """Whose request it is, by what the system says."""
+        """Tenant of the request according to the gateway."""
         return self.headers.get("tenant", "")
 
     @property
@@ -41,7 +41,7 @@
 
     @property
     def showed_key(self) -> bool:
-        """Whether the tenant's key itself came along."""
+        """Whether the node received the tenant's API key itself."""
         return "authorization" in self.headers
 
 
@@ -53,7 +53,7 @@
     extra: str = "",
     id: str | None = None,
 ) -> bytes:
-    """A whole answer. `seal`: that of the run, or whether it has one."""
+    """Returns a complete response. `seal`: the seal's text, or whether to send a default one."""
     head = f"HTTP/1.1 {status}\r\nAttempt-Id: {request.attempt if id is None else id}\r\n"
     stamp = f"Server-Seal: {'s' if seal is True else seal}\r\n" if seal else ""
     head += f"Content-Length: {len(body)}\r\n{stamp}{extra}\r\n"
@@ -66,8 +66,9 @@
 
 @dataclass
 class StandIn:
-    """A node. `script` gives for the n-th request (from 0) what to send: bytes, a list of bytes, None to reset, or a
-    coroutine function of (request, writer) that does as it likes. Beyond the script: a whole answer."""
+    """A node. Entry n of `script` handles the n-th request (from 0): bytes to send, None to reset the connection, or a
+    function or coroutine function of (request, writer) that returns the bytes to send, or None to send nothing more.
+    Requests beyond the script get a complete response."""
 
     id: str = "i-1"
     script: list = field(default_factory=list)
@@ -98,7 +99,7 @@
         return Node(self.id, service, self.address, zone, capacity)
 
     def act(self, request: Request):
-        """What to do with a request; `seen` holds those before it."""
+        """Returns the script entry for a request; `seen` holds the requests before it."""
         if len(self.seen) < len(self.script):
             return self.script[len(self.seen)]
         return answer(request, extra=f"Server-Load: {self.load}\r\n" if self.load else "")
@@ -133,7 +134,7 @@
                         continue
                 writer.write(act)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # cancelled at a test's end: asyncio's streams would print it
+            pass  # cancelled at the end of a test: otherwise asyncio's streams print a traceback
         finally:
             self.gone.append(number)
             self.left.set()
@@ -141,7 +142,7 @@
 
 
 class Index:
-    """The longest prefix of a host, as the real index finds it."""
+    """Finds the route with the longest matching prefix of a host, like the real index."""
 
     def __init__(self, routes: list[Route]):
         self.routes = routes
@@ -152,7 +153,7 @@
 
 
 def routes(timeout: float = 5.0, aim: float = 2.0, retry_count: int = 2) -> list[Route]:
-    """`/i/` may be repeated, `/n/` not; `/ki/` and `/kn/` the same of a service divided by key."""
+    """Returns test routes: `/i/` is idempotent, `/n/` is not; `/ki/` and `/kn/` likewise, of a sharded service."""
     return [
         Route(prefix, "h", prefix, idempotent, timeout, aim, 0, ((service, 1.0),), retry_count)
         for prefix, idempotent, service in (
@@ -164,47 +165,47 @@
     ]
 
 
-def view(nodes: list[Node], found: list[Route] | None = None, limits: Limits | None = None) -> ClusterView:
-    """A cluster view of nodes; those of `k` share its keys evenly."""
-    made = ClusterView()
-    table = found if found is not None else routes()
+def view(nodes: list[Node], route_list: list[Route] | None = None, limits: Limits | None = None) -> ClusterView:
+    """Returns a cluster view of these nodes; nodes of service `k` share its slices evenly."""
+    cluster_view = ClusterView()
+    table = route_list if route_list is not None else routes()
     services = {"s": Service("s"), "k": Service("k", sharded=True)}
-    made.configuration = Configuration(1, {r.name: r for r in table}, services, limits or Limits(), {})
-    made.index = Index(table)  # type: ignore[assignment]
-    made.nodes_order = (0, 0)
-    show(made, nodes)
-    return made
+    cluster_view.configuration = Configuration(1, {r.name: r for r in table}, services, limits or Limits(), {})
+    cluster_view.index = Index(table)  # type: ignore[assignment]
+    cluster_view.nodes_order = (0, 0)
+    show(cluster_view, nodes)
+    return cluster_view
 
 
-def show(made: ClusterView, nodes: list[Node]) -> None:
-    """Put these nodes in the cluster view."""
-    made.nodes = {node.id: node for node in nodes}
-    made.nodes_by_service = {}
+def show(cluster_view: ClusterView, nodes: list[Node]) -> None:
+    """Replaces the nodes of a cluster view."""
+    cluster_view.nodes = {node.id: node for node in nodes}
+    cluster_view.nodes_by_service = {}
     for node in nodes:
-        made.nodes_by_service.setdefault(node.service, []).append(node)
-    sharding = made.assignments["k"] = ServiceAssignments()
-    owners = made.nodes_by_service.get("k", [])
-    for at in range(len(sharding.by_slice)):
+        cluster_view.nodes_by_service.setdefault(node.service, []).append(node)
+    sharding = cluster_view.assignments["k"] = ServiceAssignments()
+    owners = cluster_view.nodes_by_service.get("k", [])
+    for index in range(len(sharding.by_slice)):
         if owners:
-            owner = owners[at % len(owners)]
-            sharding.by_slice[at] = Assignment(owner, True, owner.id)
+            owner = owners[index % len(owners)]
+            sharding.by_slice[index] = Assignment(owner, True, owner.id)
 
 
-async def client_server(made: ClusterView, now: Callable[[], float] = clock, **raw: object) -> ClientServer:
-    """A front on a port that the system chose, with a budget that has room."""
+async def client_server(cluster_view: ClusterView, now: Callable[[], float] = clock, **raw: object) -> ClientServer:
+    """Starts a client server on a free port, with a retry budget that is not exhausted."""
     settings = parse_settings(
         {"node_name": "edge", "zone": "a", "listen_addresses": {"data_plane": "127.0.0.1:1"}, **raw}
     )
     settings.listen["data_plane"] = ("127.0.0.1", 0)
-    built = ClientServer(settings, made, now, 1)
-    built.forwarder.started_at = now() - 100
-    built.edges = 1
-    await built.start()
-    return built
+    server = ClientServer(settings, cluster_view, now, 1)
+    server.forwarder.started_at = now() - 100
+    server.edges = 1
+    await server.start()
+    return server
 
 
 class RawClient:
-    """A client that writes bytes and reads answers."""
+    """A client that writes raw bytes and parses responses."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
         self.reader, self.writer = reader, writer
@@ -227,7 +228,7 @@
         self.writer.write(head.encode() + b"\r\n" + body)
 
     async def answer(self, bodiless: bool = False) -> tuple[int, dict[str, str], bytes]:
-        """The next answer; IncompleteReadError if it is cut."""
+        """Reads the next response; IncompleteReadError if the connection ends before it is complete."""
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         line, *rest = head[:-4].split("\r\n")
         headers = {k.lower(): v for k, v in (h.split(": ", 1) for h in rest)}
@@ -243,16 +244,16 @@
         return int(line.split(" ")[1]), headers, body
 
     async def rest(self) -> bytes:
-        """All bytes until the other side ends."""
+        """Reads all bytes until the other side closes."""
         try:
             return await self.reader.read()
         except ConnectionError:
             return b""
 
     def reset(self) -> None:
-        """Go away at once. A mere close can't be told from the end of one side, a reset can."""
-        made = self.writer.get_extra_info("socket")
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        """Resets the connection. The peer can't distinguish a plain close from a half-close; a reset it can."""
+        connection = self.writer.get_extra_info("socket")
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
     def close(self) -> None:
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform's side: a clock that the test moves, links without sockets, and a relay and discovery on one loop."""
+"""Stand-ins for the platform: a clock that the test advances, connections without sockets, a relay and discovery."""
 
 import json
 import signal
@@ -16,7 +16,7 @@
 
 
 class Clock:
-    """A loop without sockets: timers go off as the time is moved, and connections are only noted."""
+    """A loop without sockets: timers fire as the test advances time, and connection attempts are only recorded."""
 
     def __init__(self):
         self.time, self.timers, self.connects = 1000.0, [], []
@@ -45,7 +45,7 @@
 
 
 class Wire:
-    """A link without a socket: what is written and how it ended."""
+    """A connection without a socket: records the bytes written and the reason for the close."""
 
     def __init__(self, peer, address=("127.0.0.1", 1)):
         self.peer, self.written, self.closed, self.write_buffer, self.error = peer, b"", False, RingBuffer(1 << 17), ""
@@ -63,28 +63,28 @@
         except ProtocolError as fault:
             self.close(fault.close_reason)
 
-    def close(self, ending):
+    def close(self, close_reason):
         if not self.closed:
-            self.closed = ending
-            self.peer.connection_lost(self, ending)
+            self.closed = close_reason
+            self.peer.connection_lost(self, close_reason)
 
 
 def answer(body, status="200 OK"):
-    """An HTTP answer."""
+    """Returns an HTTP response."""
     text = body if isinstance(body, str) else json.dumps(body)
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(text)}\r\n\r\n{text}".encode()
 
 
 def lines(*objects, head=True):
-    """News, a chunk a line; "" stands for a sign of life."""
-    out = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" if head else ""
-    for kind, f in objects:
-        text = json.dumps({"type": kind, "object": f} if kind else {}) + "\n"
-        out += f"{len(text):x}\r\n{text}\r\n"
-    return out.encode()
+    """Returns a stream of events as chunked lines of JSON; the kind "" is a heartbeat."""
+    response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" if head else ""
+    for kind, fields in objects:
+        text = json.dumps({"type": kind, "object": fields} if kind else {}) + "\n"
+        response += f"{len(text):x}\r\n{text}\r\n"
+    return response.encode()
 
 
-PATIENCE = 90.0  # seconds that anything may take on a machine with much other work; a calm one needs a few
+TIMEOUT_S = 90.0  # for any single wait on a busy machine; an idle one needs a few seconds
 
 SETTINGS = {
     "classes": [{"name": "read", "slo_us": 1500000, "worth": 3.0}],
@@ -104,22 +104,30 @@
 
 
 class StandIn:
-    """Relay and discovery for one conductor, on one loop that the test turns."""
+    """Relay and discovery service for one conductor, on a loop that the test runs.
+
+    `calls` lists the orders of each call received, `links` all connections, `news` those with an open event stream.
+    """
 
     def __init__(self, loop=None):
         self.loop = loop or Loop()
         self.calls, self.links, self.news = [], [], []
-        self.sockets, self.settings = 64, SETTINGS  # that the program may hold, and is told
+        self.sockets, self.settings = (
+            64,
+            SETTINGS,
+        )  # file descriptor limit and policy settings in the program's configuration
         self.servers = [{"id": id, "zone": "z", "state": "active"} for id in ("a", "b")]
         self.version, self.slices, self.proxies = 1, {0: {"a": 1.0}, 1: {"b": 1.0}}, [1]
-        self.fate = lambda orders: True  # whether a call is carried out; None: it is, and the link breaks
+        self.fate = lambda orders: (
+            True
+        )  # whether a call is executed and answered; None: executed, but the connection closes without an answer
         self.address = "%s:%d" % self.loop.listen(("127.0.0.1", 0), lambda: Session(self)).sock.getsockname()
 
-    def until(self, true, seconds=PATIENCE):
-        """Turn the loop until something holds."""
+    def until(self, condition, seconds=TIMEOUT_S):
+        """Runs the loop until a condition holds; returns its value."""
         end = self.loop.now() + seconds
-        while not (value := true()):
-            assert self.loop.now() < end, "never came"
+        while not (value := condition()):
+            assert self.loop.now() < end, "the condition did not hold in time"
             self.loop.call_later(0.02, lambda: None)
             self.loop.run_once()
         return value
@@ -129,23 +137,23 @@
             link.write(lines(*objects, head=False))
 
     def stand(self):
-        """What stands, as news."""
-        told = [("hello", {"proxy": x, "zone": "z", "weight": 1.0, "fresh": True}) for x in self.proxies]
+        """Returns the current state as events."""
+        events = [("hello", {"proxy": x, "zone": "z", "weight": 1.0, "fresh": True}) for x in self.proxies]
         for slice_id, held in self.slices.items():
-            told.append(("lease", {"slice": slice_id, "on": True}))
-            told += [("line", {"slice": slice_id, "server": x, "weight": w}) for x, w in held.items()]
-        return told
+            events.append(("lease", {"slice": slice_id, "on": True}))
+            events += [("line", {"slice": slice_id, "server": x, "weight": w}) for x, w in held.items()]
+        return events
 
     def carry_out(self, orders):
-        for f in orders:
-            if f["do"] == "SET":
-                held = self.slices[f["group"]]
-                held.pop(f["server"], None)
-                if f["weight"]:
-                    held[f["server"]] = f["weight"]
+        for order in orders:
+            if order["do"] == "SET":
+                held = self.slices[order["group"]]
+                held.pop(order["server"], None)
+                if order["weight"]:
+                    held[order["server"]] = order["weight"]
 
     def start(self, listen="127.0.0.1:0", stderr=subprocess.PIPE, arguments=()):
-        """The program, and its address once it says so."""
+        """Starts the program; returns the address that it prints."""
         self.told = {
             "name": "n0",
             "listen": listen,
@@ -163,7 +171,7 @@
         )
         if self.program.stderr:
             while not (line := self.program.stderr.readline()).startswith("knotwalk serving"):
-                assert line, "it ended"
+                assert line, "the program ended before it served"
                 if line.startswith("knotwalk publishing"):
                     self.published = line.split()[3].rstrip(",")
             listen = line.split()[-1]
@@ -171,7 +179,7 @@
         return host, int(port)
 
     def configure(self, **changes):
-        """Write the configuration's file, with these changes."""
+        """Writes the configuration file with these changes."""
         Path(self.config.name).write_text(json.dumps({**self.told, **changes}))
 
     def reload(self, **changes):
@@ -179,13 +187,13 @@
         self.program.send_signal(signal.SIGHUP)
 
     def stop(self):
-        """SIGTERM; the exit code."""
+        """Sends SIGTERM; returns the exit code."""
         self.program.terminate()
-        return self.program.wait(PATIENCE)
+        return self.program.wait(TIMEOUT_S)
 
 
 class Session:
-    """One connection to the stand-in."""
+    """One connection to the stand-in, as a handler of the loop."""
 
     def __init__(self, stand):
         self.stand, self.body, self.path = stand, b"", ""
@@ -233,21 +241,21 @@
             self.link.write(lines(("", {}), head=False))
             self.stand.loop.call_later(1.0, self.sign)
 
-    def connection_lost(self, link, ending):
+    def connection_lost(self, link, close_reason):
         if link in self.stand.news:
             self.stand.news.remove(link)
 
 
 def run(environ, *arguments, stderr=subprocess.PIPE):
-    """The program."""
+    """Starts the program as a subprocess."""
     command = [sys.executable, "-m", "knotwalk", *(arguments or ("serve",))]
     return subprocess.Popen(
         command, env=environ, cwd=Path(__file__).parent.parent.parent, stdout=subprocess.PIPE, stderr=stderr, text=True
     )
 
 
-def call(address, data, count=0, seconds=PATIENCE):
-    """Bytes to the program, and what it answers."""
+def call(address, data, count=0, seconds=TIMEOUT_S):
+    """Sends bytes to the program; returns the socket and up to `count` bytes of the response."""
     sock = socket.create_connection(address, seconds)
     sock.sendall(data)
     return sock, sock.recv(count) if count else b""
--- a/tests/standins/tapes.py
+++ b/tests/standins/tapes.py
@@ -1,4 +1,4 @@
-"""Recordings made without a conductor or sockets: a day's rounds through recorder and writer into a folder."""
+"""Recordings made without a conductor process or sockets: recorder and writer store a simulated day in a folder."""
 
 import time
 
@@ -11,16 +11,16 @@
 LIMITS = Limits(
     unserved_most=0.8, grace=3.0, once=(1,), tip_multiple=2.0, fall_time=1.0, give_up=(5.0, 2.5), late_share=(0.1, 0.1)
 )
-BIG = 1 << 40
+UNLIMITED_BYTES = 1 << 40
 
 
 def replayed(folder, lives):
-    """A folder's recording of so many lives, replayed exactly, once its writers have ended."""
-    for _ in range(200):  # a killed conductor's writer ends by itself, some time after it
+    """Replays a folder's recording exactly, once its writers have ended and it holds `lives` incarnations."""
+    for _ in range(200):  # the writer of a killed conductor ends some time after it
         try:
             recording = Recording([folder])
             outcome = replay(recording)
-            if all(x.whole for x in recording.segments) and outcome.lives >= lives:
+            if all(segment.whole for segment in recording.segments) and outcome.lives >= lives:
                 return outcome
         except Unusable:
             pass
@@ -29,9 +29,11 @@
 
 
 class Tapes:
-    """Recorder and writer of one incarnation at a time; `witness` and `lives` are what a Day calls."""
+    """Recorder and writer of one incarnation at a time; `witness` and `lives` are callbacks of a Day."""
 
-    def __init__(self, folder, name="n0", incarnation="i1", every=10.0, most=1 << 30, budget=BIG, limits=LIMITS):
+    def __init__(
+        self, folder, name="n0", incarnation="i1", every=10.0, most=1 << 30, budget=UNLIMITED_BYTES, limits=LIMITS
+    ):
         self.folder, self.name, self.most, self.budget, self.every = str(folder), name, most, budget, every
         self.limits = limits
         self.said = []
@@ -51,15 +53,15 @@
 
     def drain(self):
         self.recorder.settle()
-        waiting, at = self.recorder.waiting, 0
-        while at < len(waiting):
-            (size,) = LENGTH.unpack_from(waiting, at)
-            self.writer.frame(bytes(waiting[at + LENGTH.size : at + LENGTH.size + size]))
-            at += LENGTH.size + size
+        waiting, offset = self.recorder.waiting, 0
+        while offset < len(waiting):
+            (size,) = LENGTH.unpack_from(waiting, offset)
+            self.writer.frame(bytes(waiting[offset + LENGTH.size : offset + LENGTH.size + size]))
+            offset += LENGTH.size + size
         waiting.clear()
 
     def close(self, now=None):
-        """End in order, or if no time is given, as after a kill: what was not yet a block is lost."""
+        """Ends in order at `now`; without it, as after a kill: data not yet written as a block is lost."""
         if now is not None:
             self.recorder.end(now)
             self.drain()
--- a/tests/standins/village.py
+++ b/tests/standins/village.py
@@ -1,8 +1,8 @@
 """A whole system on loopback: three cores, two edges, and stand-ins for platform, nodes, operators and clients.
 
-The programs are started as the platform starts them, by a settings file; the rest runs in this process. Every address
-is of loopback and every port the system's choice. `python -m tests.standins.village` starts one, sends a request
-through each edge and prints what came back.
+The cores and edges are processes started with a settings file, as by the platform; the rest runs in this process. All
+addresses are on loopback and all ports are chosen by the operating system. `python -m tests.standins.village` starts
+one, sends requests through both edges and prints the responses.
 """
 
 from __future__ import annotations
@@ -31,45 +31,45 @@
 
 ROOT = Path(__file__).parents[2]
 CORES = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
-PAGE = 4  # nodes on a page of the list
+PAGE = 4  # nodes per page of the platform's list
 SHM = "/dev/shm"
-BOUND = 90.0  # seconds that anything may take; a calm machine needs a few
+TIMEOUT_S = 90.0  # for any single wait; an idle machine needs a few seconds
 
 
 def edge_address(number: int) -> str:
-    """The address of an edge, counted from 0."""
+    """Returns the IP address of an edge, counted from 0."""
     return f"127.0.{1 + number // 200}.{4 + number % 200}"
 
 
 class Ports:
-    """Ports that stay ours: each is bound, not listened at, so that nobody else is given it meanwhile."""
+    """Reserved ports: each stays bound without listening, so that the system gives it to nobody else."""
 
     def __init__(self) -> None:
         self.kept: list[socket.socket] = []
 
     def take(self, *hosts: str) -> int:
-        """One port that is free at all of these addresses."""
+        """Reserves a port that is free on all of these addresses."""
         while True:
-            made: list[socket.socket] = []
+            sockets: list[socket.socket] = []
             try:
                 for host in hosts:
-                    made.append(socket.socket())
-                    made[-1].setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                    made[-1].bind((host, made[0].getsockname()[1] if made[:-1] else 0))
+                    sockets.append(socket.socket())
+                    sockets[-1].setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+                    sockets[-1].bind((host, sockets[0].getsockname()[1] if sockets[:-1] else 0))
             except OSError:
-                for one in made:
-                    one.close()
+                for failed in sockets:
+                    failed.close()
                 continue
-            self.kept += made
-            return made[0].getsockname()[1]
+            self.kept += sockets
+            return sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        for one in self.kept:
-            one.close()
+        for reserved in self.kept:
+            reserved.close()
 
 
 class Platform:
-    """The platform's list of nodes, a page at a time."""
+    """HTTP server for the platform's paged list of nodes."""
 
     def __init__(self, nodes: list[HoldingNode]):
         self.nodes, self.calls, self.port = nodes, 0, 0
@@ -84,70 +84,70 @@
     async def list(self, request: web.BaseRequest) -> web.Response:
         self.calls += 1
         first = int(request.query.get("page_token", "p-0").removeprefix("p-"))
-        here = [node for node in self.nodes if node.shown][first : first + PAGE]
+        page = [node for node in self.nodes if node.shown][first : first + PAGE]
         return web.json_response(
             {
-                "instances": {node.id: node.listed() for node in here},
-                "next_token": f"p-{first + PAGE}" if len(here) == PAGE else None,
+                "instances": {node.id: node.listed() for node in page},
+                "next_token": f"p-{first + PAGE}" if len(page) == PAGE else None,
             }
         )
 
 
 class Program:
-    """One program of the system: its settings file, its folder, its log, and the process."""
+    """One process of the system (core or edge), with its settings file, folder and log."""
 
     def __init__(self, folder: Path, module: str, settings: dict, metrics: int):
         self.folder, self.module, self.settings, self.metrics = folder, module, settings, metrics
         self.ip, self.process = settings["ip_address"], None
         self.log = folder / f"{settings['node_name']}.log"
-        self.told = folder / f"{settings['node_name']}.json"
+        self.settings_file = folder / f"{settings['node_name']}.json"
 
     def start(self, **changes: Any) -> None:
-        """Start it, with the settings of this moment."""
+        """Starts the process with the current settings, updated with `changes`."""
         self.settings |= changes
-        self.told.write_text(json.dumps(self.settings))
+        self.settings_file.write_text(json.dumps(self.settings))
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", self.module, f"--metrics={self.metrics}"],
                 cwd=ROOT,
                 stdout=log,
                 stderr=log,
-                env=os.environ | {"KNOTWALK_SETTINGS": str(self.told)},
+                env=os.environ | {"KNOTWALK_SETTINGS": str(self.settings_file)},
             )
 
     def send(self, sign: int) -> None:
         self.process.send_signal(sign)
 
     def kill(self) -> None:
-        """SIGKILL, and gone."""
+        """Sends SIGKILL and waits for the exit."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
     def wipe(self) -> None:
-        """Its disk is lost."""
+        """Deletes its stored data, as if the disk were lost."""
         shutil.rmtree(self.settings["data_dir"])
         Path(self.settings["data_dir"]).mkdir()
 
     def events(self, name: str) -> list[dict]:
-        """The log's lines of an event."""
-        found = []
+        """Returns the log entries of an event."""
+        entries = []
         for line in self.log.read_text().splitlines():
             if line.startswith("{") and line.endswith("}"):
-                found += [event] if (event := json.loads(line))["event"] == name else []
-        return found
+                entries += [event] if (event := json.loads(line))["event"] == name else []
+        return entries
 
 
 class Operator:
-    """Calls any core; follows 307 twice, and goes on to another core where there is no clear answer."""
+    """Operator client: calls any core, follows up to two redirects (307), and tries another core on a 5xx or error."""
 
     def __init__(self, village: Village):
         self.village, self.turn = village, 0
 
     async def send(
-        self, method: str, document: dict | None = None, base: str = "", within: float = BOUND
+        self, method: str, document: dict | None = None, base: str = "", within: float = TIMEOUT_S
     ) -> tuple[int, Any]:
-        """Status and JSON of the first clear answer."""
+        """Returns status and JSON of the first response below 500."""
         loop = asyncio.get_running_loop()
         until, pause = loop.time() + within, 0.05
         while True:
@@ -172,7 +172,7 @@
 
 
 class Village:
-    """The whole. `start` it in the loop that everything is to run in; `stop` leaves nothing behind."""
+    """The whole system. `start` must run in the stand-ins' loop; `stop` ends all processes and deletes all files."""
 
     def __init__(
         self,
@@ -183,8 +183,8 @@
         bounds: dict[str, Any] | None = None,
         contracts: tuple[str, ...] = (),
     ):
-        """`contracts`: beside the plain ones, those that the programs' settings name."""
-        # In memory where that can be had: a disk that stalls would cost cores their leadership, as it should.
+        """`contracts`: names added to `active_contracts` in the settings, beside BASE."""
+        # In memory where possible: a stalled disk would rightly cost a core its leadership and disturb the test.
         self.folder = Path(tempfile.mkdtemp(prefix="village-", dir=SHM if os.access(SHM, os.W_OK) else None))
         self.ports, self.watch = Ports(), Watch()
         self.nodes = [kind(f"i-t{n}", watch=self.watch, service="tiles") for n in range(tiles)]
@@ -212,7 +212,7 @@
                 Program(
                     self.folder,
                     "knotwalk.control_plane",
-                    self.told(
+                    self.platform_settings(
                         f"core-{number}",
                         ip,
                         "core",
@@ -228,7 +228,7 @@
                 Program(
                     self.folder,
                     "knotwalk.edge",
-                    self.told(
+                    self.platform_settings(
                         f"edge-{number}",
                         ip,
                         "edge",
@@ -241,8 +241,8 @@
             program.start()
         return self
 
-    def told(self, name: str, ip: str, kind: str, listen: dict, **more: Any) -> dict:
-        """The settings that the platform writes."""
+    def platform_settings(self, name: str, ip: str, kind: str, listen: dict, **more: Any) -> dict:
+        """Returns the settings that the platform would write for a process."""
         return {
             "node_name": name,
             "role": kind,
@@ -292,18 +292,18 @@
         self.ports.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    # -- what is seen
+    # -- observation
 
     def tails(self) -> str:
-        """The ends of all logs."""
+        """Returns the last lines of all logs."""
         return "\n".join(
             f"--- {p.log.name}, process {p.process and p.process.poll()}\n" + p.log.read_text()[-1500:]
             for p in self.cores + self.edges
             if p.log.exists()
         )
 
-    async def until(self, condition: Callable[[], Any], what: str, within: float = BOUND) -> Any:
-        """Poll a condition until it holds: its value. AssertionError past the bound."""
+    async def until(self, condition: Callable[[], Any], what: str, within: float = TIMEOUT_S) -> Any:
+        """Polls a condition until it holds and returns its value; AssertionError after `within` seconds."""
         loop = asyncio.get_running_loop()
         end = loop.time() + within
         while True:
@@ -317,22 +317,22 @@
             await asyncio.sleep(0.02)
 
     async def fresh(self, core: Program) -> bool:
-        """Whether a core is a member that has heard the leader a moment ago and has all that was agreed on by then."""
-        told = await self.status(core)
-        return told is not None and told["fresh"]
+        """Whether a core is a member in recent contact with the leader and has applied all that was committed then."""
+        status = await self.status(core)
+        return status is not None and status["fresh"]
 
     async def status(self, core: Program) -> dict | None:
-        """A core's account of itself; None if it gives none."""
+        """Returns a core's status report; None if it does not answer."""
         try:
             return await self.caller.json("POST", f"http://{core.ip}:{self.internal}/status", {}, 1.0)
         except PeerError:
             return None
 
     async def leader(self) -> Program | None:
-        """The core that leads, by its own account and as fresh; None if none does now."""
+        """Returns the core that reports itself as leader and fresh; None if there is none now."""
         for core in self.cores:
-            told = await self.status(core)
-            if told is not None and told["role"] == "leader" and told["fresh"]:
+            status = await self.status(core)
+            if status is not None and status["role"] == "leader" and status["fresh"]:
                 return core
         return None
 
@@ -344,7 +344,7 @@
             return False
 
     async def calm(self) -> None:
-        """All programs run, all cores are fresh, both edges are ready and every key is held."""
+        """Waits until all cores are fresh, all edges are ready and every key is held."""
         for core in self.cores:
             await self.until(lambda core=core: self.fresh(core), f"{core.ip} fresh")
         for edge in self.edges:
@@ -359,7 +359,7 @@
         return await RawClient.to(int(port), host)
 
     def ask(self, client: RawClient, path: str, key: int = 0, method: str = "GET", headers: str = "") -> str:
-        """Send a request, with whole lines of `headers` beside the usual ones; its Attempt-Id."""
+        """Sends a request with additional header lines `headers`; returns its Attempt-Id."""
         self.attempts += 1
         id = f"a{self.attempts}"
         client.writer.write(
@@ -371,14 +371,14 @@
         return id
 
     async def answer(self, client: RawClient) -> tuple[int, dict[str, str], bytes]:
-        """A client's next answer; a client that gets none fails, and waits no longer than anything may take."""
-        async with asyncio.timeout(BOUND):
+        """Returns a client's next response; TimeoutError if there is none in time."""
+        async with asyncio.timeout(TIMEOUT_S):
             return await client.answer()
 
     async def get(
         self, edge: Program, path: str, key: int = 0, method: str = "GET", headers: str = ""
     ) -> tuple[int, dict[str, str], bytes]:
-        """One request on a connection of its own: status, headers, body."""
+        """Sends one request on a new connection; returns status, headers and body."""
         client = await self.client(edge)
         try:
             self.ask(client, path, key, method, headers)
@@ -387,11 +387,11 @@
             client.close()
 
 
-SMALL = key_header("k-cedar-1")  # a key of a tenant with a small limit
+LIMITED_KEY = key_header("k-cedar-1")  # API key of a tenant with a small limit
 
 
 async def show(village: Village, number: int, method: str, path: str, headers: str = "") -> int:
-    """Send a request through an edge and print what came back; its status."""
+    """Sends a request through an edge and prints the response; returns its status."""
     edge = village.edges[number]
     status, heads, body = await village.get(edge, path, method=method, headers=headers)
     print(
@@ -402,12 +402,12 @@
 
 
 async def main() -> int:
-    """A village, a configuration without tenants and one with them, and requests through both edges."""
+    """Starts a village, applies a configuration without tenants and then one with, and sends requests to both edges."""
     village = await Village(contracts=TENANT_CONTRACTS).start()
     try:
         for document, base in ((FIRST, "0"), (SHARED, "r3")):
-            status, said = await village.operator.send("PUT", document, base)
-            print(f"operator: PUT /configuration -> {status} {json.dumps(said)}")
+            status, response = await village.operator.send("PUT", document, base)
+            print(f"operator: PUT /configuration -> {status} {json.dumps(response)}")
             await village.calm()
             if document is FIRST:
                 await show(village, 0, "GET", "/frames/7/12.png")
@@ -417,14 +417,16 @@
         await show(village, 1, "POST", "/pay/1", operation)
         await show(village, 0, "GET", "/open/today")
         await show(village, 0, "GET", "/desk/today", key_header("k-nobody"))
-        passed = 0  # until a tenant's limit is reached
-        while passed < 60 and (await village.get(village.edges[passed % 2], "/desk/today", headers=SMALL))[0] == 200:
+        passed = 0  # requests answered before the tenant's limit was reached
+        while (
+            passed < 60 and (await village.get(village.edges[passed % 2], "/desk/today", headers=LIMITED_KEY))[0] == 200
+        ):
             passed += 1
-        await show(village, passed % 2, "GET", f"/desk/after-{passed}", SMALL)
+        await show(village, passed % 2, "GET", f"/desk/after-{passed}", LIMITED_KEY)
         for node in village.nodes:
-            for request in (one for one in node.seen if one.operation):
-                told = f"Tenant {request.tenant}, Operation-Key {request.operation}, key {request.showed_key}"
-                print(f"node {node.id}: {request.line}, {told}")
+            for request in (request for request in node.seen if request.operation):
+                details = f"Tenant {request.tenant}, Operation-Key {request.operation}, key {request.showed_key}"
+                print(f"node {node.id}: {request.line}, {details}")
         return 0
     finally:
         await village.stop()
--- a/tests/system/test_catch_up.py
+++ b/tests/system/test_catch_up.py
@@ -495,27 +495,27 @@
         for installs in (False, True):
             self.setUp()
             disk, rng = FaultyDisk(), random.Random(1)
-            with disk.own(self.folder):
+            with disk.patch_store(self.folder):
                 store, counts = self.incarnation(disk, installs)
             with FaultyDisk():
                 for number in range(counts[0], len(disk.done) + 1):
                     kept = sum(count <= number for count in counts)
                     with self.subTest((installs, number)):
-                        self.holds(disk.left(number, rng, rng.random() < 0.3), kept, installs)
+                        self.holds(disk.files_after_power_loss(number, rng, rng.random() < 0.3), kept, installs)
             store._connection.close()
 
     def test_each_refused_or_the_disk_full(self) -> None:
         for installs in (False, True):
             self.setUp()
             disk = FaultyDisk()
-            with disk.own(self.folder):
+            with disk.patch_store(self.folder):
                 store, counts = self.incarnation(disk, installs)
                 store._connection.close()
             for number in range(counts[0], counts[-1], 5):
                 self.setUp()
                 disk, code = FaultyDisk(), (REFUSED.get, lambda kind: FULL)[number // 5 % 2]
                 disk.refuse = lambda at, kind: (code(kind) or 0) if number <= at < number + 3 else 0
-                with disk.own(self.folder), self.subTest((installs, number)):
+                with disk.patch_store(self.folder), self.subTest((installs, number)):
                     store, _ = self.incarnation(disk, installs)
                     files = {one.name: one.read_bytes() for one in self.folder.iterdir() if one.is_file()}
                     store._connection.close()
--- a/tests/system/test_consensus_store.py
+++ b/tests/system/test_consensus_store.py
@@ -246,19 +246,19 @@
 
     def test_power_lost_after_each(self) -> None:
         disk, stored_steps, rng = FaultyDisk(), {0: 0}, random.Random(5)
-        with disk.own(self.folder):
+        with disk.patch_store(self.folder):
             self.run_incarnations(disk, stored_steps)
         step, most = 0, len(disk.done)
         with FaultyDisk():
             for number in range(most):
                 step = stored_steps.get(number, step)
                 with self.subTest(number, done=disk.done[number - 1][:2]):
-                    self.holds(disk.left(number, rng, rng.random() < 0.3), step, step + 1)
+                    self.holds(disk.files_after_power_loss(number, rng, rng.random() < 0.3), step, step + 1)
         self.assertGreater(most, 500)
 
     def test_each_refused_or_the_disk_full_and_then_power_lost(self) -> None:
         disk, rng = FaultyDisk(), random.Random(6)
-        with disk.own(self.folder):
+        with disk.patch_store(self.folder):
             self.run_incarnations(disk, {})
         most = len(disk.done)
         for number in range(0, most, 11):
@@ -266,13 +266,13 @@
             disk, stored_steps, codes = FaultyDisk(), {0: 0}, (REFUSED.get, lambda kind: FULL)
             times = rng.choice((1, 2, 4))
             disk.refuse = lambda at, kind: codes[number % 2](kind) or 0 if number <= at < number + times else 0
-            with disk.own(self.folder), self.subTest(number):
+            with disk.patch_store(self.folder), self.subTest(number):
                 store = self.run_incarnations(disk, stored_steps)  # noqa: F841  not closed: the disk fails under a running incarnation
             with FaultyDisk(), self.subTest(number):
                 self.holds(self.files(), 3 * self.ACTS, 3 * self.ACTS)
                 for cut in (number, number + times, *(rng.randrange(number, len(disk.done)) for _ in range(2))):
                     step = stored_steps[max(at for at in stored_steps if at <= cut)]
-                    self.holds(disk.left(cut, rng, rng.random() < 0.3), step, step + 1)
+                    self.holds(disk.files_after_power_loss(cut, rng, rng.random() < 0.3), step, step + 1)
 
 
 class TestFolder(StoreCase):
@@ -283,7 +283,7 @@
             connect = sqlite3.connect
             lost: list[list[str]] = []
             with mock.patch.object(
-                sqlite3, "connect", lambda *a, **b: (lost.append(names.lost()), connect(*a, **b))[1]
+                sqlite3, "connect", lambda *a, **b: (lost.append(names.unsynced_folders()), connect(*a, **b))[1]
             ):
                 self.open(self.folder / "data" / "claims-0")[0].close()
             self.assertEqual([one.name for one in names.made], ["data", "claims-0"])
@@ -296,7 +296,7 @@
                 with self.assertRaises(StoreUnavailableError):
                     self.open(folder)
                 self.open(folder)[0].close()
-                self.assertEqual(names.lost(), [])
+                self.assertEqual(names.unsynced_folders(), [])
 
 
 class TestFile(StoreCase):
@@ -425,7 +425,7 @@
 
     def test_what_is_set_aside_makes_another_machine_even_at_a_first_start(self) -> None:
         disk, rng = FaultyDisk(), random.Random(7)
-        with disk.own(self.folder):
+        with disk.patch_store(self.folder):
             store, _ = self.open()
             store.write(save(1, 30))
             store.close()
@@ -444,7 +444,7 @@
         with FaultyDisk():
             for number in range(started, len(disk.done)):
                 for _ in range(4):  # whatever a power loss brings back, the old file never reads as intact again
-                    files = disk.left(number, rng, rng.random() < 0.3)
+                    files = disk.files_after_power_loss(number, rng, rng.random() < 0.3)
                     after = self.after(files)
                     if FILE_NAME in files and files[FILE_NAME] == good:
                         continue  # the damage itself was not written through this disk
@@ -474,8 +474,8 @@
     def test_a_disk_of_that_size_is_never_full(self) -> None:
         """Compacted as the program does it: after a quarter of the disk, with a snapshot of a quarter."""
         disk, last = FaultyDisk(), 0
-        with disk.own(self.folder):
-            disk.most = 3_000_000
+        with disk.patch_store(self.folder):
+            disk.max_bytes = 3_000_000
             store, _ = self.open(disk_mb=3)
             for turn in range(12):
                 for _ in range(25):
@@ -489,8 +489,8 @@
         """They come before the log is compacted once, and again after each restart, beside a state of that size."""
         disk, last = FaultyDisk(), 0
         largest = int(3_000_000 * MAX_DISK_FRACTION) // 2
-        with disk.own(self.folder):
-            disk.most = 3_000_000
+        with disk.patch_store(self.folder):
+            disk.max_bytes = 3_000_000
             store, _ = self.open(disk_mb=3)
             for turn in range(6):
                 log = [Entry(last + n, 1, "command", {"x": os.urandom(largest).hex()}) for n in (1, 2, 3)]
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -13,7 +13,7 @@
 import pytest
 from standins.edges import Site, certificates, most_within
 from standins.hubs import SMALL, filled
-from standins.platform import PATIENCE, SETTINGS, StandIn
+from standins.platform import SETTINGS, TIMEOUT_S, StandIn
 from standins.tapes import replayed
 
 from knotwalk.net.loop import Loop
@@ -270,7 +270,7 @@
         wait = rng.uniform(0, 0.6)
         stand.until(lambda: time.monotonic() > started + wait)
         stand.program.kill()
-        stand.program.wait(PATIENCE)
+        stand.program.wait(TIMEOUT_S)
         start_publishing(stand, tmp_path, keep=str(tmp_path / "kept"), listen=port)
         stand.until(lambda: all(set(lines) == {"ba"[k % 2]} for lines in stand.slices.values()) and alike())
     assert {e.subscriber.epoch for e in edges} == epochs and len(epochs) == 1  # it continued in the same epoch
@@ -297,7 +297,7 @@
             end = time.monotonic() + rng.uniform(0, 0.3)
             stand.until(lambda: time.monotonic() > end)
         stand.program.kill()
-        stand.program.wait(PATIENCE)
+        stand.program.wait(TIMEOUT_S)
         interrupted += sum(0 < (e.subscriber.next_slice or 0) for e in edges)
         start_publishing(stand, tmp_path, keep=str(tmp_path / "kept"), listen=port)
     stand.until(lambda: all(e.link and e.subscriber.next_slice is None for e in edges))
@@ -323,6 +323,6 @@
             env={"EDGE_CONFIG": stand.config.name},
             capture_output=True,
             text=True,
-            timeout=PATIENCE,
+            timeout=TIMEOUT_S,
         )
         assert done.returncode == 2 and message in done.stderr and done.stderr.count("\n") == 1, done.stderr
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from random import Random
 
-from standins.platform import PATIENCE, SETTINGS, StandIn, call, run
+from standins.platform import SETTINGS, TIMEOUT_S, StandIn, call, run
 from standins.tapes import replayed
 
 from knotwalk.net.close_reason import CloseReason
@@ -107,7 +107,7 @@
     address = stand.start()
     assert is_alive(stand, address)
     stand.program.kill()
-    stand.program.wait(PATIENCE)
+    stand.program.wait(TIMEOUT_S)
     drain(stand)
     assert stand.start("%s:%d" % address) == address and is_alive(stand, address)
     stand.until(lambda: stand.slices[0] == {"b": 1.0})
@@ -151,7 +151,7 @@
         pipe.write(json.dumps(configuration))
     lines = [program.stderr.readline() for _ in range(2)]
     program.terminate()
-    assert program.wait(PATIENCE) == 0
+    assert program.wait(TIMEOUT_S) == 0
     assert "knotwalk serving" in lines[0] and f"reloaded: discovery is at {other.address}" in lines[1], lines
 
 
@@ -198,7 +198,7 @@
     stand = StandIn()
     address = stand.start()
     assert is_alive(stand, address)
-    socks = [socket.create_connection(address, PATIENCE) for _ in range(80)]  # the limit is 64 descriptors
+    socks = [socket.create_connection(address, TIMEOUT_S) for _ in range(80)]  # the limit is 64 descriptors
     garbage = [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$999999999\r\n", b"*9\r\n$5\r\nho", b"\0" * 99]
     for sock, data in zip(socks, garbage * 20):
         try:
@@ -247,7 +247,7 @@
         ({"EDGE_CONFIG": str(good)}, 1, "in use"),
     ):
         program = run(environ)
-        _, errors = program.communicate(timeout=PATIENCE)
+        _, errors = program.communicate(timeout=TIMEOUT_S)
         assert program.returncode == code and word in errors and errors.count("\n") == 1, errors
 
 
@@ -265,12 +265,12 @@
             }
         )
     )
-    output = run({"EDGE_CONFIG": str(path)}, "check").communicate(timeout=PATIENCE)[0]
+    output = run({"EDGE_CONFIG": str(path)}, "check").communicate(timeout=TIMEOUT_S)[0]
     assert "n7 listens on 127.0.0.1:0" in output and "methods: read" in output
-    assert run({}, "check").wait(PATIENCE) == 2
-    assert run({}, "version").communicate(timeout=PATIENCE)[0].startswith("knotwalk 0.")
+    assert run({}, "check").wait(TIMEOUT_S) == 2
+    assert run({}, "version").communicate(timeout=TIMEOUT_S)[0].startswith("knotwalk 0.")
     program = run({}, "nonsense")
-    assert "Usage:" in "".join(program.communicate(timeout=PATIENCE)) and program.returncode == 1
+    assert "Usage:" in "".join(program.communicate(timeout=TIMEOUT_S)) and program.returncode == 1
 
 
 def make_host(tmp_path, **changes):
@@ -428,7 +428,7 @@
     started_at = time.monotonic()
     stand.until(lambda: time.monotonic() > started_at + 3)  # longer than a block's age
     stand.program.kill()
-    stand.program.wait(PATIENCE)
+    stand.program.wait(TIMEOUT_S)
     stand.start("%s:%d" % address, arguments=recording(tmp_path))
     assert is_alive(stand, address) and stand.stop() == 0
     collector.close()
@@ -455,7 +455,7 @@
     host.run_round()
     writer = host.feed.process
     host.feed.close()
-    assert writer.wait(PATIENCE) == 0
+    assert writer.wait(TIMEOUT_S) == 0
     outcome = replayed(tmp_path / "r", 2)
     assert outcome.exact and outcome.failures == 1 and outcome.lives == 2
 
@@ -467,7 +467,7 @@
     stand.start()
     stand.program.kill()
     program = run({"EDGE_CONFIG": stand.config.name}, "check", "--operator", str(path))
-    lines = program.communicate(timeout=PATIENCE)[1].splitlines()
+    lines = program.communicate(timeout=TIMEOUT_S)[1].splitlines()
     assert program.returncode == 2 and len(lines) == 2 and f"{path}:2: 'record.budget'" in lines[0]
 
 
