--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -37,8 +37,8 @@
 )
 
 if TYPE_CHECKING:
-    from knotwalk.pubsub.front import Publisher
-    from knotwalk.pubsub.keep import Keeper
+    from knotwalk.pubsub.persistence import TableWriter
+    from knotwalk.pubsub.publisher import Publisher
     from knotwalk.record.feed import Feed
     from knotwalk.record.recorder import Recorder
     from knotwalk.settings.operator import OperatorSettings, PubsubSettings, RecordSettings
@@ -187,7 +187,7 @@
         self.recorder: Recorder | None = None
         self.feed: Feed | None = None
         self.publisher: Publisher | None = None
-        self.keeper: Keeper | None = None
+        self.keeper: TableWriter | None = None
         if operator and operator.record.enabled:
             self.start_recording(operator.record)
         if operator and operator.pubsub.enabled:
@@ -219,32 +219,34 @@
         """Open the publisher's port. Its modules are imported only if it is enabled. Raises ConfigError."""
         from pathlib import Path
 
-        from knotwalk.pubsub import front, keep, wire
+        from knotwalk.pubsub import persistence, publisher, wire
         from knotwalk.pubsub.hub import Hub
         from knotwalk.pubsub.versions import Table
 
         self.access_files = settings.secrets, settings.certificate, settings.private_key, settings.client_ca
         table, key = Table(os.urandom(8).hex()), os.urandom(32)
         try:
-            access = front.Access(*self.access_files)
+            access = publisher.Access(*self.access_files)
             if settings.keep:
                 path = Path(settings.keep) / f"{self.config.name}.kwt"
                 path.parent.mkdir(parents=True, exist_ok=True)
                 try:
-                    lock = keep.locked(path)
+                    lock = persistence.acquire_lock(path)
                     try:
-                        table, key = keep.load(path) or (table, key)
-                    except keep.Unkept as fault:  # the saved table is an optimization: a new epoch works without it
+                        table, key = persistence.load(path) or (table, key)
+                    except (
+                        persistence.TableFileError
+                    ) as fault:  # the saved table is an optimization: a new epoch works without it
                         self.log("saved table not used", f"{path}: {fault}; starting a new epoch")
-                    self.keeper = keep.Keeper(self.loop, path, lock, table, key, self.log)
-                except keep.Unkept as fault:
+                    self.keeper = persistence.TableWriter(self.loop, path, lock, table, key, self.log)
+                except persistence.TableFileError as fault:
                     self.log("table not saved", f"{path}: {fault}; starting a new epoch that ends with this process")
-        except front.Misfit as fault:
+        except publisher.AccessConfigError as fault:
             raise ConfigError(f"pubsub: {fault}") from None
         except OSError as fault:
             raise ConfigError(f"pubsub.keep: {fault.filename}: {fault.strerror}") from None
-        hub = Hub(table, self.config.settings, key, wire.encoded, self.config.seed)
-        self.publisher = front.Publisher(
+        hub = Hub(table, self.config.settings, key, wire.encode_delta, self.config.seed)
+        self.publisher = publisher.Publisher(
             self.loop,
             hub,
             access,
@@ -312,10 +314,10 @@
                 self.recorder.round(now, inbox, order_log.orders, self.conductor)
             if order_log and self.publisher:
                 if out.orders:  # relay and publisher share one message budget for each proxy
-                    self.publisher.hub.charge(now, self.relay_stream.proxies)
-                self.publisher.round(now, inbox, order_log.orders)
+                    self.publisher.hub.charge_messages(now, self.relay_stream.proxies)
+                self.publisher.handle_round(now, inbox, order_log.orders)
                 if self.keeper:
-                    self.keeper.watch(self.publisher.anew)
+                    self.keeper.check_reservation(self.publisher.start_new_epoch)
 
     def run_delayed_round(self) -> None:
         self.round_timer = None
@@ -373,12 +375,12 @@
 
     def reload_keys(self) -> None:
         """Reload the publisher's keys and certificates, entirely or not at all; established streams continue."""
-        from knotwalk.pubsub import front
+        from knotwalk.pubsub import publisher
 
         assert self.publisher is not None
         try:
-            self.publisher.reload(front.Access(*self.access_files))
-        except front.Misfit as fault:
+            self.publisher.reload(publisher.Access(*self.access_files))
+        except publisher.AccessConfigError as fault:
             self.log("reload refused", f"pubsub: {fault}; the old keys stay in use")
 
     def run(self) -> None:
--- a/tests/standins/edges.py
+++ b/tests/standins/edges.py
@@ -4,7 +4,7 @@
 import time
 
 from knotwalk.net.loop import Loop
-from knotwalk.pubsub import front, wire
+from knotwalk.pubsub import publisher, wire
 from knotwalk.pubsub.client import Client
 from knotwalk.pubsub.hub import Hub
 from knotwalk.pubsub.subscriber import Subscriber
@@ -30,11 +30,11 @@
 
     def __init__(self, settings, table, access=None, seats=200, key=b"k" * 32):
         self.loop, self.told, self.lines = Loop(), [], []
-        self.hub = Hub(table, settings, key, wire.encoded, 1)
-        self.publisher = front.Publisher(
+        self.hub = Hub(table, settings, key, wire.encode_delta, 1)
+        self.publisher = publisher.Publisher(
             self.loop,
             self.hub,
-            access or front.Access(),
+            access or publisher.Access(),
             lambda *x: self.told.append(x),
             lambda proxy: False,
             lambda kind, text="": self.lines.append((kind, text)),
@@ -61,7 +61,7 @@
         return [self.edge(f"p{k}", k, k) for k in range(count)]
 
     def order(self, *orders, inbox=()):
-        self.publisher.round(self.loop.now(), inbox, orders)
+        self.publisher.handle_round(self.loop.now(), inbox, orders)
 
     def turn(self, seconds=0.0):
         end = time.monotonic() + seconds
@@ -80,7 +80,8 @@
     def alike(self, edges=None):
         want = sorted(self.hub.table.rows())
         return all(
-            e.subscriber.place is None and e.link and sorted(e.subscriber.rows()) == want for e in edges or self.edges
+            e.subscriber.next_slice is None and e.link and sorted(e.subscriber.rows()) == want
+            for e in edges or self.edges
         )
 
 
--- a/tests/standins/hubs.py
+++ b/tests/standins/hubs.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from knotwalk.pubsub import wire
-from knotwalk.pubsub.hub import Hub, Later, Refused
+from knotwalk.pubsub.hub import Hub, MessageRejectedError, RetryLaterError
 from knotwalk.pubsub.subscriber import Subscriber
 from knotwalk.pubsub.versions import Table
 from knotwalk.rules import Limits, RuleChecker
@@ -28,7 +28,7 @@
     def __init__(self, settings=SMALL, table=None, seed=1, born=1.0):
         self.now, self.settings, self.random = 1000.0, settings, Random(seed)
         self.table = table or Table("e1")
-        self.hub = Hub(self.table, settings, KEY, wire.encoded, seed)
+        self.hub = Hub(self.table, settings, KEY, wire.encode_delta, seed)
         self.born = born
         self.streams = {}  # by subscriber name
         self.inbox, self.notes, self.ended = [], [], []
@@ -55,10 +55,10 @@
         self.ended.append((cursor.name, why))
         self.disconnect(cursor.name)
 
-    def told(self, handler, *arguments):
+    def notify_module(self, handler, *arguments):
         self.inbox.append((handler, arguments))
 
-    def note(self, kind, text):
+    def log_event(self, kind, text):
         self.notes.append((kind, text))
 
     # --- streams ---
@@ -67,23 +67,23 @@
         """Open a stream; return the hub's cursor, or the exception with which it refuses the hello."""
         hello = wire.Hello(json.loads(subscriber.hello()))
         try:
-            cursor = self.hub.hello(
-                self.now, hello.name, hello.proxy, hello.wanted, hello.of_zone, hello.token, hello.usable
+            cursor = self.hub.handle_hello(
+                self.now, hello.name, hello.proxy, hello.wanted, hello.server_zone, hello.token, hello.has_table
             )
-        except (Later, Refused) as fault:
-            subscriber.refused(str(fault)) if isinstance(fault, Refused) else None
+        except (RetryLaterError, MessageRejectedError) as fault:
+            subscriber.handle_refusal(str(fault)) if isinstance(fault, MessageRejectedError) else None
             return fault
         self.streams[subscriber.name] = SimulatedStream(cursor, subscriber)
         if cursor.proxy is not None:
             self.rules.feed(self.now, [("joined", (cursor.proxy,))], [])
-        subscriber.message(self.now, {"t": "welcome", "epoch": self.table.epoch, "born": self.born})
+        subscriber.handle_message(self.now, {"t": "welcome", "epoch": self.table.epoch, "born": self.born})
         return cursor
 
     def disconnect(self, name):
         """Close a stream; messages in transit are lost."""
         stream = self.streams.pop(name, None)
         if stream is not None:
-            self.hub.left(stream.cursor)
+            self.hub.remove(stream.cursor)
             if stream.cursor.proxy is not None:
                 # A proxy's budget spans its streams: it stays known to the rules; only messages in transit are void.
                 for _, _, _, to_come in self.rules.in_flight:
@@ -94,28 +94,28 @@
         stream = self.streams.get(name)
         while stream is not None and stream.to_subscriber and count:
             count -= 1
-            stream.to_hub += stream.subscriber.message(self.now, json.loads(stream.to_subscriber.pop(0)))
+            stream.to_hub += stream.subscriber.handle_message(self.now, json.loads(stream.to_subscriber.pop(0)))
         while stream is not None and stream.to_hub:
             self.answer(stream, json.loads(stream.to_hub.pop(0)))
 
     def answer(self, stream, payload):
         if payload["t"] == "ack":
-            self.hub.ack(self.now, stream.cursor, payload["n"], wire.need_of(payload), self)
+            self.hub.handle_ack(self.now, stream.cursor, payload["n"], wire.parse_need(payload), self)
             if (number := self.in_flight.pop((stream.cursor, payload["n"]), None)) is not None:
                 self.rules.record_applied(stream.cursor.proxy, number)
         else:
-            self.hub.nack(self.now, stream.cursor, payload["n"], payload["why"], self)
+            self.hub.handle_nack(self.now, stream.cursor, payload["n"], payload["why"], self)
             for _, _, _, to_come in self.rules.in_flight:
                 to_come.discard(stream.cursor.proxy)
 
     # --- time ---
 
     def order(self, *orders, inbox=()):
-        self.hub.ordered(self.now, inbox, orders)
+        self.hub.apply_round(self.now, inbox, orders)
         self.rules.feed(self.now, inbox, orders)
 
     def turn(self):
-        return self.hub.turn(self.now, self)
+        return self.hub.send_due(self.now, self)
 
     def run_until_idle(self, seconds=120.0, step=0.05):
         """Run until nothing is in transit or due; return the seconds that it took."""
@@ -156,7 +156,7 @@
     """A table with one line for each slice."""
     table = Table(epoch)
     for k in range(slices):
-        table.line(k, f"s{k % servers}", 1.0)
+        table.set_line(k, f"s{k % servers}", 1.0)
     return table
 
 
@@ -167,4 +167,4 @@
 def alike(world, subscribers):
     """Whether all subscribers hold the publisher's table."""
     expected = sorted(world.table.rows())
-    return all(s.place is None and sorted(s.rows()) == expected for s in subscribers)
+    return all(s.next_slice is None and sorted(s.rows()) == expected for s in subscribers)
--- a/tests/system/test_reuse.py
+++ b/tests/system/test_reuse.py
@@ -16,7 +16,7 @@
 from standins.nodes import RawClient, client_server, routes, view
 
 from knotwalk.admission import outcome
-from knotwalk.cli.offer import NoAnswer, Operator
+from knotwalk.cli.configuration_client import ConfigurationClient, NoClearAnswerError
 from knotwalk.discovery.view_types import Node
 from knotwalk.edge import caller as edge_caller, forwarder, node_connection
 from knotwalk.runtime import http_client as runtime_call
@@ -130,11 +130,11 @@
     repeatable = True
 
     async def call(self, number, patience=LONG):
-        operator = Operator("{}:{}".format(*self.peer.address), self.caller, 0.0)
-        with mock.patch("knotwalk.cli.offer.PATIENCE", patience):
+        operator = ConfigurationClient("{}:{}".format(*self.peer.address), self.caller, 0.0)
+        with mock.patch("knotwalk.cli.configuration_client.CALL_TIMEOUT_S", patience):
             try:
                 return (await operator.call("PUT", {"n": number}, 0)).body["n"]
-            except NoAnswer:
+            except NoClearAnswerError:
                 return FAILED
 
     async def open(self, peer):
@@ -340,7 +340,9 @@
         ):  # as aiohttp does
             self.assertTrue(await self.idle(Grant, faulty_peer.extra, 50))
             self.assertTrue(await self.idle(List, faulty_peer.extra, 0))
-        with mock.patch.object(edge_caller.Connection, "fit", lambda self: self.state is edge_caller.CallState.IDLE):
+        with mock.patch.object(
+            edge_caller.Connection, "is_usable", lambda self: self.state is edge_caller.CallState.IDLE
+        ):
             with mock.patch.object(edge_caller.Connection, "on_headers_complete", lambda self: None):
                 self.assertTrue(await self.idle(EdgeToCore, faulty_peer.extra, 0))
 
