--- a/knotwalk/cli/compare.py
+++ b/knotwalk/cli/compare.py
@@ -48,7 +48,7 @@
 
 def differences(old: Configuration, new: Configuration) -> list[Difference]:
     """All differences, routes first; empty if both have the same meaning."""
-    found: list[Difference] = []
+    changes: list[Difference] = []
     matches = {name: name for name in old.routes if name in new.routes}
     by_location = {route_location(route): name for name, route in new.routes.items() if name not in old.routes}
     matches |= {
@@ -58,21 +58,21 @@
     }
     for name, route in old.routes.items():
         if name in matches:
-            found += _compare_routes(route, new.routes[matches[name]])
+            changes += _compare_routes(route, new.routes[matches[name]])
         else:
-            found.append(Difference("route", name, "removed", _describe_route(route)))
+            changes.append(Difference("route", name, "removed", _describe_route(route)))
     matched = set(matches.values())
-    found += [
+    changes += [
         Difference("route", name, "added", _describe_route(route))
         for name, route in new.routes.items()
         if name not in matched
     ]
     for name in old.services.keys() | new.services.keys():
-        found += _compare_fields("service", name, old.services.get(name), new.services.get(name))
+        changes += _compare_fields("service", name, old.services.get(name), new.services.get(name))
     for name in old.tenants.keys() | new.tenants.keys():
-        found += _compare_tenants(name, old.tenants.get(name), new.tenants.get(name))
-    found += _compare_fields("limits", "", old.limits, new.limits)
-    return sorted(found, key=lambda difference: (KINDS.index(difference.kind), difference.name, difference.what))
+        changes += _compare_tenants(name, old.tenants.get(name), new.tenants.get(name))
+    changes += _compare_fields("limits", "", old.limits, new.limits)
+    return sorted(changes, key=lambda difference: (KINDS.index(difference.kind), difference.name, difference.what))
 
 
 def _describe_route(route: Route) -> str:
@@ -84,10 +84,10 @@
 
 
 def _compare_routes(old: Route, new: Route) -> list[Difference]:
-    found: list[Difference] = []
+    changes: list[Difference] = []
 
     def add(what: str, detail: str) -> None:
-        found.append(Difference("route", old.name, what, detail))
+        changes.append(Difference("route", old.name, what, detail))
 
     if old.name != new.name:
         add("renamed", new.name)
@@ -113,7 +113,7 @@
     for name in ("priority", "retry_count"):
         if (a := getattr(old, name)) != (b := getattr(new, name)):
             add("changed", f"{name} {a} -> {b}")
-    return found
+    return changes
 
 
 def _compare_tenants(name: str, old: Tenant | None, new: Tenant | None) -> list[Difference]:
@@ -127,14 +127,14 @@
             ]
         )
         return [Difference("tenant", name, "removed" if new is None else "added", detail)]
-    found = []
+    changes = []
     removed_keys, added_keys = set(old.api_keys) - set(new.api_keys), set(new.api_keys) - set(old.api_keys)
     if removed_keys or added_keys:
-        found.append(
+        changes.append(
             Difference("tenant", name, "changed", f"keys: {len(added_keys)} added, {len(removed_keys)} removed")
         )
     before, after = _tenant_terms(old), _tenant_terms(new)
-    return found + [
+    return changes + [
         Difference("tenant", name, "changed", f"{term} {before[term]} -> {after[term]}")
         for term in before
         if before[term] != after[term]
--- a/knotwalk/consensus/following.py
+++ b/knotwalk/consensus/following.py
@@ -54,7 +54,7 @@
             if not self._store_failed:
                 self._reject(message)
             return
-        self._append_entries([Entry(*one) for one in message["entries"]])
+        self._append_entries([Entry(*row) for row in message["entries"]])
         self._received_index = max(self._received_index, prev + len(message["entries"]))
         self._commit_through(min(message["commit"], self._received_index))
         self._update_role(now)
@@ -100,7 +100,7 @@
         if message["index"] <= self._received_index:
             self._acknowledge()
             return
-        part = Part(**{one.name: message[one.name] for one in fields(Part)})
+        part = Part(**{field.name: message[field.name] for field in fields(Part)})
         if not self._incoming.add_part(part, (message["term"], message["stamp"])):
             return
         try:
@@ -133,7 +133,7 @@
             members = dict(message["members"])
             if self.log.term_at(index) == term:
                 self.log.drop_through(index)
-                self.configs = [(index, members)] + [one for one in self.configs if one[0] > index]
+                self.configs = [(index, members)] + [config for config in self.configs if config[0] > index]
             else:
                 self._truncate(self.log.base + 1)
                 self.log = Log(index, term, [])
--- a/knotwalk/consensus/leading.py
+++ b/knotwalk/consensus/leading.py
@@ -97,7 +97,7 @@
             peer.id,
             prev=prev,
             prev_term=self.log.term_at(prev),
-            entries=[[one.index, one.term, one.kind, one.body] for one in entries],
+            entries=[[entry.index, entry.term, entry.kind, entry.body] for entry in entries],
             commit=self.commit,
             stamp=now,
             round=self._heartbeat_round,
@@ -248,7 +248,7 @@
             for ticket, index, required_round in self._reads:
                 if required_round <= confirmed_round and index <= self.applied:
                     self.actions.append(Answer(ticket, "readable", self.applied))
-            self._reads = [one for one in self._reads if one[2] > confirmed_round or one[1] > self.applied]
+            self._reads = [read for read in self._reads if read[2] > confirmed_round or read[1] > self.applied]
             if self._reads or not self._queued_reads or self.commit < self._term_first_index:
                 return
             self._heartbeat_round += 1
--- a/knotwalk/consensus/machine.py
+++ b/knotwalk/consensus/machine.py
@@ -94,8 +94,8 @@
         self._saved_term = pending.term
         has_advanced = pending.last_index > self._stored_index
         self._stored_index = max(self._stored_index, pending.last_index)
-        releasable = [one for one in self._held_messages if one[0] <= self._saved_number]
-        self._held_messages = [one for one in self._held_messages if one[0] > self._saved_number]
+        releasable = [held for held in self._held_messages if held[0] <= self._saved_number]
+        self._held_messages = [held for held in self._held_messages if held[0] > self._saved_number]
         self.actions += [Send(address, message) for _, address, message in releasable]
         if self.role == LEADER:
             self._commit_majority(now)
@@ -136,9 +136,9 @@
             return
         term = self.log.term_at(index)
         assert term is not None
-        members = [one for at, one in self.configs if at <= index][-1]
+        members = [config for start, config in self.configs if start <= index][-1]
         self.snapshot = (index, term, dict(members), state)
-        self.configs = [(index, members)] + [one for one in self.configs if one[0] > index]
+        self.configs = [(index, members)] + [config for config in self.configs if config[0] > index]
         self.log.drop_through(max(self.log.base, index - TRAILING_ENTRIES))
         self._dirty = self._new_snapshot = True
         self._finish_call(self._last_call_at)
--- a/knotwalk/consensus/machine_state.py
+++ b/knotwalk/consensus/machine_state.py
@@ -75,7 +75,9 @@
         self.snapshot = (saved.snapshot_index, saved.snapshot_term, dict(saved.members), saved.snapshot)
         self.log = Log(saved.snapshot_index, saved.snapshot_term, saved.entries)
         self.configs: list[tuple[int, dict[str, str]]] = [(saved.snapshot_index, dict(saved.members))]
-        self.configs += [(one.index, dict(one.body["members"])) for one in saved.entries if one.kind == "members"]
+        self.configs += [
+            (entry.index, dict(entry.body["members"])) for entry in saved.entries if entry.kind == "members"
+        ]
         self.commit = self.applied = saved.snapshot_index
         self.address = self.members.get(self.me, self.me.partition("#")[0])
         self.role = FOLLOWER if self.me in self.members else OUTSIDER
@@ -216,7 +218,7 @@
         if previous_role == LEADER and role != LEADER:
             for ticket in self._tickets.values():
                 self.actions.append(Answer(ticket, "lost", None))
-            for ticket in [one[0] for one in self._reads] + self._queued_reads:
+            for ticket in [read[0] for read in self._reads] + self._queued_reads:
                 self.actions.append(Answer(ticket, "not_leader", leader))
             self._tickets, self._reads, self._queued_reads, self._peers = {}, [], [], {}
             self._encoded_blobs = []
@@ -331,7 +333,7 @@
 
     def _truncate(self, index: int) -> None:
         self.log.truncate(index)
-        self.configs = [one for one in self.configs if one[0] < index]
+        self.configs = [config for config in self.configs if config[0] < index]
         self._stored_index = min(self._stored_index, index - 1)
         if self._pending_save is not None:
             self._pending_save.last_index = min(self._pending_save.last_index, index - 1)
--- a/knotwalk/consensus/membership.py
+++ b/knotwalk/consensus/membership.py
@@ -22,7 +22,7 @@
         ):
             return
         voters: dict[str, PeerProgress] = {id: self._peers[id] for id, _ in self._other_members()}
-        learners: list[PeerProgress] = [one for one in self._peers.values() if one.kind == "learner"]
+        learners: list[PeerProgress] = [peer for peer in self._peers.values() if peer.kind == "learner"]
         members = next_members(
             self.me,
             self.members,
@@ -108,14 +108,14 @@
         if self.role != LEADER or not self._is_handing_over() or self.commit < self.log.last:
             return
         candidates = [
-            one
-            for one in self._peers.values()
-            if one.kind == "voter"
-            and not one.leaving
-            and one.match_index == self.log.last
-            and one.answered_at >= now - self.settings.election_timeout_min
+            peer
+            for peer in self._peers.values()
+            if peer.kind == "voter"
+            and not peer.leaving
+            and peer.match_index == self.log.last
+            and peer.answered_at >= now - self.settings.election_timeout_min
         ]
         if candidates and now - self._handed_over_at > self.settings.heartbeat_interval:
-            target = max(candidates, key=lambda one: (one.id != self._hand_over_target, one.answered_at))
+            target = max(candidates, key=lambda peer: (peer.id != self._hand_over_target, peer.answered_at))
             self._hand_over_target, self._handed_over_at, self._has_handed_over = target.id, now, True
             self._send(target.address, "timeout_now", target.id)
--- a/knotwalk/consensus/membership_rules.py
+++ b/knotwalk/consensus/membership_rules.py
@@ -64,12 +64,14 @@
     """
     if len(members) > max(1, target_members):
         holding = {
-            one.id
-            for one in voters.values()
-            if one.match_index >= commit and one.answered_at >= now - max_holder_answer_age
+            voter.id
+            for voter in voters.values()
+            if voter.match_index >= commit and voter.answered_at >= now - max_holder_answer_age
         }
-        leaving = [one for one in voters.values() if one.leaving]
-        unheard = [one for one in voters.values() if max(one.answered_at, one.first_heard_at) < now - removal_timeout]
+        leaving = [voter for voter in voters.values() if voter.leaving]
+        unheard = [
+            voter for voter in voters.values() if max(voter.answered_at, voter.first_heard_at) < now - removal_timeout
+        ]
         for voter in leaving + unheard:
             if _can_spare(len(members), is_log_stored + len(holding - {voter.id})):
                 return {id: address for id, address in members.items() if id != voter.id}
--- a/knotwalk/consensus/store.py
+++ b/knotwalk/consensus/store.py
@@ -93,7 +93,7 @@
 
 def checksum(*fields: Any) -> int:
     """The crc32 of a row's fields, each prefixed by its length."""
-    return zlib.crc32(b"".join(b"%d:%b" % (len(one), one) for one in (str(field).encode() for field in fields)))
+    return zlib.crc32(b"".join(b"%d:%b" % (len(text), text) for text in (str(field).encode() for field in fields)))
 
 
 def _is_wal_header_valid(header: bytes) -> bool:
@@ -246,7 +246,7 @@
         if self.journal != "wal":
             return
         intact_frames = self._connection.execute("PRAGMA wal_checkpoint(PASSIVE)").fetchone()[1]
-        if sum(one > intact_frames for one in self._commit_frames_at_open) > MAX_TORN_FRAMES:
+        if sum(frames > intact_frames for frames in self._commit_frames_at_open) > MAX_TORN_FRAMES:
             raise StoreDamagedError(self.path, f"write-ahead log is damaged after frame {intact_frames}")
         self._commit_frames_at_open = []
         # The file was closed properly, or it is from before this row existed.
@@ -277,8 +277,8 @@
                     os.replace(folder / (FILE_NAME + end), folder / (DAMAGED_FILE_NAME + end))
                     self._sync_folder()
             if self.size() > self.disk_mb * 1e6 / 2:
-                for one in folder.glob(DAMAGED_FILE_NAME + "*"):
-                    os.truncate(one, 0)
+                for path in folder.glob(DAMAGED_FILE_NAME + "*"):
+                    os.truncate(path, 0)
         except OSError as error:
             raise StoreUnavailableError(self.path, str(error)) from error
 
@@ -355,7 +355,7 @@
             raise self._damaged("write-ahead log is missing")
         state = self._state = _State(*json.loads(meta["state"]))
         snapshots = self._connection.execute("SELECT idx, term, members, state, crc FROM snapshot").fetchall()
-        if [one[0] for one in snapshots] != [state.snapshot_index]:
+        if [row[0] for row in snapshots] != [state.snapshot_index]:
             raise self._damaged(f"snapshot {state.snapshot_index} is missing")
         index, term, members, body, crc = snapshots[0]
         if crc != checksum(index, term, members, body):
@@ -365,7 +365,7 @@
             if row[4] != checksum(*row[:4]):
                 raise self._damaged(f"entry {row[0]} is damaged")
             entries.append(Entry(row[0], row[1], row[2], json.loads(row[3])))
-        if [one.index for one in entries] != list(range(index + 1, state.last + 1)):
+        if [entry.index for entry in entries] != list(range(index + 1, state.last + 1)):
             raise self._damaged(f"entries do not run from {index + 1} to {state.last} without gaps")
         commit = int(meta.get("commit", "0"))  # missing in files from before this row existed
         if commit > state.last:
@@ -467,7 +467,7 @@
     def size(self) -> int:
         """The size on disk in bytes of the file, its journals and what was set aside."""
         files = [self.path.with_name(name + end) for name in (FILE_NAME, DAMAGED_FILE_NAME) for end in FILE_SUFFIXES]
-        return sum(one.stat().st_size for one in files if one.exists())
+        return sum(path.stat().st_size for path in files if path.exists())
 
     def note(self, key: str, value: str | None = None) -> str | None:
         """The text stored under `key`, or None; with a `value`, store that first, durably. For small values of other
@@ -507,8 +507,8 @@
     with tempfile.TemporaryDirectory() as copied:
         try:
             for end in ("", "-wal", "-journal"):
-                if (one := folder / (FILE_NAME + end)).is_file():
-                    shutil.copyfile(one, Path(copied) / one.name)
+                if (path := folder / (FILE_NAME + end)).is_file():
+                    shutil.copyfile(path, Path(copied) / path.name)
         except OSError as error:
             raise StoreError(folder / FILE_NAME, error.strerror or str(error)) from error
         store = Store()
--- a/knotwalk/control_plane/admissions.py
+++ b/knotwalk/control_plane/admissions.py
@@ -106,7 +106,7 @@
     async def handle_admissions(self, request: Request) -> HTTPResponse:
         """Answer an edge's batch: its reports of ended runs are applied first, then its requests are answered."""
         return json_response(
-            {"told": [one.to_json() for one in await self.admit(EdgeBatch.from_json(json_body(request)))]}
+            {"told": [response.to_json() for response in await self.admit(EdgeBatch.from_json(json_body(request)))]}
         )
 
     async def handle_answers(self, request: Request) -> HTTPResponse:
--- a/knotwalk/control_plane/allowances.py
+++ b/knotwalk/control_plane/allowances.py
@@ -111,8 +111,8 @@
 
     def give_back(self, tenant: str) -> None:
         """Return the token of a request that doesn't run."""
-        kept = self.escrow.give_back(clock(), tenant)
-        self.outcome_counts["given back", "kept" if kept else "dropped"] += 1
+        is_kept = self.escrow.give_back(clock(), tenant)
+        self.outcome_counts["given back", "kept" if is_kept else "dropped"] += 1
 
     async def _wait_for_token(self, tenant: str, timeout_s: float) -> TakeResult:
         future: asyncio.Future[TakeResult] = asyncio.get_running_loop().create_future()
--- a/knotwalk/control_plane/claim_groups.py
+++ b/knotwalk/control_plane/claim_groups.py
@@ -144,7 +144,7 @@
                 if not batch:
                     continue
                 try:
-                    results = await group.propose([one.claim for one in batch])
+                    results = await group.propose([pending.claim for pending in batch])
                 except (NotLeaderError, OutcomeUnknownError):
                     group.pending_claims.requeue(batch)
                     await asyncio.sleep(RETRY_DELAY_S)
@@ -158,10 +158,10 @@
         """Send a peer all pending claims of the groups that it leads; undecided ones are sent again later."""
         await asyncio.sleep(REQUEST_BATCH_DELAY_S)
         batch = [
-            one
+            pending
             for group in self.groups
             if group.machine.leader == leader
-            for one in group.pending_claims.take(clock(), MAX_BATCH_CLAIMS)
+            for pending in group.pending_claims.take(clock(), MAX_BATCH_CLAIMS)
         ]
         try:
             results = await self._call_leader(leader, batch) if batch else []
@@ -171,8 +171,8 @@
         self.dispatch()
 
     async def _call_leader(self, leader: str, batch: list[PendingClaim]) -> list[ClaimResult]:
-        payload = {"claims": [pack_claim(one.claim) for one in batch]}
-        timeout_s = min(LEADER_CALL_TIMEOUT_S, max(one.deadline for one in batch) - clock())
+        payload = {"claims": [pack_claim(pending.claim) for pending in batch]}
+        timeout_s = min(LEADER_CALL_TIMEOUT_S, max(pending.deadline for pending in batch) - clock())
         try:
             response = await self.caller.json("POST", f"http://{leader}{CLAIMS_PATH}", payload, timeout_s, "claims")
             return [ClaimResult.from_json(raw) for raw in response["results"]]
@@ -181,12 +181,12 @@
 
     def _resolve(self, batch: list[PendingClaim], results: list[ClaimResult]) -> None:
         """Deliver results; claims without an outcome are queued again."""
-        for one, result in zip(batch, results, strict=True):
+        for pending, result in zip(batch, results, strict=True):
             if result.outcome is not Outcome.UNAVAILABLE:
-                if not one.future.done():
-                    one.future.set_result(result)
+                if not pending.future.done():
+                    pending.future.set_result(result)
             else:
-                asyncio.get_running_loop().call_later(RETRY_DELAY_S, self._enqueue, one)
+                asyncio.get_running_loop().call_later(RETRY_DELAY_S, self._enqueue, pending)
 
     async def handle_claims(self, payload: dict) -> dict:
         """Answer the claims of another core machine, UNAVAILABLE for groups that this machine doesn't lead."""
@@ -209,7 +209,7 @@
             return
         if message["type"] == "appended" and message["ok"]:  # supersedes an earlier one
             same = ("appended", partition, message["to"])
-            replies[:] = [one for one in replies if (one["type"], one["group"], one["to"]) != same]
+            replies[:] = [reply for reply in replies if (reply["type"], reply["group"], reply["to"]) != same]
         replies.append(message)
 
     def _on_replies(self, messages: list) -> None:
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -234,9 +234,9 @@
         own = self.consensus.machine.members.get(self.me)
         await asyncio.gather(
             *(
-                self.caller.json("POST", f"http://{at}/nodes", message, 0.6, "tell nodes")
-                for at in self.consensus.machine.members.values()
-                if at != own
+                self.caller.json("POST", f"http://{address}/nodes", message, 0.6, "tell nodes")
+                for address in self.consensus.machine.members.values()
+                if address != own
             ),
             return_exceptions=True,
         )
--- a/knotwalk/control_plane/message_packing.py
+++ b/knotwalk/control_plane/message_packing.py
@@ -32,13 +32,13 @@
     """The inverse of `pack`; ValueError or KeyError for a list that it can't have returned."""
     if isinstance(raw, dict):
         return raw
-    code, group, at, sender, to, *values = raw
+    code, group, address, sender, to, *values = raw
     message_type = TYPES[code]
     message = {
         "type": message_type,
         "group": group,
-        "at": at,
-        "from": at + sender if sender.startswith("#") else sender,
+        "at": address,
+        "from": address + sender if sender.startswith("#") else sender,
         "to": to,
     }
     return message | dict(zip(FIELDS[message_type], values, strict=True))
--- a/knotwalk/control_plane/metrics.py
+++ b/knotwalk/control_plane/metrics.py
@@ -60,12 +60,18 @@
 def operations(admissions: Admissions) -> Iterator[Metric]:
     """The admission requests of edges, and the operations that this core keeps."""
     answers = admissions.answers
-    responses: dict[tuple[str, ...], float] = {(one.value,): admissions.response_counts[one] for one in Admission}
-    ended: dict[tuple[str, ...], float] = {(one.value,): admissions.ending_counts[one] for one in Ending}
-    kept: dict[tuple[str, ...], float] = {(phase.value,): count for phase, count in answers.count_by_phase().items()}
+    responses: dict[tuple[str, ...], float] = {
+        (admission.value,): admissions.response_counts[admission] for admission in Admission
+    }
+    ended: dict[tuple[str, ...], float] = {(ending.value,): admissions.ending_counts[ending] for ending in Ending}
+    phase_counts: dict[tuple[str, ...], float] = {
+        (phase.value,): count for phase, count in answers.count_by_phase().items()
+    }
     yield counter("knotwalk_core_asks", "edges' asks by what was told", responses, "told")
     yield counter("knotwalk_core_ends", "ends of operations that edges told", ended, "ending")
-    yield Metric("knotwalk_core_operations", MetricType.GAUGE, "operations kept here, by phase", kept, ("phase",))
+    yield Metric(
+        "knotwalk_core_operations", MetricType.GAUGE, "operations kept here, by phase", phase_counts, ("phase",)
+    )
     yield gauge("knotwalk_core_operation_bytes", "bytes that they take", answers.size)
 
 
@@ -114,7 +120,7 @@
     yield Metric("knotwalk_core_claims_held", MetricType.GAUGE, "operations of a part that have a holder", held, labels)
     yield Metric("knotwalk_core_claims_waiting", MetricType.GAUGE, "claims of a part that wait here", waiting, labels)
     outcomes: dict[tuple[str, ...], float] = {
-        (one.value,): count for one, count in (groups.outcome_counts.items() if groups else ())
+        (outcome.value,): count for outcome, count in (groups.outcome_counts.items() if groups else ())
     }
     yield counter("knotwalk_core_claims", "claims asked by this core, by their outcome", outcomes, "outcome")
 
--- a/knotwalk/decide/levels.py
+++ b/knotwalk/decide/levels.py
@@ -10,11 +10,11 @@
 
         Guards against queues in which every answer is late. Each round of reports in which a server is overloaded
         lowers its quota, a share of its capacity, since a queue drains only below capacity. Quotas rise in steps."""
-        parts, asked = {}, {server: [0.0] * len(self.rpc_costs) for server in self.servers.values()}
+        parts, demand = {}, {server: [0.0] * len(self.rpc_costs) for server in self.servers.values()}
         for slice in self.slices.values():
             for server in slice.shares:
                 for k, work in enumerate(slice.method_demand):
-                    asked[server][k] += work / len(slice.shares)
+                    demand[server][k] += work / len(slice.shares)
         self.zone_delays = self.measure_zone_delays()
         for server in self.ready_servers():
             if not self.is_overloaded(server):
@@ -22,10 +22,10 @@
             elif sum(load for _, load in server.load_shifts) >= 0:  # just relieved, its reports predate the move
                 server.quota = max(self.LEAST_QUOTA, server.quota * self.TIGHTEN)
             limited = server.quota < 1 and self.utilization(server) > server.quota
-            budget = server.capacity * server.quota * sum(asked[server]) / max(server.load, 1e-9)
+            budget = server.capacity * server.quota * sum(demand[server]) / max(server.load, 1e-9)
             parts[server] = [1.0] * len(self.rpc_costs)
             for k in self.method_order if limited else ():
-                if work := asked[server][k]:
+                if work := demand[server][k]:
                     parts[server][k] = max(self.LEAST, min(1.0, budget / work))
                 budget = max(0.0, budget - work)
         # A change of a tenth is within the estimates' noise; a fifth where the channel cannot take all levels at once.
--- a/knotwalk/edge/choose.py
+++ b/knotwalk/edge/choose.py
@@ -29,10 +29,10 @@
     splits = route.splits
     if len(splits) == 1:
         return splits[0][0]
-    at = rng.random() * sum(weight for _, weight in splits)
+    remaining = rng.random() * sum(weight for _, weight in splits)
     for name, weight in splits:
-        at -= weight
-        if at < 0:
+        remaining -= weight
+        if remaining < 0:
             return name
     return next(name for name, weight in reversed(splits) if weight > 0)
 
--- a/knotwalk/edge/client_connection.py
+++ b/knotwalk/edge/client_connection.py
@@ -109,9 +109,9 @@
             return PeerEnd.NONE
         return probe_peer_end(self.transport.get_extra_info("socket").fileno())
 
-    def _abandon(self, kept: int) -> None:
-        """Abandon all requests but the first `kept`: nobody waits for their answers."""
-        while len(self.queue) > kept:
+    def _abandon(self, keep_count: int) -> None:
+        """Abandon all requests but the first `keep_count`: nobody waits for their answers."""
+        while len(self.queue) > keep_count:
             exchange = self.queue.pop()
             exchange.abandon()
             if exchange.answer is not None and exchange.answer.stream is not None:
--- a/knotwalk/interface.py
+++ b/knotwalk/interface.py
@@ -74,8 +74,8 @@
         3: twice after any failure.
         """
 
-    def withdraw(self, server: str, shut: bool) -> None:
-        """Exclude a server from all our slices' tables, whatever they hold (shut), or readmit it."""
+    def withdraw(self, server: str, is_withdrawn: bool) -> None:
+        """Exclude a server from all our slices' tables, whatever they hold (`is_withdrawn`), or readmit it."""
 
     def receipt(self, mark: int) -> None:
         """Ask every proxy reached this round to answer applied(proxy, mark)."""
@@ -83,7 +83,7 @@
     def watch(self) -> None:
         """Subscribe to the server list."""
 
-    def wake(self, at: float) -> None:
+    def wake(self, due_at: float) -> None:
         """Request a round at that time."""
 
     def note(self, text: str) -> None:
--- a/knotwalk/leases/grant_manager.py
+++ b/knotwalk/leases/grant_manager.py
@@ -290,14 +290,14 @@
         """Add to `events` by which evidence the former holders of slices were cleared, one event for all slices of a
         holder.
         """
-        found: dict[tuple[str, str, Evidence], list[int]] = {}
+        slices_by_holder: dict[tuple[str, str, Evidence], list[int]] = {}
         for slice_lease in cleared:
             for id in slice_lease.former_holders:
                 released = slice_lease.holders[id].has_released
-                found.setdefault(
+                slices_by_holder.setdefault(
                     (id, slice_lease.service, Evidence.RELEASED if released else Evidence.EXPIRED), []
                 ).append(slice_lease.slice)
-        for (id, service, evidence), slices in found.items():
+        for (id, service, evidence), slices in slices_by_holder.items():
             self.events.append(HolderCleared(id, service, evidence, len(slices), min(slices)))
 
     def _is_cleared(self, now: float, holder: Holder) -> bool:
@@ -377,10 +377,10 @@
             ):
                 self._failing.discard(key)
         states = (State.GRANTING, State.GRANTED, State.OPEN)
-        found = ((key, self.slice_leases[key]) for key in self._failing)
+        failing = ((key, self.slice_leases[key]) for key in self._failing)
         return frozenset(
             key
-            for key, slice_lease in found
+            for key, slice_lease in failing
             if slice_lease.state in states and slice_lease.holders[slice_lease.owner].has_lapsed(now)
         )
 
--- a/knotwalk/net/conductor.py
+++ b/knotwalk/net/conductor.py
@@ -132,8 +132,8 @@
             {**order, "classes": [self.host.method_names[method]], "level": round(share, 6), "retry": retry}
         )
 
-    def withdraw(self, server: str, shut: bool) -> None:
-        self.orders.append({"do": "OUT" if shut else "IN", "server": server})
+    def withdraw(self, server: str, is_withdrawn: bool) -> None:
+        self.orders.append({"do": "OUT" if is_withdrawn else "IN", "server": server})
 
     def receipt(self, mark: int) -> None:
         self.orders.append({"do": "SYNC", "ticket": mark, "on": 0})
@@ -141,8 +141,8 @@
     def watch(self) -> None:
         """Do nothing: the server list is always watched."""
 
-    def wake(self, at: float) -> None:
-        self.host.schedule_round(at)
+    def wake(self, due_at: float) -> None:
+        self.host.schedule_round(due_at)
 
     def note(self, text: str) -> None:
         self.host.log("note", text)
@@ -287,9 +287,9 @@
         """The zones of the settings, if they name any, else those of the servers and the joined proxies."""
         return self.config.bounds.zones or self.relay_stream.zones | {x[1] for x in self.list_watch.entries.values()}
 
-    def schedule_round(self, at: float) -> None:
-        """Run a round at that time, unless one has run at or after it by then."""
-        self.loop.call_at(at, lambda: self.last_round_at >= at or self.run_round())
+    def schedule_round(self, due_at: float) -> None:
+        """Run a round at `due_at`, unless one has run at or after it by then."""
+        self.loop.call_at(due_at, lambda: self.last_round_at >= due_at or self.run_round())
 
     def run_round(self) -> None:
         """Pass the inbox to the decisions, at the earliest one platform tick after the last round."""
--- a/knotwalk/order_log.py
+++ b/knotwalk/order_log.py
@@ -20,8 +20,8 @@
     def admit(self, slice_id: int | None, method: int, share: float, retry: int) -> None:
         self.orders.append(("admit", (slice_id, method, share, retry)))
 
-    def withdraw(self, server: str, shut: bool) -> None:
-        self.orders.append(("withdraw", (server, shut)))
+    def withdraw(self, server: str, is_withdrawn: bool) -> None:
+        self.orders.append(("withdraw", (server, is_withdrawn)))
 
     def receipt(self, mark: int) -> None:
         self.orders.append(("receipt", (mark,)))
@@ -29,8 +29,8 @@
     def watch(self) -> None:
         self.orders.append(("watch", ()))
 
-    def wake(self, at: float) -> None:
-        self.orders.append(("wake", (at,)))
+    def wake(self, due_at: float) -> None:
+        self.orders.append(("wake", (due_at,)))
 
     def note(self, text: str) -> None:
         self.orders.append(("note", (text,)))
@@ -52,9 +52,9 @@
         self.orders.append(("admit", (slice_id, method, share, retry)))
         self.out.admit(slice_id, method, share, retry)
 
-    def withdraw(self, server: str, shut: bool) -> None:
-        self.orders.append(("withdraw", (server, shut)))
-        self.out.withdraw(server, shut)
+    def withdraw(self, server: str, is_withdrawn: bool) -> None:
+        self.orders.append(("withdraw", (server, is_withdrawn)))
+        self.out.withdraw(server, is_withdrawn)
 
     def receipt(self, mark: int) -> None:
         self.orders.append(("receipt", (mark,)))
@@ -64,9 +64,9 @@
         self.orders.append(("watch", ()))
         self.out.watch()
 
-    def wake(self, at: float) -> None:
-        self.orders.append(("wake", (at,)))
-        self.out.wake(at)
+    def wake(self, due_at: float) -> None:
+        self.orders.append(("wake", (due_at,)))
+        self.out.wake(due_at)
 
     def note(self, text: str) -> None:
         self.orders.append(("note", (text,)))
--- a/knotwalk/placement/placer.py
+++ b/knotwalk/placement/placer.py
@@ -234,9 +234,13 @@
         self._next_check = min(
             due if measured else float("inf"),
             self._last_batch_at + BATCH_PAUSE_S if self._queued_moves else float("inf"),
-            min((at for at, *_ in self._pending.values()), default=float("inf")) + MOVE_TIMEOUT_S,
+            min((proposed_at for proposed_at, *_ in self._pending.values()), default=float("inf")) + MOVE_TIMEOUT_S,
             min(
-                (at + REMAINDER_DELAY_S for at in self._laid_out_at.values() if at + REMAINDER_DELAY_S > now),
+                (
+                    laid_out_at + REMAINDER_DELAY_S
+                    for laid_out_at in self._laid_out_at.values()
+                    if laid_out_at + REMAINDER_DELAY_S > now
+                ),
                 default=float("inf"),
             ),
         )
@@ -281,7 +285,9 @@
                         self._pending.pop((service, k), None)
             self._fences[service], self._owners[service] = fences, owners
         self._ledger, self._index = ledger, ledger.index
-        self._recently_moved = {key: at for key, at in self._recently_moved.items() if now < at + MOVE_REST_S}
+        self._recently_moved = {
+            key: moved_at for key, moved_at in self._recently_moved.items() if now < moved_at + MOVE_REST_S
+        }
         self._pending = {key: p for key, p in self._pending.items() if now < p[0] + MOVE_TIMEOUT_S and p[2] in nodes}
 
     def _planned_owners(self, service: str, line: list[Slice]) -> list[str]:
--- a/knotwalk/plugin/picks.py
+++ b/knotwalk/plugin/picks.py
@@ -87,9 +87,9 @@
         self.tables[slice_id] = dict(lines)
         self.rebuild(slice_id)
 
-    def withdraw(self, server: str, shut: bool) -> None:
-        """Stop picking a server whatever the tables say (`shut`), or allow it again."""
-        (self.withdrawn.add if shut else self.withdrawn.discard)(server)
+    def withdraw(self, server: str, is_withdrawn: bool) -> None:
+        """Stop picking a server whatever the tables say (`is_withdrawn`), or allow it again."""
+        (self.withdrawn.add if is_withdrawn else self.withdrawn.discard)(server)
         for slice_id, lines in self.tables.items():
             if server in lines:
                 self.rebuild(slice_id)
--- a/knotwalk/pubsub/subscriber.py
+++ b/knotwalk/pubsub/subscriber.py
@@ -132,7 +132,7 @@
 
     def apply_piece(self, message: Mapping, delta: Delta) -> list[int]:
         """Apply one piece of a snapshot; return the slices of which no line leads to a server in use."""
-        at, next_slice = wire.parse_count(message.get("at")), message.get("next")
+        first_slice, next_slice = wire.parse_count(message.get("at")), message.get("next")
         version = wire.parse_count(message.get("to"))
         need: list[int] = []
         if "live" in message:
@@ -140,9 +140,10 @@
             self.live_servers = frozenset(map(str, message["live"]))
             self.withdrawn.clear()
             self.levels.clear()
-        elif message.get("epoch") != self.epoch or at != self.next_slice:
+        elif message.get("epoch") != self.epoch or first_slice != self.next_slice:
             raise GapError(
-                f"piece at slice {at} of epoch {message.get('epoch')}; expected slice {self.next_slice} of {self.epoch}"
+                f"piece at slice {first_slice} of epoch {message.get('epoch')}; "
+                f"expected slice {self.next_slice} of {self.epoch}"
             )
         self.apply(delta)
         self.received_slices.update(p.slice for p in delta.parts)
--- a/knotwalk/shared_state/answers.py
+++ b/knotwalk/shared_state/answers.py
@@ -123,7 +123,7 @@
 
     def count_by_phase(self) -> dict[Phase, int]:
         """The number of operations in each phase."""
-        return {phase: sum(one.phase is phase for one in self.operations.values()) for phase in Phase}
+        return {phase: sum(record.phase is phase for record in self.operations.values()) for phase in Phase}
 
     def _store(self, operation: str, record: OperationRecord) -> None:
         """Store a record as the newest, replacing the operation's previous one."""
--- a/knotwalk/shared_state/claims.py
+++ b/knotwalk/shared_state/claims.py
@@ -151,7 +151,9 @@
             "format": FORMAT,
             "applied": self.applied,
             "time": self.time,
-            "claims": "\n".join(f"{key} {one.until!r} {one.core} {one.holder_key}" for key, one in self.claims.items()),
+            "claims": "\n".join(
+                f"{key} {claim.until!r} {claim.core} {claim.holder_key}" for key, claim in self.claims.items()
+            ),
             "released": "\n".join(
                 f"{key} {until!r} {holder_key}" for (key, holder_key), until in self.released.items()
             ),
--- a/knotwalk/wirehost/host.py
+++ b/knotwalk/wirehost/host.py
@@ -48,8 +48,8 @@
         map_id = EVERY_SLICE if slice_id is None else slice_id
         self._put(f"THROTTLE map_id={map_id} only={1 << method} allowance={share:.6g} on_failure={retry}")
 
-    def withdraw(self, server: str, shut: bool) -> None:
-        self._put(f"WITHDRAW active={int(shut)} node={server}")
+    def withdraw(self, server: str, is_withdrawn: bool) -> None:
+        self._put(f"WITHDRAW active={int(is_withdrawn)} node={server}")
 
     def receipt(self, mark: int) -> None:
         self._put(f"ASK_RECEIPT active=0 epoch={mark}")
@@ -57,8 +57,8 @@
     def watch(self) -> None:
         self._put("KEEP_INFORMED active=1")
 
-    def wake(self, at: float) -> None:
-        self._put(f"SLEEP cookie=0 at_us={int(at * 1e6) + 1}")
+    def wake(self, due_at: float) -> None:
+        self._put(f"SLEEP cookie=0 at_us={int(due_at * 1e6) + 1}")
 
     def note(self, text: str) -> None:
         self._put(f"DEBUG msg={' '.join(text.split())}")
