--- a/benchmarks/pubsub.py
+++ b/benchmarks/pubsub.py
@@ -244,7 +244,7 @@
         stand.sockets = 2 * count + 64
         stand.slices = {k: {"ab"[k % 2]: 1.0} for k in range(2)}
         at = program(Path(name), stand)
-        stand.until(lambda: stand.news)
+        stand.until(lambda: stand.streams)
         alone = rss(stand.program.pid)
         site = Site(SMALL, Table("x"))
         site.loop, site.address = stand.loop, ("127.0.0.1", int(at.rpartition(":")[2]))
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -95,7 +95,7 @@
     of which one records through a real writer; each round on both, by turns."""
     rounds, day = rounds_of(seconds)
     stand = StandIn()
-    stand.told = {
+    stand.config_document = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": stand.address,
@@ -105,7 +105,7 @@
     }
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "config.json")
-        path.write_text(json.dumps(stand.told))
+        path.write_text(json.dumps(stand.config_document))
         hosts = []
         for record in (None, OperatorSettings(RecordSettings(True, folder + "/r"))):
             config = Config({"EDGE_CONFIG": str(path)})
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -108,6 +108,5 @@
     runs: list[Run] = field(default_factory=list)
     incarnations: list[Incarnation] = field(default_factory=list)
     configurations: list[TenantConfiguration] = field(default_factory=list)
-    direct_findings: list[str] = field(
-        default_factory=list
-    )  # what is broken by itself: bytes that fit no request, an error logged
+    # For example a response to another request, or a log line of level error.
+    direct_findings: list[str] = field(default_factory=list)
--- a/tests/soak/shared_judge.py
+++ b/tests/soak/shared_judge.py
@@ -46,7 +46,7 @@
             findings += [f"UNASKED {run.id!r} ran at {run.node}"] if request is None else self._run(request, run)
         for request in self.ledger.requests.values():
             if request.end is End.ANSWERED:
-                findings += self._mixed(request) + self._in_work(request) + self._refused_but_run(request)
+                findings += self._mixed(request) + self._in_work(request) + self._unjustified_refusal(request)
         return findings
 
     # -- operations
@@ -124,7 +124,7 @@
             if configuration.sent_at <= last and end >= first
         ]
 
-    def _refused_but_run(self, request: ClientRequest) -> list[str]:
+    def _unjustified_refusal(self, request: ClientRequest) -> list[str]:
         """401 for a key that is valid in every configuration possibly in force, or 429 for a tenant without a limit."""
         possible = self._in_force(request.sent_at - self.bounds.revoke_timeout - self.lag, request.ended_at)
         if request.status == 401 and (
--- a/tests/standins/cores.py
+++ b/tests/standins/cores.py
@@ -114,7 +114,7 @@
     def __getitem__(self, index: int) -> Core:
         return list(self.all.values())[index]
 
-    async def json(self, method: str, url: str, body=None, patience: float = 1.0, step: str = "call"):
+    async def json(self, method: str, url: str, body=None, timeout_s: float = 1.0, step: str = "call"):
         parts = urlsplit(url)
         core = self.all[parts.netloc]
         if core.dead:
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -17,16 +17,13 @@
 from knotwalk.order_log import OrderLog
 
 METHODS = (Method(soft_deadline=1.5, criticality=3.0), Method(soft_deadline=1.0, criticality=9.0))
-WORK, SHARE, DEADLINE = (
-    (0.26, 0.15),
-    (0.55, 0.45),
-    (5.0, 2.5),
-)  # by method: work in core seconds, share of RPCs, deadline in seconds
+# By method: work in core seconds, share of RPCs, deadline.
+WORK_S, SHARE, DEADLINE_S = (0.26, 0.15), (0.55, 0.45), (5.0, 2.5)
 ZONES = ("east", "west")
-LIST_LATE = 2.0  # seconds until the server list reports a crash (half of it: a start)
-SPAN = 10.0  # seconds per interval of the service statistics
-TURNED_AWAY = 8.0  # queueing time in seconds above which a server rejects RPCs: bounds its queue
-LEASE_LATE = 1.0  # seconds until a restarted conductor has its proxies and slices again
+LIST_DELAY_S = 2.0  # seconds until the server list reports a crash (half of it: a start)
+INTERVAL_S = 10.0  # seconds per interval of the service statistics
+MAX_WAIT_S = 8.0  # queueing time in seconds above which a server rejects RPCs: bounds its queue
+LEASE_DELAY_S = 1.0  # seconds until a restarted conductor has its proxies and slices again
 
 
 class Size(NamedTuple):
@@ -68,10 +65,9 @@
         self.slow = 1.0  # divisor of its speed
         self.alive, self.state = True, "ready"
         self.free = [0.0] * cores  # by core: when its queued work is done
-        self.busy = 0.0  # core seconds of work accepted in this report period
-        self.met: dict[
-            str, list
-        ] = {}  # by zone: attempts, aborted attempts, total latency of the successful ones in seconds
+        self.busy = 0.0  # core seconds of work accepted in this report period, with the queue left from the last
+        # By zone: attempts, aborted attempts, total latency of the successful ones in seconds.
+        self.zone_stats: dict[str, list] = {}
 
     def entry(self) -> tuple:
         return (self.id, self.zone, self.state, float(self.cores), self.started)
@@ -106,7 +102,7 @@
         lives: Callable | None = None,
         start: float = 1e6,
     ):
-        self.random, self.coming, self.size, self.seed = Random(seed), Random(seed + 0.5), size, seed
+        self.random, self.arrivals, self.size, self.seed = Random(seed), Random(seed + 0.5), size, seed
         self.settings, self.make, self.witness, self.lives = settings or settings_of(size), make, witness, lives
         rng = self.random
         self.machines: dict[str, Machine] = {}
@@ -121,18 +117,18 @@
         self.heap: list[tuple] = []
         self.count = 0
         self.rate = size.rate
-        self.wanted: Counter = Counter()
+        self.requested: Counter = Counter()
         self.since = start
         self.cut: set[str] = set()  # zones that are unreachable from the other zone
         self.store: dict[int, dict[str, float]] = {}
         self.service: dict[int, list] = {}  # by interval: requested and earned value for each method
-        self.weigh()
+        self.sum_weights()
         owners = list(self.machines)
         for k in range(size.slices):
             self.store[k] = {owners[rng.randrange(len(owners))]: 1.0}
             for edge in self.edges:
-                edge.lines[k] = self.drawn(self.store[k])
-        self.life = 0
+                edge.lines[k] = self.cumulative(self.store[k])
+        self.incarnation = 0
         for at, name, *arguments in script:
             self.at(start + at, lambda name=name, arguments=arguments: getattr(self, name)(*arguments))
         self.begin()
@@ -144,11 +140,11 @@
         self.count += 1
         heapq.heappush(self.heap, (when, self.count, call))
 
-    def weigh(self) -> None:
+    def sum_weights(self) -> None:
         self.sums = list(accumulate(w * self.hot.get(k, 1.0) for k, w in enumerate(self.weights)))
 
     @staticmethod
-    def drawn(lines: dict[str, float]) -> tuple:
+    def cumulative(lines: dict[str, float]) -> tuple:
         return (list(lines), list(accumulate(lines.values()))) if lines else ()
 
     def round(self, inbox: list) -> None:
@@ -159,31 +155,31 @@
         if self.witness:
             self.witness(now, inbox, out.orders, self.module)
         tables: dict[int, tuple] = {}
-        levels, mark, life = {}, None, self.life
+        levels, mark, incarnation = {}, None, self.incarnation
         for name, fields in out.orders:
             if name == "line":
                 self.store[fields[0]].pop(fields[1], None)
                 if fields[2]:
                     self.store[fields[0]][fields[1]] = fields[2]
-                tables[fields[0]] = self.drawn(self.store[fields[0]])
+                tables[fields[0]] = self.cumulative(self.store[fields[0]])
             elif name == "admit" and fields[0] is not None:
                 levels[fields[0], fields[1]] = fields[2]
             elif name == "receipt":
                 mark = fields[0]
             elif name == "wake":
-                self.at(max(fields[0], now), lambda: self.life == life and self.round([]))
+                self.at(max(fields[0], now), lambda: self.incarnation == incarnation and self.round([]))
         if tables or levels or mark is not None:
-            late = self.settings.message_delay
+            delay = self.settings.message_delay
             for edge in self.edges:
                 if edge.joined:
-                    edge.free = max(edge.free, now + self.random.uniform(0.5, 1.5) * late)
-                    self.at(edge.free, lambda edge=edge: self.take_in(edge, tables, levels, mark, life))
+                    edge.free = max(edge.free, now + self.random.uniform(0.5, 1.5) * delay)
+                    self.at(edge.free, lambda edge=edge: self.apply_message(edge, tables, levels, mark, incarnation))
 
-    def take_in(self, edge: Edge, tables: dict, levels: dict, mark: int | None, life: int) -> None:
+    def apply_message(self, edge: Edge, tables: dict, levels: dict, mark: int | None, incarnation: int) -> None:
         for slice_id, lines in tables.items():
             edge.lines[slice_id] = lines
         edge.levels.update(levels)
-        if mark is not None and edge.joined and life == self.life:
+        if mark is not None and edge.joined and incarnation == self.incarnation:
             self.round([("applied", (edge.id, mark))])
 
     def report(self) -> None:
@@ -194,9 +190,9 @@
             ahead = sum(max(0.0, free - now) for free in machine.free)
             busy = min(1.0, max(0.0, machine.busy - ahead) / (machine.cores * span))
             machine.busy = ahead
-            tries = sum(m[0] for m in machine.met.values())
+            tries = sum(m[0] for m in machine.zone_stats.values())
             load = {"utilization": round(busy, 3), "qps": round(tries * self.size.parts / span, 1)}
-            for zone, (tried, aborted, seconds) in machine.met.items():
+            for zone, (tried, aborted, seconds) in machine.zone_stats.items():
                 good = tried - aborted
                 inbox.append(
                     (
@@ -204,34 +200,34 @@
                         (machine.id, zone, span, tried, aborted, seconds / good if good else 0.0, load if good else {}),
                     )
                 )
-            machine.met = {}
-        inbox += [("wanted", (k, m, span, n)) for (k, m), n in self.wanted.items()]
-        self.wanted, self.since = Counter(), now
+            machine.zone_stats = {}
+        inbox += [("wanted", (k, m, span, n)) for (k, m), n in self.requested.items()]
+        self.requested, self.since = Counter(), now
         self.at(now + self.random.uniform(0.24, 1.0), lambda: self.round(inbox))
         self.at(now + self.settings.report_period, self.report)
 
     def rpc(self, now: float) -> None:
         # Arrivals use a generator of their own, so that days with other settings have the same arrivals.
-        draw = self.coming.random
+        draw = self.arrivals.random
         method = 0 if draw() < SHARE[0] else 1
         slice_id = bisect(self.sums, draw() * self.sums[-1])
         edge = self.edges[bisect(self.edge_sums, draw() * self.edge_sums[-1])]
-        work, admission_draw, draw = WORK[method] * self.coming.gammavariate(4, 0.25), draw(), self.random.random
-        self.wanted[slice_id, method] += 1
-        row = self.service.get(int((now - self.start) / SPAN))
+        work, admission_draw, draw = WORK_S[method] * self.arrivals.gammavariate(4, 0.25), draw(), self.random.random
+        self.requested[slice_id, method] += 1
+        row = self.service.get(int((now - self.start) / INTERVAL_S))
         if row is None:
-            row = self.service[int((now - self.start) / SPAN)] = [0, 0.0, 0, 0.0]
+            row = self.service[int((now - self.start) / INTERVAL_S)] = [0, 0.0, 0, 0.0]
         row[2 * method] += 1
         if admission_draw >= edge.levels.get((slice_id, method), 1.0) or not edge.lines[slice_id]:
             return
         names, sums = edge.lines[slice_id]
         machine = self.machines[names[bisect(sums, draw() * sums[-1]) if len(names) > 1 else 0]]
-        met = machine.met.get(edge.zone)
-        if met is None:
-            met = machine.met[edge.zone] = [0, 0, 0.0]
-        met[0] += 1
+        stats = machine.zone_stats.get(edge.zone)
+        if stats is None:
+            stats = machine.zone_stats[edge.zone] = [0, 0, 0.0]
+        stats[0] += 1
         if not machine.alive or (edge.zone != machine.zone and (edge.zone in self.cut or machine.zone in self.cut)):
-            met[1] += 1
+            stats[1] += 1
             return
         age = (now - machine.started) / self.settings.cold_time if machine.started else 1.0
         speed = (
@@ -241,28 +237,28 @@
         )
         core = min(range(machine.cores), key=machine.free.__getitem__)
         wait = max(0.0, machine.free[core] - now)
-        if wait > TURNED_AWAY:
-            met[1] += 1
+        if wait > MAX_WAIT_S:
+            stats[1] += 1
             return
         machine.free[core] = now + wait + work / speed * self.size.parts
         machine.busy += work / speed * self.size.parts
         latency = wait + work / speed
-        if latency > DEADLINE[method]:
-            met[1] += 1
+        if latency > DEADLINE_S[method]:
+            stats[1] += 1
             return
-        met[2] += latency
+        stats[2] += latency
         row[2 * method + 1] += 1.0 if latency <= METHODS[method].soft_deadline else 0.1
 
     def run(self, seconds: float) -> "Day":
         """Advances the simulation."""
         end = self.now + seconds
-        coming = self.now + self.coming.expovariate(self.rate)
+        next_arrival = self.now + self.arrivals.expovariate(self.rate)
         while True:
             event = self.heap[0][0] if self.heap else end
             until = min(event, end)
-            while coming < until:
-                self.rpc(coming)
-                coming += self.coming.expovariate(self.rate)
+            while next_arrival < until:
+                self.rpc(next_arrival)
+                next_arrival += self.arrivals.expovariate(self.rate)
             if event > end:
                 self.now = end
                 return self
@@ -272,15 +268,15 @@
     def earned(self) -> float:
         """Returns the share of requested criticality that was answered in time."""
         worth = [m.criticality for m in METHODS]
-        asked = sum(row[0] * worth[0] + row[2] * worth[1] for row in self.service.values())
-        return sum(row[1] * worth[0] + row[3] * worth[1] for row in self.service.values()) / asked
+        requested = sum(row[0] * worth[0] + row[2] * worth[1] for row in self.service.values())
+        return sum(row[1] * worth[0] + row[3] * worth[1] for row in self.service.values()) / requested
 
     # --- actions of scripts ---
 
     def begin(self) -> None:
         """Starts an incarnation of the conductor with the lines in the store."""
-        self.life += 1
-        seed = self.seed + self.life
+        self.incarnation += 1
+        seed = self.seed + self.incarnation
         self.module = self.make(self.settings, seed)
         if self.lives:
             self.lives(self.now, self.module, self.settings, seed)
@@ -294,8 +290,8 @@
     def restart(self) -> None:
         """Kills the conductor; a new incarnation begins after LEASE_LATE seconds."""
         self.module = None
-        self.life += 1
-        self.at(self.now + LEASE_LATE, self.begin)
+        self.incarnation += 1
+        self.at(self.now + LEASE_DELAY_S, self.begin)
 
     def reload(self, **changes: object) -> None:
         """Replaces the settings and starts a new incarnation with them."""
@@ -308,7 +304,7 @@
     def die(self, server: str) -> None:
         machine = self.machines[server]
         machine.alive, machine.state = False, "gone"
-        self.at(self.now + LIST_LATE, lambda: self.round([("listed", (False, False, [machine.entry()]))]))
+        self.at(self.now + LIST_DELAY_S, lambda: self.round([("listed", (False, False, [machine.entry()]))]))
 
     def come(self, server: str) -> None:
         """Starts a server (again), which is cold at first."""
@@ -321,7 +317,7 @@
             self.now,
         )
         self.machines[server] = machine
-        self.at(self.now + LIST_LATE / 2, lambda: self.round([("listed", (False, False, [machine.entry()]))]))
+        self.at(self.now + LIST_DELAY_S / 2, lambda: self.round([("listed", (False, False, [machine.entry()]))]))
 
     def drain(self, server: str) -> None:
         machine = self.machines[server]
@@ -330,7 +326,7 @@
 
     def heat(self, slice_id: int, times: float) -> None:
         self.hot[slice_id] = times
-        self.weigh()
+        self.sum_weights()
 
     def burst(self, times: float) -> None:
         self.rate = self.size.rate * times
@@ -344,7 +340,7 @@
         def back() -> None:
             edge.joined = True
             for k, lines in self.store.items():
-                edge.lines[k] = self.drawn(lines)
+                edge.lines[k] = self.cumulative(lines)
             self.round([("joined", (proxy,))])
 
         self.at(self.now + seconds, back)
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -14,7 +14,7 @@
 from knotwalk.rules import Limits, RuleChecker
 
 ZONES = ("east", "west")
-LEASE_LATE = 2.5  # seconds until the slices of a lost conductor are reassigned
+LEASE_DELAY_S = 2.5  # seconds until the slices of a lost conductor are reassigned
 SETTINGS = Settings(
     methods=(Method(soft_deadline=1.0, criticality=1.0),),
     slices=0,
@@ -74,7 +74,7 @@
         load: float = 0.45,
         script: Iterable = (),
         lag: float = 0.4,
-        room: float = 175.0,
+        lines_per_proxy: float = 175.0,
         make: Callable = Conductor,
         keep: bool = False,
     ):
@@ -82,7 +82,7 @@
         self.heap: list[tuple] = []
         self.count = 0
         self.settings = SETTINGS._replace(
-            slices=slices, controllers=parts, lines_waiting_most=room * proxies, lines_rate=120.0 * proxies
+            slices=slices, controllers=parts, lines_waiting_most=lines_per_proxy * proxies, lines_rate=120.0 * proxies
         )
         rng = self.random
         self.machines = {f"s{k}": Machine(f"s{k}", ZONES[k % 2], rng.uniform(15, 30)) for k in range(servers)}
@@ -116,7 +116,7 @@
             inbox = [("listed", (True, False, [server.entry() for server in self.machines.values()]))]
             inbox += [("joined", (p,)) for p in range(proxies)]
             self.proxies = proxies
-            self.round(seat, inbox + self.given(seat, range(seat.place, slices, parts)))
+            self.round(seat, inbox + self.assign(seat, range(seat.place, slices, parts)))
             self.at(self.now + 2.0 + rng.uniform(0, 0.1), lambda seat=seat: self.report(seat))
         self.at(self.now + 0.5, self.judge)
 
@@ -132,7 +132,7 @@
         self.now = end
         return self
 
-    def given(self, seat: Seat, slices: Iterable[int]) -> list:
+    def assign(self, seat: Seat, slices: Iterable[int]) -> list:
         inbox: list[tuple] = []
         for k in slices:
             seat.slices.add(k)
@@ -163,9 +163,9 @@
                 self.at(max(fields[0], now), lambda: self.round(seat, []))
         if mark is not None:
             seat.free = max(seat.free, now) + self.settings.message_delay * self.random.uniform(0.7, 1.4)
-            self.at(seat.free, lambda: self.take_in(seat, updates, mark))
+            self.at(seat.free, lambda: self.apply_message(seat, updates, mark))
 
-    def take_in(self, seat: Seat, updates: list, mark: int) -> None:
+    def apply_message(self, seat: Seat, updates: list, mark: int) -> None:
         for name, fields in updates:
             if name == "line":
                 self.tables[fields[0]].pop(fields[1], None)
@@ -249,7 +249,7 @@
 
     # --- actions of scripts ---
 
-    def tell(self, servers: Iterable[str]) -> None:
+    def send_list(self, servers: Iterable[str]) -> None:
         """Sends the current state of these servers to each conductor, after its own lag."""
         entries = [self.machines[server].entry() for server in servers]
         for seat in self.seats:
@@ -258,19 +258,19 @@
     def drain(self, servers: list[str]) -> None:
         for server in servers:
             self.machines[server].state = "draining"
-        self.tell(servers)
+        self.send_list(servers)
 
     def die(self, servers: list[str]) -> None:
         for server in servers:
             self.machines[server].up, self.machines[server].state = False, "gone"
-        self.tell(servers)
+        self.send_list(servers)
 
     def come(self, servers: list[str], times: float = 1.0) -> None:
         """Restarts these servers, cold; their capacity is multiplied by `times`."""
         for server in servers:
             machine = self.machines[server]
             machine.up, machine.state, machine.started, machine.power = True, "ready", self.now, machine.power * times
-        self.tell(servers)
+        self.send_list(servers)
 
     def heat(self, slice_id: int, times: float) -> None:
         self.demand[slice_id] *= times
@@ -288,9 +288,9 @@
 
         def pass_on() -> None:
             for seat in left:
-                self.round(seat, self.given(seat, parts[seat.place]))
+                self.round(seat, self.assign(seat, parts[seat.place]))
 
-        self.at(self.now + LEASE_LATE, pass_on)
+        self.at(self.now + LEASE_DELAY_S, pass_on)
 
     def list_whole(self, place: int, without: list[str]) -> None:
         """Sends one conductor a full server list that lacks some servers."""
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -106,21 +106,18 @@
 class StandIn:
     """Relay and discovery service for one conductor, on a loop that the test runs.
 
-    `calls` lists the orders of each call received, `links` all connections, `news` those with an open event stream.
+    `calls` lists the orders of each call received, `connections` all connections, `streams` those with an event stream.
     """
 
     def __init__(self, loop=None):
         self.loop = loop or Loop()
-        self.calls, self.links, self.news = [], [], []
-        self.sockets, self.settings = (
-            64,
-            SETTINGS,
-        )  # file descriptor limit and policy settings in the program's configuration
+        self.calls, self.connections, self.streams = [], [], []
+        # File descriptor limit and policy settings in the program's configuration.
+        self.sockets, self.settings = 64, SETTINGS
         self.servers = [{"id": id, "zone": "z", "state": "active"} for id in ("a", "b")]
         self.version, self.slices, self.proxies = 1, {0: {"a": 1.0}, 1: {"b": 1.0}}, [1]
-        self.fate = lambda orders: (
-            True
-        )  # whether a call is executed and answered; None: executed, but the connection closes without an answer
+        # Whether a call is executed and answered; None: executed, but the connection closes without an answer.
+        self.fate = lambda orders: True
         self.address = "%s:%d" % self.loop.listen(("127.0.0.1", 0), lambda: Session(self)).sock.getsockname()
 
     def until(self, condition, seconds=TIMEOUT_S):
@@ -132,11 +129,11 @@
             self.loop.run_once()
         return value
 
-    def tell(self, *objects):
-        for link in self.news:
-            link.write(lines(*objects, head=False))
+    def send_events(self, *objects):
+        for connection in self.streams:
+            connection.write(lines(*objects, head=False))
 
-    def stand(self):
+    def state_events(self):
         """Returns the current state as events."""
         events = [("hello", {"proxy": x, "zone": "z", "weight": 1.0, "fresh": True}) for x in self.proxies]
         for slice_id, held in self.slices.items():
@@ -154,7 +151,7 @@
 
     def start(self, listen="127.0.0.1:0", stderr=subprocess.PIPE, arguments=()):
         """Starts the program; returns the address that it prints."""
-        self.told = {
+        self.config_document = {
             "name": "n0",
             "listen": listen,
             "discovery": self.address,
@@ -180,7 +177,7 @@
 
     def configure(self, **changes):
         """Writes the configuration file with these changes."""
-        Path(self.config.name).write_text(json.dumps({**self.told, **changes}))
+        Path(self.config.name).write_text(json.dumps({**self.config_document, **changes}))
 
     def reload(self, **changes):
         self.configure(**changes)
@@ -199,11 +196,11 @@
         self.stand, self.body, self.path = stand, b"", ""
         self.parser = httptools.HttpRequestParser(self)
 
-    def connection_made(self, link):
-        self.link = link
-        self.stand.links.append(link)
+    def connection_made(self, connection):
+        self.connection = connection
+        self.stand.connections.append(connection)
 
-    def data_received(self, link, data):
+    def data_received(self, connection, data):
         self.parser.feed_data(data)
 
     def on_url(self, url):
@@ -213,18 +210,18 @@
         self.body += body
 
     def on_message_complete(self):
-        stand, link = self.stand, self.link
+        stand, connection = self.stand, self.connection
         if self.path.startswith("/v1/servers"):
             full, version = "since" not in self.path, stand.version
             if not full and int(self.path.split("since=")[1].split("&")[0]) == version:
                 nothing = answer({"version": version, "full": False, "servers": []})
-                stand.loop.call_later(0.1, lambda: link.write(nothing))
+                stand.loop.call_later(0.1, lambda: connection.write(nothing))
             else:
-                link.write(answer({"version": version, "full": full, "servers": stand.servers}))
+                connection.write(answer({"version": version, "full": full, "servers": stand.servers}))
         elif self.path == "/v1/stream":
-            stand.news.append(link)
-            link.write(lines(*stand.stand(), ("", {})))
-            self.sign()
+            stand.streams.append(connection)
+            connection.write(lines(*stand.state_events(), ("", {})))
+            self.send_heartbeat()
         else:
             orders = json.loads(self.body)["orders"]
             stand.calls.append(orders)
@@ -232,18 +229,18 @@
             if fate is not False:
                 stand.carry_out(orders)
             if fate:
-                link.write(answer({"accepted": len(orders)}))
+                connection.write(answer({"accepted": len(orders)}))
             else:
-                link.close(CloseReason.CLOSED_BY_US)
+                connection.close(CloseReason.CLOSED_BY_US)
 
-    def sign(self):
-        if not self.link.closed:
-            self.link.write(lines(("", {}), head=False))
-            self.stand.loop.call_later(1.0, self.sign)
+    def send_heartbeat(self):
+        if not self.connection.closed:
+            self.connection.write(lines(("", {}), head=False))
+            self.stand.loop.call_later(1.0, self.send_heartbeat)
 
-    def connection_lost(self, link, close_reason):
-        if link in self.stand.news:
-            self.stand.news.remove(link)
+    def connection_lost(self, connection, close_reason):
+        if connection in self.stand.streams:
+            self.stand.streams.remove(connection)
 
 
 def run(environ, *arguments, stderr=subprocess.PIPE):
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -19,7 +19,7 @@
 
 
 class SoakTest(unittest.TestCase):
-    def test_nothing_is_broken_in_short_runs(self):
+    def test_short_runs_have_no_findings(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 outcome = asyncio.run(Soak(seed, SHORT_RUN).run())
@@ -46,7 +46,7 @@
             incarnation=Incarnation("edge", 0.0, frozen=list(frozen)),
         )
 
-    def test_each_rule_is_found_broken_and_not_without_cause(self):
+    def test_each_violation_is_reported_and_nothing_else(self):
         finished, early = Run("a", "i-1", 1.1, 2.0, True), Run("a", "i-1", 1.1, 2.2, False)
         long = Run("a", "i-1", 1.1, 3.5, True)
         served = ClientRequest("b", Incarnation("edge", 0.0), True, 0.2, End.ANSWERED, 0.5, 503)
@@ -102,7 +102,7 @@
             with self.subTest(name):
                 self.assertEqual(self.findings(requests, runs), expected)
 
-    def test_ends_of_programs(self):
+    def test_process_exits(self):
         table = {
             "in order": ([], Incarnation("edge", 0.0, 5.0, ExitCause.TERM, 2.0, 0)),
             "before it began": ([], Incarnation("core", 0.0, 0.2, ExitCause.TERM, 0.1, -15, has_logged=False)),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -70,7 +70,7 @@
     """Guards rule 3 in waves of drains while hot slices are split and the channel has little capacity."""
     script = [(8.0 + k / 10, "heat", k, 6.0) for k in range(30)]
     script += [(9.0 + k, "drain", SERVERS[6 * k : 6 * k + 6]) for k in range(4)]
-    without_violations(fleet(7, script, seconds=30.0, load=0.3, room=60.0))
+    without_violations(fleet(7, script, seconds=30.0, load=0.3, lines_per_proxy=60.0))
 
 
 def test_contradictory_lists_cause_no_violation():
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -230,7 +230,7 @@
     stand = StandIn()
     start_publishing(stand, tmp_path, keep=str(tmp_path / "kept"))
     address = stand.published
-    stand.until(lambda: stand.news)
+    stand.until(lambda: stand.streams)
     process = subprocess.Popen(
         [sys.executable, "-m", "knotwalk", "subscribe", "--once", "--json", "--name", "w", address],
         cwd=ROOT,
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -74,7 +74,7 @@
     drain(stand, "none")
     stand.servers[0]["state"] = "active"
     stand.slices[9] = {}
-    stand.tell(("lease", {"slice": 9, "on": True}))
+    stand.send_events(("lease", {"slice": 9, "on": True}))
     stand.until(lambda: any(f["group"] == 9 for f in set_orders(stand)))
     assert set_orders(stand)[:2] == DRAIN_ORDERS and all(f["group"] == 9 for f in set_orders(stand)[2:])
     assert stand.stop() == 0
@@ -94,9 +94,9 @@
     stand = StandIn()
     address = stand.start()
     assert is_alive(stand, address)
-    for link in list(stand.links):
+    for link in list(stand.connections):
         link.close(CloseReason.CLOSED_BY_US)
-    stand.until(lambda: stand.news)
+    stand.until(lambda: stand.streams)
     drain(stand)
     stand.until(lambda: set_orders(stand) == DRAIN_ORDERS)
     assert stand.program.poll() is None and stand.stop() == 0
@@ -122,10 +122,12 @@
     address = stand.start()
     assert is_alive(stand, address)
     stand.reload(discovery=other.address, hub={"address": other.address})
-    stand.until(lambda: other.news and not stand.news)
+    stand.until(lambda: other.streams and not stand.streams)
     drain(other)
     stand.until(lambda: set_orders(other))
-    assert set_orders(other) == DRAIN_ORDERS and not set_orders(stand) and all(link.closed for link in stand.links)
+    assert (
+        set_orders(other) == DRAIN_ORDERS and not set_orders(stand) and all(link.closed for link in stand.connections)
+    )
     assert stand.stop() == 0
 
 
@@ -183,7 +185,7 @@
         if step == 30:
             drain(stand)
         collector.sendall(report)
-        open_links = [link for link in stand.links if not link.closed]
+        open_links = [link for link in stand.connections if not link.closed]
         if open_links and rng.random() < 0.3:
             rng.choice(open_links).close(CloseReason.CLOSED_BY_US)
         stand.loop.call_later(0.02, lambda: None)
@@ -220,7 +222,7 @@
         listen = "%s:%d" % free.getsockname()
     stand = StandIn()
     address = stand.start(listen, write_fd)
-    stand.until(lambda: stand.news)
+    stand.until(lambda: stand.streams)
     assert is_alive(stand, address) and stand.stop() == 0
     os.close(read_fd)
     os.close(write_fd)
@@ -489,7 +491,10 @@
     def fate(orders):
         for mark in [f["ticket"] for f in orders if f["do"] == "SYNC"]:
             stand.loop.call_later(
-                0.1, lambda: stand.tell(*(("ack", {"proxy": p, "mark": mark, "took_ms": 100.0}) for p in stand.proxies))
+                0.1,
+                lambda: stand.send_events(
+                    *(("ack", {"proxy": p, "mark": mark, "took_ms": 100.0}) for p in stand.proxies)
+                ),
             )
         return True
 
@@ -503,10 +508,12 @@
     address = stand.start()
     assert is_alive(stand, address)
     stand.proxies = list(range(640))
-    stand.tell(*(("hello", {"proxy": p, "zone": "z", "weight": 1.0, "fresh": False}) for p in stand.proxies))
+    stand.send_events(*(("hello", {"proxy": p, "zone": "z", "weight": 1.0, "fresh": False}) for p in stand.proxies))
     for k in range(1, 140):
         stand.slices[k] = {f"s{k % 60}": 1.0}
-        stand.tell(("lease", {"slice": k, "on": True}), ("line", {"slice": k, "server": f"s{k % 60}", "weight": 1.0}))
+        stand.send_events(
+            ("lease", {"slice": k, "on": True}), ("line", {"slice": k, "server": f"s{k % 60}", "weight": 1.0})
+        )
     gone = {f"s{k}" for k in range(30)}
     stand.version += 1
     stand.servers = [{**x, "state": "leaving" if x["id"] in gone else "active"} for x in stand.servers]
@@ -555,7 +562,7 @@
         )
         if wave == 1:
             stand.reload(discovery=other.address, hub={"address": other.address})
-    stand.until(lambda: other.news and not stand.news)
+    stand.until(lambda: other.streams and not stand.streams)
     collector.setblocking(False)
     try:
         assert collector.recv(1) != b"", "the collector was closed"
