--- a/tests/soak/drive.py
+++ b/tests/soak/drive.py
@@ -75,7 +75,7 @@
         shared = SharedJudge(self.ledger, RULES, self.outcome.lag)
         self.outcome.findings += shared.findings()
         self.outcome.findings += [
-            f"OWNER key {key}: {holder} and {other}" for key, holder, other in village.watch.broken
+            f"OWNER key {key}: {holder} and {other}" for key, holder, other in village.watch.conflicts
         ]
         self.outcome.counts = judge.counts() + shared.counts()
         return self.outcome
--- a/tests/standins/cores.py
+++ b/tests/standins/cores.py
@@ -86,14 +86,14 @@
 
     def restart(self) -> None:
         cores = self.cores
-        self.answers = Answers(cores.most, cores.window)
-        self.answers.max_run_s = cores.longest
+        self.answers = Answers(cores.max_bytes, cores.window)
+        self.answers.max_run_s = cores.max_run_s
         self.admissions = Admissions(self.address, cores.limits, cores.group, self.answers, cores, cores.clock)
         self.dead = False
 
     async def take(self, path: str, raw):
         self.calls += 1
-        for incarnation in self.cores.living:  # as when each edge polls its cluster view once a second
+        for incarnation in self.cores.edge_incarnations:  # as when each edge polls its cluster view once a second
             self.admissions.note_incarnation(incarnation)
         if path == "/answers":
             return self.admissions.answers_of(raw)
@@ -105,8 +105,8 @@
     """All cores, and the HTTP client of edges that calls them: `json` replaces that of the real client."""
 
     def __init__(self, clock: Callable[[], float], count: int = 2, window: float = 60.0, most: int = 1 << 20):
-        self.clock, self.window, self.most, self.longest = clock, window, most, 15.0
-        self.living: set[str] = set()  # incarnations of running edges
+        self.clock, self.window, self.max_bytes, self.max_run_s = clock, window, most, 15.0
+        self.edge_incarnations: set[str] = set()  # incarnations of running edges
         self.group, self.limits = Group(clock, window + 10), Limits()
         self.all = {f"10.0.0.{index}:1": Core(self, f"10.0.0.{index}:1") for index in range(count)}
         self.bytes: Counter[str] = Counter()
--- a/tests/standins/holders.py
+++ b/tests/standins/holders.py
@@ -22,22 +22,22 @@
 class Watch:
     """Observations shared by all nodes of a village.
 
-    `broken` lists (key, node, other node) where another running node held the key too when execution began.
+    `conflicts` lists (key, node, other node) where another running node held the key too when execution began.
     """
 
     nodes: list[HoldingNode] = field(default_factory=list)
-    broken: list[tuple[int, str, str]] = field(default_factory=list)
-    begun: dict[str, list[str]] = field(default_factory=dict)  # by Attempt-Id: nodes that began to execute the request
-    twice: list[str] = field(default_factory=list)  # non-idempotent attempts that were executed again
-
-    def begins(self, node: HoldingNode, request: Request, key: int | None) -> None:
-        begun = self.begun.setdefault(request.attempt, [])
-        if begun and request.line.startswith("POST"):
-            self.twice.append(request.attempt)
-        begun.append(node.id)
+    conflicts: list[tuple[int, str, str]] = field(default_factory=list)
+    executions: dict[str, list[str]] = field(default_factory=dict)  # by Attempt-Id: nodes that began to execute it
+    repeated_runs: list[str] = field(default_factory=list)  # non-idempotent attempts that were executed again
+
+    def on_execution(self, node: HoldingNode, request: Request, key: int | None) -> None:
+        executed_by = self.executions.setdefault(request.attempt, [])
+        if executed_by and request.line.startswith("POST"):
+            self.repeated_runs.append(request.attempt)
+        executed_by.append(node.id)
         if key is not None:
             now = clock()
-            self.broken += [
+            self.conflicts += [
                 (key, node.id, other.id)
                 for other in self.nodes
                 if other is not node and other.up and other.until[key] > now
@@ -49,7 +49,7 @@
     """A node of a sharded (`sharded`) or plain service. Execution of requests waits while `gate` is not set.
 
     `until` and `fences` hold for each key the end of its grant and its fencing token. `running` lists the key of each
-    request in execution, with an event that is set at its end. `longest` is the longest hold granted, in seconds.
+    request in execution, with an event that is set at its end. `longest_hold_s` is the longest hold granted.
     """
 
     watch: Watch = field(default_factory=Watch)
@@ -64,7 +64,7 @@
     running: list[tuple[int, asyncio.Event]] = field(default_factory=list, repr=False)
     gate: asyncio.Event = field(default_factory=asyncio.Event)
     place: tuple[str, int] = ("", 0)
-    longest: float = 0.0
+    longest_hold_s: float = 0.0
     released: int = 0
     runs: int = 0  # executions started
 
@@ -112,7 +112,7 @@
         key = int(request.headers["shard-key"]) if self.sharded else None
         if target_node != self.id or key is not None and self.until[key] <= clock():
             return answer(request, b"", "421 Misdirected Request", seal=False, extra=NOT_HELD)
-        self.watch.begins(self, request, key)
+        self.watch.on_execution(self, request, key)
         return self._work
 
     def seal(self) -> str:
@@ -143,7 +143,7 @@
         if max(self.fences[keys]) > fence:
             return answer(request, b"{}", "409 Conflict", seal=False)
         hold = parse_duration(grant["hold"])
-        self.longest = max(self.longest, hold)
+        self.longest_hold_s = max(self.longest_hold_s, hold)
         count = keys.stop - keys.start
         self.fences[keys], self.until[keys] = [fence] * count, [clock() + hold] * count
         return answer(request, b"{}", seal=False)
--- a/tests/system/operations_case.py
+++ b/tests/system/operations_case.py
@@ -43,7 +43,7 @@
         self.calls = AdmissionCalls(
             "e", f"{id(self)}.{self.incarnations}", lambda: self.order, clock, 60.0, lambda: self.client_server.counts
         )
-        self.cores.living.add(self.calls.incarnation)
+        self.cores.edge_incarnations.add(self.calls.incarnation)
         self.calls.lanes = [self.cores, self.cores]
         self.calls.idle = list(self.calls.lanes)
         self.refusals = NeverRefused()
@@ -66,7 +66,7 @@
         type(self.client_server).forward(self.client_server, exchange)
 
     async def end(self):
-        self.cores.living.discard(self.calls.incarnation)
+        self.cores.edge_incarnations.discard(self.calls.incarnation)
         self.client_server.drain()
         await self.client_server.finished(0)
         self.client_server._sweep.cancel()
--- a/tests/system/test_operations.py
+++ b/tests/system/test_operations.py
@@ -184,7 +184,7 @@
         ):  # as if its edge had not called for long
             self.assertEqual((await self.ask("a1", deadline=300))[0], 503)
             self.assertEqual((await self.ask("a2", 1, deadline=300))[0], 503)
-        self.cores.longest = self.cores[0].answers.max_run_s = 0.0
+        self.cores.max_run_s = self.cores[0].answers.max_run_s = 0.0
         self.assertEqual((await self.ask("a3"))[0], 502)
         self.assertEqual((await self.ask("a4", 1))[0], 502)
         go.set()
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -58,30 +58,42 @@
             "run twice": (["TWICE"], [self.make_request(False, End.ANSWERED, status=502)], [early, finished]),
             "run twice, repeatable": ([], [self.make_request(True, End.ANSWERED, status=502)], [early, finished]),
             "refused, and run": (["REFUSED"], [self.make_request(False, End.ANSWERED, status=503)], [early]),
-            "behind a close, and run": (["REFUSED"], [self.make_request(False, End.AFTER_CLOSE)], [finished]),
+            "pipelined behind a closing response, and run": (
+                ["REFUSED"],
+                [self.make_request(False, End.AFTER_CLOSE)],
+                [finished],
+            ),
             "no seal": (["MIXED"], [self.make_request(True, End.ANSWERED, status=200)], [finished]),
-            "another's body": (
+            "body of another request": (
                 ["MIXED"],
                 [self.make_request(True, End.ANSWERED, status=200, seal="s", is_whole=False)],
                 [],
             ),
-            "left, worked on": (["GONE"], [self.make_request(True, End.CLIENT_LEFT)], [long]),
-            "left, stopped": ([], [self.make_request(True, End.CLIENT_LEFT)], [early]),
-            "left, begun late": (
+            "client left, run goes on": (["GONE"], [self.make_request(True, End.CLIENT_LEFT)], [long]),
+            "client left, run stopped": ([], [self.make_request(True, End.CLIENT_LEFT)], [early]),
+            "client left, run started late": (
                 ["GONE"],
                 [self.make_request(True, End.CLIENT_LEFT)],
                 [Run("a", "i-1", 3.0, 3.1, False)],
             ),
-            "left, only once": ([], [self.make_request(False, End.CLIENT_LEFT)], [long]),
-            "left a frozen edge": ([], [self.make_request(True, End.CLIENT_LEFT, incarnation=frozen_edge)], [long]),
-            "answer lost": (
+            "client left, not repeatable": ([], [self.make_request(False, End.CLIENT_LEFT)], [long]),
+            "client left, edge frozen": (
+                [],
+                [self.make_request(True, End.CLIENT_LEFT, incarnation=frozen_edge)],
+                [long],
+            ),
+            "run finished, no response": (
                 ["LOST"],
                 [self.make_request(False, End.CONNECTION_CLOSED, incarnation=incarnation)],
                 [finished],
             ),
-            "cut by a kill": ([], [self.make_request(False, End.CONNECTION_CLOSED, incarnation=killed)], [finished]),
-            "cut unread": ([], [self.make_request(False, End.CONNECTION_CLOSED)], []),
-            "cut late, read": (
+            "connection closed by a kill": (
+                [],
+                [self.make_request(False, End.CONNECTION_CLOSED, incarnation=killed)],
+                [finished],
+            ),
+            "closed by an edge that has not responded yet": ([], [self.make_request(False, End.CONNECTION_CLOSED)], []),
+            "closed after the request was read": (
                 ["LOST"],
                 [served, self.make_request(False, End.CONNECTION_CLOSED, incarnation=incarnation)],
                 [],
@@ -90,9 +102,9 @@
             "no end, frozen at the deadline": ([], [self.silent((3.0, 7.5))], []),
             "no end, frozen at the deadline for a moment": (["SILENT"], [self.silent((5.9, 6.1))], []),
             "no end, frozen before the deadline": (["SILENT"], [self.silent((1.5, 5.5))], []),
-            "no end, frozen past the deadline": (["SILENT"], [self.silent((6.2, 9.5))], []),
-            "no end, frozen now and again": (["SILENT"], [self.silent((1.0, 3.0), (5.0, 6.5))], []),
-            "cut as it closed": (
+            "no end, frozen only after the deadline": (["SILENT"], [self.silent((6.2, 9.5))], []),
+            "no end, frozen several times": (["SILENT"], [self.silent((1.0, 3.0), (5.0, 6.5))], []),
+            "closed shortly after the request was sent": (
                 [],
                 [served, self.make_request(False, End.CONNECTION_CLOSED, ended_at=1.2, incarnation=incarnation)],
                 [],
@@ -104,12 +116,18 @@
 
     def test_process_exits(self):
         table = {
-            "in order": ([], Incarnation("edge", 0.0, 5.0, ExitCause.TERM, 2.0, 0)),
-            "before it began": ([], Incarnation("core", 0.0, 0.2, ExitCause.TERM, 0.1, -15, has_logged=False)),
-            "later": (["END"], Incarnation("core", 0.0, 3.2, ExitCause.TERM, 3.1, -15)),
-            "past its grace": (["END"], Incarnation("edge", 0.0, 12.0, ExitCause.TERM, 2.0, 0)),
-            "by itself": (["END"], Incarnation("edge", 0.0, 5.0, ExitCause.UNPROMPTED, None, 1)),
-            "killed at its grace's end": (
+            "orderly exit": ([], Incarnation("edge", 0.0, 5.0, ExitCause.TERM, 2.0, 0)),
+            "SIGTERM before the signal handlers are installed": (
+                [],
+                Incarnation("core", 0.0, 0.2, ExitCause.TERM, 0.1, -15, has_logged=False),
+            ),
+            "exit by signal after the handlers are installed": (
+                ["END"],
+                Incarnation("core", 0.0, 3.2, ExitCause.TERM, 3.1, -15),
+            ),
+            "exit after the grace period": (["END"], Incarnation("edge", 0.0, 12.0, ExitCause.TERM, 2.0, 0)),
+            "unprompted exit": (["END"], Incarnation("edge", 0.0, 5.0, ExitCause.UNPROMPTED, None, 1)),
+            "killed at the end of the grace period": (
                 ["END"],
                 Incarnation("edge", 0.0, 9.0, ExitCause.KILL, 2.0, -9, exceeded_grace=True),
             ),
@@ -161,30 +179,38 @@
             {
                 "a repeat": ([], [first, again], [run_of()]),
                 "run twice": (["TWICE"], [first, own], [run_of(), other]),
-                "run twice, the first broken off": (
+                "run twice, the first interrupted": (
                     ["TWICE"],
                     [first, own],
                     [replace(run_of(), finished=False), other],
                 ),
-                "run by one try twice": (
+                "run twice by one attempt": (
                     ["TWICE"],
                     [make(seal="t", body=b"t")],
                     [run_of(), run_of(started_at=11, seal="t")],
                 ),
-                "run again after its time": ([], [first, late], [run_of(), late_run]),
-                "run again a moment too early": (["TWICE"], [first, late], [run_of(), run_of("y", 15.99, "t")]),
-                "of two tenants": ([], [first, namesake], [run_of(), run_of("y", 12.1, "t", "b")]),
-                "another's answer": (
+                "run again after the key period": ([], [first, late], [run_of(), late_run]),
+                "run again just before the end of the key period": (
+                    ["TWICE"],
+                    [first, late],
+                    [run_of(), run_of("y", 15.99, "t")],
+                ),
+                "same operation key, two tenants": ([], [first, namesake], [run_of(), run_of("y", 12.1, "t", "b")]),
+                "response of another tenant's operation": (
                     ["MIXED"],
                     [first, namesake, make("z", seal="t", body=b"t")],
                     [run_of(), run_of("y", 12.1, "t", "b")],
                 ),
                 "a repeat with another body": (["MIXED"], [first, make("y", 12.0, body=b"t")], [run_of()]),
-                "a repeat with no run's seal": (["MIXED"], [first, make("y", 12.0, seal="u")], [run_of()]),
-                "a success of a failure": (["MIXED"], [first], [run_of(status=422)]),
-                "in work": ([], [make(status=200, ended_at=13.0), make("y", 12.0, 409, "")], [run_of()]),
-                "in work by nobody": (["MIXED"], [make(status=409, seal="")]),
-                "its key is not passed on": (["UNASKED"], [first], [self.run_of()]),
+                "a repeat with an unknown seal": (["MIXED"], [first, make("y", 12.0, seal="u")], [run_of()]),
+                "a 200 for a run that failed": (["MIXED"], [first], [run_of(status=422)]),
+                "409 during another attempt": (
+                    [],
+                    [make(status=200, ended_at=13.0), make("y", 12.0, 409, "")],
+                    [run_of()],
+                ),
+                "409 without another attempt": (["MIXED"], [make(status=409, seal="")]),
+                "operation key not passed on": (["UNASKED"], [first], [self.run_of()]),
             }
         )
 
@@ -193,21 +219,21 @@
         gone, moved = ({"k2": "a", "k3": "b"}, {}), (self.KEYS, {})
         self.judged(
             {
-                "as it should be": ([], [make()], [run_of()]),
-                "the key came along": (["UNASKED"], [make()], [run_of(has_raw_key=True)]),
+                "valid key": ([], [make()], [run_of()]),
+                "API key sent to the node": (["UNASKED"], [make()], [run_of(has_raw_key=True)]),
                 "another tenant": (["UNASKED"], [make()], [run_of(tenant="b")]),
-                "a client's word for its tenant": (["UNASKED"], [make(tenant="", key="", public=True)], [run_of()]),
-                "a request of nobody": (["UNASKED"], [], [run_of()]),
-                "a key that never was": (["ROUTE"], [make(key="k9", tenant="")], [run_of(tenant="")]),
+                "tenant claimed by a client": (["UNASKED"], [make(tenant="", key="", public=True)], [run_of()]),
+                "run without a request": (["UNASKED"], [], [run_of()]),
+                "a key that never existed": (["ROUTE"], [make(key="k9", tenant="")], [run_of(tenant="")]),
                 "no key": (["ROUTE"], [make(key="", tenant="")], [run_of(tenant="")]),
                 "no key, public": ([], [make(key="", tenant="", public=True)], [run_of(tenant="")]),
-                "taken away": (["CONFIG"], [make(sent_at=26.1)], [run_of(started_at=26.2)], gone),
-                "taken away, in time": ([], [make(sent_at=25.9)], [run_of(started_at=28.0)], gone),
-                "still there": ([], [make(sent_at=36.1)], [run_of(started_at=36.2)], moved),
+                "revoked": (["CONFIG"], [make(sent_at=26.1)], [run_of(started_at=26.2)], gone),
+                "revoked, within the time-out": ([], [make(sent_at=25.9)], [run_of(started_at=28.0)], gone),
+                "still valid": ([], [make(sent_at=36.1)], [run_of(started_at=36.2)], moved),
                 "denied": (["DENIED"], [make(status=401, seal="")]),
                 "denied, public": (["DENIED"], [make(status=401, seal="", key="", tenant="", public=True)]),
-                "denied, gone": ([], [make(sent_at=19.6, status=401, seal="", ended_at=20.1)], [], gone),
-                "denied before it is gone": (["DENIED"], [make(sent_at=19.0, status=401, seal="")], [], gone),
+                "denied, revoked": ([], [make(sent_at=19.6, status=401, seal="", ended_at=20.1)], [], gone),
+                "denied before the revocation": (["DENIED"], [make(sent_at=19.0, status=401, seal="")], [], gone),
             }
         )
 
--- a/tests/system/test_village.py
+++ b/tests/system/test_village.py
@@ -58,8 +58,8 @@
         cls.runner.close()
 
     def tearDown(self):
-        self.assertEqual(self.village.watch.broken, [], "keys with two active holders")
-        self.assertEqual(self.village.watch.twice, [], "operations that ran twice")
+        self.assertEqual(self.village.watch.conflicts, [], "keys with two active holders")
+        self.assertEqual(self.village.watch.repeated_runs, [], "operations that ran twice")
 
     def test_every_line_of_a_log_is_json_with_a_time_a_level_and_an_event(self):
         for program in self.village.cores + self.village.edges:
@@ -91,7 +91,7 @@
         self.assertEqual(status, 200, (path, key, body))
         self.assertRegex(headers.get("server-seal", ""), seal, (path, key, body))
         node = next(node for node in self.village.nodes if node.id == body.split()[0].decode())
-        self.assertIn(node.id, self.village.watch.begun[headers["attempt-id"]])
+        self.assertIn(node.id, self.village.watch.executions[headers["attempt-id"]])
         return node
 
     # -- configuration
@@ -122,7 +122,7 @@
                 self.assertTrue(node.sharded)
             self.assertEqual((await self.assert_served(edge, "/desk/x")).service, "desk")
             self.assertEqual((await village.get(edge, "/nowhere/x"))[0], 404)
-        self.assertLessEqual(max(node.longest for node in village.nodes), 10.0)
+        self.assertLessEqual(max(node.longest_hold_s for node in village.nodes), 10.0)
         core = village.cores[1]  # learns of edges of other cores from these cores, once a second
         await village.until(lambda: self.edges_of(core, {"edge-1", "edge-2"}), "both edges known")
         self.assertEqual((await village.status(core))["config_version"], await self.version())
@@ -309,7 +309,7 @@
             sent.append(village.ask(client, path, keys[number * 4801 % len(keys)], method))
         deadline = clock() + SENT_WITHIN_S
         while clock() < deadline:
-            if set(sent) <= set(village.watch.begun):
+            if set(sent) <= set(village.watch.executions):
                 return clients, sent
             await asyncio.sleep(0.02)
         for node in village.nodes:
@@ -335,7 +335,7 @@
         with self.assertRaises(OSError):  # it accepts no new connections
             await village.client(edge)
         late = [village.ask(client, "/desk/x") for client in waiting]  # read by a draining edge
-        await village.until(lambda: set(late) <= set(village.watch.begun), "late requests at nodes")
+        await village.until(lambda: set(late) <= set(village.watch.executions), "late requests at nodes")
         self.assertIsNone(edge.process.poll())
         for node in village.nodes:
             node.gate.set()
