--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,6 +1,7 @@
-"""Measurements: python -m benchmarks.NAME [--quick] prints one JSON object of figures as its last line.
+"""Benchmarks: `python -m benchmarks.NAME [--quick]` prints its results as one JSON object on the last line.
 
-Timings are ratios within one run, so that they hold on any machine; whatever a stand-in answered is simulated.
+Timings are ratios within one run, so that they are comparable between machines; results that depend on what a stand-in
+answered are simulated.
 """
 
 import sys
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,12 +1,15 @@
-"""How long reading, judging and looking up take; the last line is one JSON object.
+"""Benchmark of configuration parsing, change decisions, route look-ups and the change history.
 
     python3 -m benchmarks.configuration [--quick]
 
-`route_us` is one look-up among 10,000 routes over 100 hosts, `route_ratio` how many times longer it takes to compare
-each route in turn, `read_ms` the reading of 2,000 routes, `judge_ms` the whole decision on a PUT of them.
-`history_day` and `history_week` are the bytes that 2,700 and 18,900 remembered orders take beside a configuration of
-three routes: traced in memory, in a snapshot as JSON, and on disk; `history_of_12000` their share, after a week, of a
-snapshot with 12,000 routes.
+The last line printed is one JSON object:
+- `route_us`: microseconds of one look-up among 10,000 routes over 100 hosts;
+- `route_ratio`: how many times longer a linear scan of all routes takes;
+- `read_ms`: parsing a document of 2,000 routes;
+- `judge_ms`: the complete decision on a PUT of that document;
+- `history_day`, `history_week`: bytes that a history of 2,700 and 18,900 changes adds to a configuration of three
+  routes: in memory (traced), in a snapshot as JSON, and on disk;
+- `history_of_12000`: the share of a week's history in a snapshot with 12,000 routes.
 """
 
 import hashlib
@@ -28,20 +31,20 @@
 from knotwalk.consensus.store import Store
 from knotwalk.control_plane.replicated_state import ReplicatedState
 
-DAY = 2_700  # changes a day at the size that is aimed at
+CHANGES_PER_DAY = 2_700  # at the target size of the system
 
 
-def made(routes: int, hosts: int) -> dict:
-    """A configuration with so many routes; a third of them lie below another one."""
+def make_document(routes: int, hosts: int) -> dict:
+    """Return a document with `routes` routes over `hosts` hosts; a third of the paths have one segment more."""
 
-    def item(place: int) -> dict:
-        below = f"{place // 3}x/" if place % 3 == 0 else ""
+    def make_route(number: int) -> dict:
+        suffix = f"{number // 3}x/" if number % 3 == 0 else ""
         return {
             "object_kind": "routes",
-            "metadata": {"name": f"r-{place}"},
+            "metadata": {"name": f"r-{number}"},
             "specification": {
-                "hostname": f"h{place % hosts}.example",
-                "path_prefix": f"/p{place}/{below}",
+                "hostname": f"h{number % hosts}.example",
+                "path_prefix": f"/p{number}/{suffix}",
                 "route_type": "idempotent",
                 "timeout": "1000ms",
                 "target_latency": "400ms",
@@ -55,11 +58,11 @@
         {"object_kind": "services", "metadata": {"name": name}, "specification": {"max_connections": 130}}
         for name in "ab"
     ]
-    return {"config_version": "r1", "objects": [item(place) for place in range(routes)] + services}
+    return {"config_version": "r1", "objects": [make_route(number) for number in range(routes)] + services}
 
 
-def in_turn(configuration: Configuration, host: str, path: str) -> Route | None:
-    """The plain way: every route is compared."""
+def find_by_scan(configuration: Configuration, host: str, path: str) -> Route | None:
+    """Find the route with the longest matching prefix by a linear scan, as the reference for `RouteIndex`."""
     host, best = canonical_host(host), None
     for route in configuration.routes.values():
         if route.hostname == host and path.startswith(route.path_prefix):
@@ -68,39 +71,39 @@
     return best
 
 
-def took(times: int, work: Callable[[], object]) -> float:
-    """Middle of the seconds that so many runs take each."""
-    spans = []
-    for _ in range(times):
+def median_seconds(run_count: int, work: Callable[[], object]) -> float:
+    """Return the median time of one run of `work`."""
+    durations = []
+    for _ in range(run_count):
         start = time.perf_counter()
         work()
-        spans.append(time.perf_counter() - start)
-    return statistics.median(spans)
+        durations.append(time.perf_counter() - start)
+    return statistics.median(durations)
 
 
-def remembering(orders: int) -> ChangeHistory:
-    """A history of so many orders, whose versions rise by uneven steps."""
-    history, version, chance = ChangeHistory(), 0, random.Random(3)
-    for _ in range(orders):
-        version += chance.randint(1, 5)
+def make_history(changes: int) -> ChangeHistory:
+    """Return a history of `changes` changes whose versions rise by uneven steps."""
+    history, version, rng = ChangeHistory(), 0, random.Random(3)
+    for _ in range(changes):
+        version += rng.randint(1, 5)
         history.record(version, hashlib.sha256(str(version).encode()).hexdigest())
     return history
 
 
-def snapshot(history: ChangeHistory, routes: int) -> dict:
-    """The agreed state with such a history, as it is put down."""
+def make_snapshot(history: ChangeHistory, routes: int) -> dict:
+    """Return the snapshot of a replicated state with this history and `routes` routes."""
     state = ReplicatedState()
-    state.history, state.configuration = history, parse_configuration(made(routes, 50))
+    state.history, state.configuration = history, parse_configuration(make_document(routes, 50))
     return state.to_dict()
 
 
-def size(value: object) -> int:
-    """Bytes of a value as JSON without spaces."""
+def json_bytes(value: object) -> int:
+    """Return the size in bytes of a value as compact JSON."""
     return len(json.dumps(value, separators=(",", ":")))
 
 
-def on_disk(state: dict) -> int:
-    """Bytes of a closed store that holds this snapshot and nothing else."""
+def disk_bytes(state: dict) -> int:
+    """Return the bytes on disk of a closed store that holds only this snapshot."""
     members = {"a:1#founder": "a:1"}
     with tempfile.TemporaryDirectory() as folder:
         store = Store()
@@ -111,42 +114,52 @@
         return sum(path.stat().st_size for path in Path(folder).iterdir())
 
 
-def history_bytes(orders: int) -> dict[str, int]:
-    """What so many remembered orders take, against none."""
+def history_bytes(changes: int) -> dict[str, int]:
+    """Return the bytes that a history of `changes` changes adds, compared with an empty one."""
     tracemalloc.start()
-    history = remembering(orders)
-    memory = tracemalloc.get_traced_memory()[0]
+    history = make_history(changes)
+    memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    full, empty = snapshot(history, 3), snapshot(ChangeHistory(), 3)
-    return {"memory": memory, "snapshot": size(full) - size(empty), "disk": on_disk(full) - on_disk(empty)}
+    full, empty = make_snapshot(history, 3), make_snapshot(ChangeHistory(), 3)
+    return {
+        "memory": memory_bytes,
+        "snapshot": json_bytes(full) - json_bytes(empty),
+        "disk": disk_bytes(full) - disk_bytes(empty),
+    }
 
 
 def main(quick: bool) -> None:
-    chance = random.Random(11)
-    configuration = parse_configuration(made(10_000, 100))
+    rng = random.Random(11)
+    configuration = parse_configuration(make_document(10_000, 100))
     index = RouteIndex(configuration)
     routes = list(configuration.routes.values())
-    asked = [
+    requests = [
         (route.hostname + ":8080", route.path_prefix + "a/b?c=d")
-        for route in chance.choices(routes, k=20 if quick else 200)
+        for route in rng.choices(routes, k=20 if quick else 200)
     ]
-    assert all(index.find(*one) is in_turn(configuration, *one) for one in asked)
-    turns = 5 if quick else 25
-    fast = took(turns, lambda: [index.find(*one) for _ in range(50) for one in asked]) / 50 / len(asked)
-    slow = took(3, lambda: [in_turn(configuration, *one) for one in asked]) / len(asked)
-    whole = made(2_000, 50)
-    body = json.dumps(whole).encode()
-    large = snapshot(remembering(7 * DAY), 12_000)
+    assert all(index.find(*request) is find_by_scan(configuration, *request) for request in requests)
+    run_count = 5 if quick else 25
+    indexed_s = (
+        median_seconds(run_count, lambda: [index.find(*request) for _ in range(50) for request in requests])
+        / 50
+        / len(requests)
+    )
+    scan_s = median_seconds(3, lambda: [find_by_scan(configuration, *request) for request in requests]) / len(requests)
+    document = make_document(2_000, 50)
+    body = json.dumps(document).encode()
+    large = make_snapshot(make_history(7 * CHANGES_PER_DAY), 12_000)
     print(
         json.dumps(
             {
-                "route_ratio": round(slow / fast, 1),
-                "route_us": round(fast * 1e6, 3),
-                "read_ms": round(took(turns, lambda: parse_configuration(whole)) * 1e3, 2),
-                "judge_ms": round(took(turns, lambda: decide_change(None, ChangeHistory(), "PUT", "0", body)) * 1e3, 2),
-                "history_day": history_bytes(DAY),
-                "history_week": history_bytes(7 * DAY),
-                "history_of_12000": round(size(large["history"]) / size(large), 3),
+                "route_ratio": round(scan_s / indexed_s, 1),
+                "route_us": round(indexed_s * 1e6, 3),
+                "read_ms": round(median_seconds(run_count, lambda: parse_configuration(document)) * 1e3, 2),
+                "judge_ms": round(
+                    median_seconds(run_count, lambda: decide_change(None, ChangeHistory(), "PUT", "0", body)) * 1e3, 2
+                ),
+                "history_day": history_bytes(CHANGES_PER_DAY),
+                "history_week": history_bytes(7 * CHANGES_PER_DAY),
+                "history_of_12000": round(json_bytes(large["history"]) / json_bytes(large), 3),
             }
         )
     )
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -507,7 +507,7 @@
     def sizes(self, routes):
         """Sizes in bytes of the log entry and of the message to an edge when one of `routes` routes changes."""
         state, publisher, view = ReplicatedState(), ViewPublisher("b"), ClusterView()
-        base = benchmark.made(routes, max(1, routes // 100))
+        base = benchmark.make_document(routes, max(1, routes // 100))
         state.apply(1, {"do": "configure", "base": 0, "version": 1, "digest": "0", "document": base})
         publisher.set_config(1, to_document(state.configuration))
         view.apply(1.0, publisher.changes_since(view.positions(), 1.0))
@@ -526,7 +526,7 @@
             self.assertLess(many, 1.2 * few)
 
     def test_a_change_too_large_for_a_cores_disk_is_rejected_unless_already_applied(self):
-        base = benchmark.made(30, 1)
+        base = benchmark.make_document(30, 1)
         body = json.dumps(base).encode()
         self.assertEqual(decide_change(None, ChangeHistory(), "PUT", "0", body, len(body)).status, 200)
         rejected = decide_change(None, ChangeHistory(), "PUT", "0", body, len(body) - 1)
