--- a/benchmarks/allowance.py
+++ b/benchmarks/allowance.py
@@ -1,10 +1,18 @@
-"""Limits of tenants under a storm, kills, cuts and rejoins: `python -m benchmarks.allowance [--quick]`.
-
-The buckets and holdings as they are, without a wire: calls take some ms and may be lost, the leader is replaced, core
-machines are cut off and replaced. One tenant sends five times its limit, the others keep to theirs. The last line is a
-JSON object: `over` (windows beyond the rule), `refused_wrongly` (refused below the limit, by a bucket of its own),
-`waited_for_a_leader` (below the limit, and no leader in time), `overshoot_over_bound` (the worst window's requests
-beyond rate and burst, as a part of what the rule allows beyond them), `served_of_owed` (of the tenant with the storm).
+"""Simulation of tenant limits under overload, leader changes and core failures.
+
+    python -m benchmarks.allowance [--quick]
+
+Runs the real quota and escrow code without a network: calls take 5 ms and may be lost, the leader is replaced, core
+machines are cut off and replaced. One tenant sends five times its limit; the others stay below theirs. A reference
+token bucket per tenant decides which requests its limit entitles it to. The last line printed is one JSON object:
+- `requests`: all requests sent;
+- `over`: checked windows in which a tenant exceeded what the rule allows;
+- `refused_wrongly`: requests of the other tenants that were refused although the reference bucket admits them;
+- `waited_for_a_leader`: such requests that timed out waiting for a call;
+- `overshoot_over_bound`: in the worst window, the requests beyond rate and burst, as a share of what the rule allows
+  beyond them;
+- `served_of_owed`: the requests served to the overloading tenant over those that its reference bucket admits (the
+  lowest of all runs).
 """
 
 from __future__ import annotations
@@ -17,103 +25,103 @@
 from knotwalk.shared_state.escrow import TakeResult
 from tests.system.quota_world import Core, World
 
-STEP = 0.005  # seconds
-CALL = 0.005  # seconds from a call's begin to its answer
-PATIENCE = 0.03  # seconds that a request waits for a call
-BEGIN = 100.0  # seconds that the leader has led for
-RATES = {"storm": 20.0, "small": 0.7, "few": 3.0, "usual": 20.0, "large": 160.0}
-STORM = 5.0  # of its limit
-USUAL = 0.6  # of their limits
+STEP_S = 0.005
+CALL_S = 0.005  # from a call's start to its response
+CALL_TIMEOUT_S = 0.03  # how long a request waits for a call
+START_S = 100.0  # simulated time at the start; the leader has led for this long
+LIMITS_PER_S = {"storm": 20.0, "small": 0.7, "few": 3.0, "usual": 20.0, "large": 160.0}
+STORM_LOAD = 5.0  # times the limit of the tenant `storm`
+USUAL_LOAD = 0.6  # times the limits of the other tenants
 
 
 @dataclass
-class Owed:
-    """A tenant's own bucket: what is owed to it, in order of sending."""
+class ReferenceBucket:
+    """A tenant's token bucket, independent of the system: the requests that its limit entitles it to."""
 
     rate: float
-    level: float = 0.0
-    owed: int = 0
+    tokens: float = 0.0
+    admitted: int = 0
 
-    def sent(self) -> bool:
-        """One more request is sent; whether it is owed."""
-        if self.level < 1:
+    def take(self) -> bool:
+        """Take a token for one request; return whether there was one."""
+        if self.tokens < 1:
             return False
-        self.level -= 1
-        self.owed += 1
+        self.tokens -= 1
+        self.admitted += 1
         return True
 
 
 @dataclass
-class Waiting:
-    """A request that waits for a call, and whether it is owed."""
+class WaitingRequest:
+    """A request that waits for a call, and whether the reference bucket admits it."""
 
     tenant: str
-    until: float
-    owed: bool
+    expires_at: float
+    is_admitted: bool
 
 
 @dataclass
-class Play:
-    """One play of some seconds with one seed."""
+class SimulationRun:
+    """One simulation of `seconds` seconds with one seed."""
 
     seed: int
     seconds: float
-    found: dict[str, float] = field(default_factory=dict)
+    results: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.chance = random.Random(self.seed)
+        self.rng = random.Random(self.seed)
         self.world = World()
-        for tenant, rate in RATES.items():
+        for tenant, rate in LIMITS_PER_S.items():
             self.world.set_limit(tenant, rate, max(1.0, rate))
-        self.world.now = BEGIN
-        self.owed = {tenant: Owed(rate, max(1.0, rate)) for tenant, rate in RATES.items()}
-        self.cut: dict[str, float] = {}  # until when, by core
-        self.leaderless = 0.0
-        self.waiting: dict[str, list[Waiting]] = {core.id: [] for core in self.world.cores}
-        self.found = dict.fromkeys(
+        self.world.now = START_S
+        self.buckets = {tenant: ReferenceBucket(rate, max(1.0, rate)) for tenant, rate in LIMITS_PER_S.items()}
+        self.cut_until: dict[str, float] = {}  # by core
+        self.leaderless_until = 0.0
+        self.waiting: dict[str, list[WaitingRequest]] = {core.id: [] for core in self.world.cores}
+        self.results = dict.fromkeys(
             ("requests", "over", "refused_wrongly", "waited_for_a_leader", "overshoot_over_bound"), 0
         )
 
     def run(self) -> dict[str, float]:
-        """Play it; what was found."""
+        """Run the simulation and return its results."""
         world = self.world
-        while world.now < BEGIN + self.seconds:
-            world.now += STEP
-            self.trouble()
+        while world.now < START_S + self.seconds:
+            world.now += STEP_S
+            self.inject_faults()
             for core in world.cores:
-                self.calls(core)
-            for tenant, rate in RATES.items():
-                own = self.owed[tenant]
-                own.level = min(max(1.0, rate), own.level + rate * STEP)
-                share = STORM if tenant == "storm" else USUAL
-                for _ in range(self.arrivals(rate * share * STEP)):
+                self.run_calls(core)
+            for tenant, rate in LIMITS_PER_S.items():
+                bucket = self.buckets[tenant]
+                bucket.tokens = min(max(1.0, rate), bucket.tokens + rate * STEP_S)
+                load = STORM_LOAD if tenant == "storm" else USUAL_LOAD
+                for _ in range(self.arrivals(rate * load * STEP_S)):
                     self.request(tenant)
-                self.look(tenant)
-        served = len(world.counter.passed["storm"]) / max(1, self.owed["storm"].owed)
-        return self.found | {"served_of_owed": served}
+                self.check_window(tenant)
+        served = len(world.counter.passed["storm"]) / max(1, self.buckets["storm"].admitted)
+        return self.results | {"served_of_owed": served}
 
     def arrivals(self, mean: float) -> int:
-        """How many requests come in a step."""
-        return sum(self.chance.random() < mean / 4 for _ in range(4))
+        """Return how many requests arrive in one step: at most 4, `mean` on average."""
+        return sum(self.rng.random() < mean / 4 for _ in range(4))
 
-    def trouble(self) -> None:
-        """A new leader each ten seconds or so, a core replaced each ten, cut off each five."""
-        world, chance = self.world, self.chance
-        if chance.random() < STEP / 10:
+    def inject_faults(self) -> None:
+        """Replace the leader and a core every 10 s and cut a core off every 5 s, on average."""
+        world, rng = self.world, self.rng
+        if rng.random() < STEP_S / 10:
             world.replace_leader()
-            self.leaderless = world.now + 1.0
-        if chance.random() < STEP / 10:
-            k = chance.randrange(len(world.cores))
-            world.replace_core(k)
-            self.waiting[world.cores[k].id] = []
-        if chance.random() < STEP / 5:
-            self.cut[chance.choice(world.cores).id] = world.now + chance.uniform(0.5, 4.0)
-
-    def calls(self, core: Core) -> None:
-        """Begin and end a core's calls, and serve those who wait there."""
+            self.leaderless_until = world.now + 1.0
+        if rng.random() < STEP_S / 10:
+            index = rng.randrange(len(world.cores))
+            world.replace_core(index)
+            self.waiting[world.cores[index].id] = []
+        if rng.random() < STEP_S / 5:
+            self.cut_until[rng.choice(world.cores).id] = world.now + rng.uniform(0.5, 4.0)
+
+    def run_calls(self, core: Core) -> None:
+        """Start and end a core's calls, and retry the requests that wait there."""
         now = self.world.now
-        if core.call is not None and now >= core.call[0] + CALL:
-            if now < max(self.cut.get(core.id, 0.0), self.leaderless):
+        if core.call is not None and now >= core.call[0] + CALL_S:
+            if now < max(self.cut_until.get(core.id, 0.0), self.leaderless_until):
                 core.call = None
                 core.escrow.schedule_retry(now, False)
             else:
@@ -121,51 +129,51 @@
                 core.escrow.schedule_retry(now, any(grant.granted for grant in grants))
         if core.call is None and core.escrow.due_at <= now:
             core.send()
-        left = []
-        for one in self.waiting[core.id]:
-            taken = core.escrow.retry_take(now, one.tenant)
-            if taken is TakeResult.WAIT and now < one.until:
-                left.append(one)
+        still_waiting = []
+        for waiting in self.waiting[core.id]:
+            result = core.escrow.retry_take(now, waiting.tenant)
+            if result is TakeResult.WAIT and now < waiting.expires_at:
+                still_waiting.append(waiting)
                 continue
-            core.escrow.stop_waiting(one.tenant)
-            self.ended(one.tenant, taken, one.owed)
-        self.waiting[core.id] = left
+            core.escrow.stop_waiting(waiting.tenant)
+            self.on_request_ended(waiting.tenant, result, waiting.is_admitted)
+        self.waiting[core.id] = still_waiting
 
     def request(self, tenant: str) -> None:
-        """A request comes to any core."""
-        core, now = self.chance.choice(self.world.cores), self.world.now
-        owed = self.owed[tenant].sent()
-        self.found["requests"] += 1
-        taken = core.escrow.take(now, tenant)
-        if taken is TakeResult.WAIT:
+        """Handle one request of a tenant at a random core."""
+        core, now = self.rng.choice(self.world.cores), self.world.now
+        is_admitted = self.buckets[tenant].take()
+        self.results["requests"] += 1
+        result = core.escrow.take(now, tenant)
+        if result is TakeResult.WAIT:
             core.escrow.start_waiting(now, tenant)
-            self.waiting[core.id].append(Waiting(tenant, now + PATIENCE, owed))
+            self.waiting[core.id].append(WaitingRequest(tenant, now + CALL_TIMEOUT_S, is_admitted))
         else:
-            self.ended(tenant, taken, owed)
+            self.on_request_ended(tenant, result, is_admitted)
 
-    def ended(self, tenant: str, taken: TakeResult, owed: bool) -> None:
-        """A request's word is known."""
-        if taken is TakeResult.GRANTED:
+    def on_request_ended(self, tenant: str, result: TakeResult, is_admitted: bool) -> None:
+        """Count the result of a request."""
+        if result is TakeResult.GRANTED:
             self.world.counter.passed[tenant].append(self.world.now)
-        elif owed and tenant != "storm":
-            self.found["waited_for_a_leader" if taken is TakeResult.WAIT else "refused_wrongly"] += 1
+        elif is_admitted and tenant != "storm":
+            self.results["waited_for_a_leader" if result is TakeResult.WAIT else "refused_wrongly"] += 1
 
-    def look(self, tenant: str) -> None:
-        """The window that ends now against the rule."""
+    def check_window(self, tenant: str) -> None:
+        """Check the window that ends now against the rule."""
         counter, now = self.world.counter, self.world.now
-        over, most = counter.excess(now, tenant), counter.max_allowed(tenant, now, now)
-        allowed = RATES[tenant] * counter.quota_bounds.window + max(1.0, RATES[tenant])
-        self.found["over"] += over > 0
-        ratio = (over + most - allowed) / (most - allowed)
-        self.found["overshoot_over_bound"] = max(self.found["overshoot_over_bound"], ratio)
+        excess, max_allowed = counter.excess(now, tenant), counter.max_allowed(tenant, now, now)
+        rate_and_burst = LIMITS_PER_S[tenant] * counter.quota_bounds.window + max(1.0, LIMITS_PER_S[tenant])
+        self.results["over"] += excess > 0
+        ratio = (excess + max_allowed - rate_and_burst) / (max_allowed - rate_and_burst)
+        self.results["overshoot_over_bound"] = max(self.results["overshoot_over_bound"], ratio)
 
 
 def main(quick: bool) -> dict[str, float]:
-    """All plays; sums, and the worst of what is a ratio."""
+    """Run all seeds; return the sums, and the worst value of each ratio."""
     seeds, seconds = (4, 30.0) if quick else (40, 60.0)
     total: dict[str, float] = {}
     for seed in range(seeds):
-        for name, value in Play(seed, seconds).run().items():
+        for name, value in SimulationRun(seed, seconds).run().items():
             if name == "overshoot_over_bound":
                 total[name] = max(total.get(name, 0.0), value)
             elif name == "served_of_owed":
