--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -1,23 +1,30 @@
-"""What the system promises, measured without sockets but for the last figures; the last line is one JSON object.
+"""Benchmark of the system's guarantees, without sockets except for the last results.
 
     python3 -m benchmarks.system [--quick]
 
-`route_us`, `route_ratio`: benchmarks/configuration.py. `commit_us`: from a proposal to its answer with three machines
-and three real files on this disk, middle. `election_s`: simulated, from a leader's death to an entry committed by the
-next, middle and `election_most_s` the worst; `election_ticks` the middle in heartbeats. `model_states`: states of the
-small models in which nothing is broken (`model_broken`), `seeded_found` of `seeded` mistakes that the models and the
-walks show. `walks`: of the whole simulation (tests/simulation), `walks_broken` those that broke something;
-`connection_walks` and `connection_walks_broken`: the same over used connections alone.
-`walk_seeded` and `walk_seeded_found`: the walks' share of the mistakes.
-`lost`, `twice`: of commands told committed in seeded clusters with crashes, cuts, freezes and wiped disks, those that
-are not in the log in the end, or more than once. `owner_overlaps`: grants of a key that another node that is up holds,
-in seeded worlds of leases. `recovery_ratio`: all core machines die and two of three come back after 10 s; until all
-keys are held again, over the least that elections and leases allow; `recovery_all_s` and `recovery_all_ratio` if all
-three come back: no lease has to end then, since each takes up its own. `reopen_ms`: from a start to a whole state, by
-entries of the log that the core was killed with; `reopen_each`: of the last two lengths, time for an entry in the
-longer over that in the shorter. `gap_p50`, `gap_p99`: seconds that the keys of a crashed node rest, in simulated
-worlds (tests/simulation/crash_gap.py). `added_ms_p50`, `added_ms_p99` and `loaded_ms_...`: on loopback sockets, what an
-edge adds to a request's time (benchmarks/added_time.py).
+The last line printed is one JSON object:
+- `route_us`, `route_ratio`: see benchmarks/configuration.py;
+- `commit_us`: median from a proposal to its answer, with three machines and three real files on this disk;
+- `election_s`, `election_most_s`: simulated, median and maximum from a leader's crash to an entry committed by the
+  next leader; `election_ticks`: the median in heartbeats;
+- `model_states`: states explored of the small models; `model_broken`: models with a violation;
+- `seeded`, `seeded_found`: mistakes seeded into the models and the walks, and those that they show;
+- `walks`, `walks_broken`: walks of the simulation of the whole system (tests/simulation), and those with a violation;
+  `connection_walks`, `connection_walks_broken`: the same for walks over reused connections alone;
+- `walk_seeded`, `walk_seeded_found`: the walks' share of the seeded mistakes;
+- `told`: commands answered as committed in seeded clusters with crashes, partitions, freezes and wiped disks;
+  `lost`, `twice`: those of them that are missing from the final log, or in it more than once;
+- `owner_overlaps`: grants of a key that another running node still holds, in seeded simulations of leases;
+- `recovery_s`, `recovery_ratio`: all core machines crash and two of three restart after 10 s: median time until all
+  keys are held again, and its ratio to the minimum that elections and leases allow;
+- `recovery_all_s`, `recovery_all_ratio`: the same if all three restart: no lease has to expire then, since each
+  machine resumes its own;
+- `reopen_ms`: from a start to the restored state, by the length of the log that the core was killed with;
+  `reopen_each`: for the last two lengths, the time per entry of the longer log over that of the shorter one;
+- `gap_p50`, `gap_p99`: seconds for which the keys of a crashed node have no owner, simulated
+  (tests/simulation/crash_gap.py);
+- `added_ms_p50`, `added_ms_p99`, `loaded_ms_...`: the latency that an edge adds to a request on loopback sockets
+  (benchmarks/added_time.py).
 """
 
 import asyncio
@@ -57,53 +64,53 @@
 from tests.system.test_leases import World
 
 
-def commit_us(times: int) -> float:
-    """Three machines and files in one thread; messages are JSON, as on the wire."""
+def commit_us(count: int) -> float:
+    """Return the median time of a commit by three machines with files, in one thread, with messages as JSON."""
     with tempfile.TemporaryDirectory(dir=".") as folder:
-        founders = {f"{one}#founder": one for one in "abc"}
-        stores = {one: Store() for one in "abc"}
+        founders = {f"{name}#founder": name for name in "abc"}
+        stores = {name: Store() for name in "abc"}
         machines = {
-            one: Machine(stores[one].open(f"{folder}/{one}", True, one, founders), RaftSettings(), 1, 0.0, -9.0)
-            for one in "abc"
+            name: Machine(stores[name].open(f"{folder}/{name}", True, name, founders), RaftSettings(), 1, 0.0, -9.0)
+            for name in "abc"
         }
         answers: list[Answer] = []
 
-        def carry(now: float) -> None:
-            busy = True
-            while busy:
-                busy = False
+        def run_actions(now: float) -> None:
+            is_busy = True
+            while is_busy:
+                is_busy = False
                 for name, machine in machines.items():
-                    orders, machine.actions = machine.actions, []
-                    for order in orders:
-                        busy = True
-                        if isinstance(order, Save):
-                            stores[name].write(order)
-                            machine.on_saved(now, order.number)
-                        elif isinstance(order, Send):
-                            machines[order.to_address].receive(now, json.loads(json.dumps(order.message)))
-                        elif isinstance(order, Answer):
-                            answers.append(order)
+                    actions, machine.actions = machine.actions, []
+                    for action in actions:
+                        is_busy = True
+                        if isinstance(action, Save):
+                            stores[name].write(action)
+                            machine.on_saved(now, action.number)
+                        elif isinstance(action, Send):
+                            machines[action.to_address].receive(now, json.loads(json.dumps(action.message)))
+                        elif isinstance(action, Answer):
+                            answers.append(action)
 
         now = 1.0
         while machines["a"].role != "leader":
             machines["a"].tick(now)
-            carry(now)
+            run_actions(now)
             now += 0.1
-        took = []
-        for number in range(times):
+        durations = []
+        for number in range(count):
             start = time.perf_counter()
             machines["a"].propose(now, {"do": "put", "value": "x" * 200}, number)
-            carry(now)
-            took.append(time.perf_counter() - start)
-        assert [one.outcome for one in answers] == ["committed"] * times
+            run_actions(now)
+            durations.append(time.perf_counter() - start)
+        assert [answer.outcome for answer in answers] == ["committed"] * count
         for store in stores.values():
             store.close()
-    return statistics.median(took) * 1e6
+    return statistics.median(durations) * 1e6
 
 
-def reopen_ms(counts: tuple[int, ...], times: int) -> dict[int, float]:
-    """By length of the log: opening the file as a kill left it, reading it and following it; middle of some starts."""
-    took = {}
+def reopen_ms(counts: tuple[int, ...], runs: int) -> dict[int, float]:
+    """Return, by length of the log, the median time to open a killed core's store, read it and apply its entries."""
+    results = {}
     for count in counts:
         with tempfile.TemporaryDirectory(dir=".") as folder:
             store = Store()
@@ -111,37 +118,37 @@
             entries = [Entry(1, 1, "command", {"do": "shard", "services": ["s"]})]
             entries += [
                 Entry(
-                    one,
+                    index,
                     1,
                     "command",
                     {
                         "do": "move",
                         "by": "a",
-                        "moves": [["s", one % SLICE_COUNT, one % SLICE_COUNT, one, f"n{one % 40}"]] * 3,
+                        "moves": [["s", index % SLICE_COUNT, index % SLICE_COUNT, index, f"n{index % 40}"]] * 3,
                     },
                 )
-                for one in range(2, count + 1)
+                for index in range(2, count + 1)
             ]
             for first in range(0, count, 10):
                 store.write(Save(first, 1, None, entries[first : first + 10], None, None))
-            found = []
-            for turn in range(times):
-                shutil.copytree(f"{folder}/made", f"{folder}/{turn}")
-                start, again = time.perf_counter(), Store()
-                saved, state = again.open(f"{folder}/{turn}", False, "a", {}), ReplicatedState()
+            durations = []
+            for run in range(runs):
+                shutil.copytree(f"{folder}/made", f"{folder}/{run}")
+                start, reopened = time.perf_counter(), Store()
+                saved, state = reopened.open(f"{folder}/{run}", False, "a", {}), ReplicatedState()
                 for entry in saved.entries:
                     state.apply(entry.index, entry.body)
-                found.append((time.perf_counter() - start) * 1e3)
+                durations.append((time.perf_counter() - start) * 1e3)
                 assert len(saved.entries) == count
-                again.close()
-            took[count] = round(statistics.median(found), 1)
+                reopened.close()
+            results[count] = round(statistics.median(durations), 1)
             store.close()
-    return took
+    return results
 
 
 def elections(seeds: int) -> list[float]:
-    """Seconds from a leader's death until the next has committed."""
-    took = []
+    """Return the seconds from a leader's crash until the next leader has committed, by seed."""
+    durations = []
     for seed in range(seeds):
         cluster = Cluster(seed)
         assert cluster.run(10, cluster.is_settled)
@@ -151,14 +158,14 @@
         cluster.stop(leader.address)
         start = cluster.now
         assert cluster.run(
-            5, lambda: any(one.machine and one.machine.is_commit_current for one in cluster.nodes.values())
+            5, lambda: any(node.machine and node.machine.is_commit_current for node in cluster.nodes.values())
         )
-        took.append(cluster.now - start)
-    return took
+        durations.append(cluster.now - start)
+    return durations
 
 
-def told(seeds: int) -> dict[str, int]:
-    """Commands told committed under misfortune, and what became of them."""
+def count_committed_commands(seeds: int) -> dict[str, int]:
+    """Count the commands answered as committed under faults, and those that were lost or applied twice."""
     counts = {"told": 0, "lost": 0, "twice": 0}
     for seed in range(seeds):
         cluster = Cluster(1000 + seed, (3, 3, 5)[seed % 3])
@@ -169,187 +176,196 @@
         except ViolationError as violation:
             print(f"seed {seed}: {violation}")
             settled = False
-        log = Counter(json.dumps(one.body) for one in cluster.checker.entries.values() if one.kind == "command")
+        log = Counter(json.dumps(entry.body) for entry in cluster.checker.entries.values() if entry.kind == "command")
         for ticket, answer in cluster.answers.items():
             if answer.outcome == "committed":
-                times = log[json.dumps(cluster.commands[ticket])]
+                occurrences = log[json.dumps(cluster.commands[ticket])]
                 counts["told"] += 1
-                counts["lost"] += times == 0 or not settled
-                counts["twice"] += times > 1
+                counts["lost"] += occurrences == 0 or not settled
+                counts["twice"] += occurrences > 1
     return counts
 
 
-class Core(Cluster):
-    """A cluster whose machines are conductors as well, with four nodes that never fail; all keys are to be held."""
+class CoreCluster(Cluster):
+    """A cluster whose machines are also conductors, with four nodes that never fail; all keys should become held."""
 
     def __init__(self, seed: int) -> None:
-        self.desks: dict[str, dict[str, Any]] = {}
-        self.listed = {f"n{one}": Node(f"n{one}", "s", ("10.0.0.1", one), "z", 2) for one in range(4)}
-        self.held = [0.0] * SLICE_COUNT
+        self.conductors: dict[str, dict[str, Any]] = {}
+        self.listed_nodes = {f"n{number}": Node(f"n{number}", "s", ("10.0.0.1", number), "z", 2) for number in range(4)}
+        self.held_until = [0.0] * SLICE_COUNT
         super().__init__(seed)
 
     def start(self, address: str) -> None:
         grant_manager = GrantManager(address, GrantTiming(), self.seed, self.now)
-        grant_manager.on_nodes_listed(self.now, self.listed)
-        self.desks[address] = {
+        grant_manager.on_nodes_listed(self.now, self.listed_nodes)
+        self.conductors[address] = {
             "grant_manager": grant_manager,
             "ledger": Ledger(),
             "conductor_leases": None,
-            "asked": -9.0,
-            "led": -9.0,
+            "lease_requested_at": -9.0,
+            "last_led_at": -9.0,
         }
         super().start(address)
-        self._work(address, self.nodes[address].incarnation)
+        self._run_conductor(address, self.nodes[address].incarnation)
 
-    def _perform(self, node: Any, machine: Machine, order: Any) -> None:
-        desk = self.desks[node.address]
-        if isinstance(order, RoleChange):
-            desk["conductor_leases"] = ConductorLeases(self.now) if order.role == "leader" else None
-        super()._perform(node, machine, order)
-        if isinstance(order, Apply):
-            ledger = desk["ledger"]
-            ledger.apply(order.entry.index, order.entry.body if order.entry.kind == "command" else {})
-            desk["grant_manager"].on_ledger(self.now, ledger, ledger.changed)
+    def _perform(self, node: Any, machine: Machine, action: Any) -> None:
+        conductor = self.conductors[node.address]
+        if isinstance(action, RoleChange):
+            conductor["conductor_leases"] = ConductorLeases(self.now) if action.role == "leader" else None
+        super()._perform(node, machine, action)
+        if isinstance(action, Apply):
+            ledger = conductor["ledger"]
+            ledger.apply(action.entry.index, action.entry.body if action.entry.kind == "command" else {})
+            conductor["grant_manager"].on_ledger(self.now, ledger, ledger.changed)
 
-    def tell(self, address: str, command: dict) -> None:
-        """Propose at the leader that a machine knows of."""
+    def send_proposal(self, address: str, command: dict) -> None:
+        """Propose a command to the leader that a machine knows of."""
         machine = self.nodes[address].machine
         if machine is not None and machine.leader is not None:
             leader = machine.leader
             self._later(0.001, lambda: self.propose(leader, command))
 
-    def _work(self, address: str, life: int) -> None:
-        node, desk = self.nodes[address], self.desks[address]
-        machine, grant_manager, ledger, now = node.machine, desk["grant_manager"], desk["ledger"], self.now
-        if machine is None or node.incarnation != life:
+    def _run_conductor(self, address: str, incarnation: int) -> None:
+        node, conductor = self.nodes[address], self.conductors[address]
+        machine, grant_manager, ledger, now = node.machine, conductor["grant_manager"], conductor["ledger"], self.now
+        if machine is None or node.incarnation != incarnation:
             return
-        if now >= desk["asked"] + LEASE_REQUEST_INTERVAL_S and machine.leader is not None:
-            desk["asked"], leader = now, machine.leader
-            self._later(0.001, lambda: self._lease(leader, address, life, now))
-        if now >= desk["led"] + 0.2 and self._proven(address):
-            desk["led"] = now
-            self._lease(address, address, life, now)
-            line = ledger.slices.get("s")
-            if line is None:
-                self.tell(address, {"do": "shard", "services": ["s"]})
+        if now >= conductor["lease_requested_at"] + LEASE_REQUEST_INTERVAL_S and machine.leader is not None:
+            conductor["lease_requested_at"], leader = now, machine.leader
+            self._later(0.001, lambda: self._renew_lease(leader, address, incarnation, now))
+        if now >= conductor["last_led_at"] + 0.2 and self._is_leadership_proven(address):
+            conductor["last_led_at"] = now
+            self._renew_lease(address, address, incarnation, now)
+            assignments = ledger.slices.get("s")
+            if assignments is None:
+                self.send_proposal(address, {"do": "shard", "services": ["s"]})
             else:
-                leased = [x.conductor for x in line]
-                for to, found in reassign(desk["conductor_leases"], now, leased).items():
-                    for before in {leased[k] for first, last in found for k in range(first, last + 1)}:
-                        named = ranges(
-                            k for first, last in found for k in range(first, last + 1) if leased[k] == before
+                leased = [x.conductor for x in assignments]
+                for to, reassigned in reassign(conductor["conductor_leases"], now, leased).items():
+                    for previous in {leased[k] for first, last in reassigned for k in range(first, last + 1)}:
+                        slice_ranges = ranges(
+                            k for first, last in reassigned for k in range(first, last + 1) if leased[k] == previous
                         )
-                        self.tell(address, {"do": "lease", "from": before, "to": to, "slices": {"s": named}})
-        new = [k for k, x in enumerate(ledger.slices.get("s", ())) if x.conductor == address and not x.owner]
-        if new and now < grant_manager.lease_until:
-            self.tell(
+                        self.send_proposal(
+                            address, {"do": "lease", "from": previous, "to": to, "slices": {"s": slice_ranges}}
+                        )
+        unassigned = [k for k, x in enumerate(ledger.slices.get("s", ())) if x.conductor == address and not x.owner]
+        if unassigned and now < grant_manager.lease_until:
+            self.send_proposal(
                 address,
                 {
                     "do": "move",
                     "by": address,
-                    "moves": [["s", first, last, 0, f"n{first % 4}"] for first, last in ranges(new)],
+                    "moves": [["s", first, last, 0, f"n{first % 4}"] for first, last in ranges(unassigned)],
                 },
             )
         grant_manager.tick(now)
-        orders, grant_manager.actions = grant_manager.actions, []
-        for order in orders:
-            if isinstance(order, Propose):
-                self.tell(address, order.command)
+        actions, grant_manager.actions = grant_manager.actions, []
+        for action in actions:
+            if isinstance(action, Propose):
+                self.send_proposal(address, action.command)
             else:
-                self._later(0.001, lambda order=order: self._call(address, life, order))  # type: ignore[misc]
-        self._later(0.01, lambda: self._work(address, life))
+                self._later(0.001, lambda action=action: self._execute_call(address, incarnation, action))  # type: ignore[misc]
+        self._later(0.01, lambda: self._run_conductor(address, incarnation))
 
-    def _proven(self, address: str) -> bool:
+    def _is_leadership_proven(self, address: str) -> bool:
         node = self.nodes[address]
         return (
             node.machine is not None
             and node.machine.is_commit_current
-            and self.desks[address]["conductor_leases"] is not None
+            and self.conductors[address]["conductor_leases"] is not None
             and self.now + node.offset - node.machine.majority_acked_at < LEADERSHIP_PROOF_S
         )
 
-    def _lease(self, leader: str, asking: str, life: int, sent: float) -> None:
-        if self._proven(leader) and self.nodes[asking].incarnation == life:
-            until = sent + self.desks[leader]["conductor_leases"].renew(self.now, asking)
-            last = self.nodes[leader].machine.log.last  # type: ignore[union-attr]
-            grant_manager = self.desks[asking]["grant_manager"]
-            self._later(0.001, lambda: grant_manager.on_lease_proven(self.now, until, last))
+    def _renew_lease(self, leader: str, address: str, incarnation: int, sent_at: float) -> None:
+        if self._is_leadership_proven(leader) and self.nodes[address].incarnation == incarnation:
+            lease_until = sent_at + self.conductors[leader]["conductor_leases"].renew(self.now, address)
+            last_index = self.nodes[leader].machine.log.last  # type: ignore[union-attr]
+            grant_manager = self.conductors[address]["grant_manager"]
+            self._later(0.001, lambda: grant_manager.on_lease_proven(self.now, lease_until, last_index))
 
-    def _call(self, address: str, life: int, order: Grant | Release) -> None:
-        for k in order.slices:
-            self.held[k] = self.now + order.hold if isinstance(order, Grant) else 0.0
-        if self.nodes[address].incarnation == life:
-            self.desks[address]["grant_manager"].on_call_ended(self.now + 0.001, order, 200)
+    def _execute_call(self, address: str, incarnation: int, action: Grant | Release) -> None:
+        for k in action.slices:
+            self.held_until[k] = self.now + action.hold if isinstance(action, Grant) else 0.0
+        if self.nodes[address].incarnation == incarnation:
+            self.conductors[address]["grant_manager"].on_call_ended(self.now + 0.001, action, 200)
 
-    def served(self) -> bool:
-        """Whether all keys are held."""
-        return min(self.held) > self.now
+    def are_all_held(self) -> bool:
+        """Tell whether all keys are held."""
+        return min(self.held_until) > self.now
 
 
-def recovery(seed: int, back: int) -> float:
-    """Seconds from the coming back of some machines until all keys are held; all died 10 s before."""
-    core = Core(seed)
-    assert core.run(30, core.served)
+def recovery_seconds(seed: int, restarted: int) -> float:
+    """Return the seconds from the restart of some machines, 10 s after all crashed, until all keys are held."""
+    core = CoreCluster(seed)
+    assert core.run(30, core.are_all_held)
     core.run(8.0)
     for address in core.nodes:
         core.stop(address)
     core.run(10.0)
-    assert not core.served()
+    assert not core.are_all_held()
     start = core.now
-    for address in sorted(core.nodes)[:back]:
+    for address in sorted(core.nodes)[:restarted]:
         core.start(address)
-    assert core.run(30, core.served)
+    assert core.run(30, core.are_all_held)
     return core.now - start
 
 
 def main(quick: bool) -> None:
-    said = io.StringIO()
-    with contextlib.redirect_stdout(said):
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output):
         configuration.main(quick)
-    found: dict[str, Any] = {
-        name: value for name, value in json.loads(said.getvalue().splitlines()[-1]).items() if name.startswith("route")
+    results: dict[str, Any] = {
+        name: value
+        for name, value in json.loads(output.getvalue().splitlines()[-1]).items()
+        if name.startswith("route")
     }
-    found["commit_us"] = round(commit_us(200 if quick else 2000), 1)
-    took = elections(30 if quick else 400)
-    found["election_s"], found["election_most_s"] = round(statistics.median(took), 3), round(max(took), 3)
-    found["election_ticks"] = round(statistics.median(took) / RaftSettings().heartbeat_interval, 1)
-    opened = reopen_ms((250, 1000, 4000) if quick else (250, 1000, 4000, 16000), 3 if quick else 9)
-    found["reopen_ms"] = opened
-    (few, before), (many, after) = list(opened.items())[-2:]
-    found["reopen_each"] = round(after / many / (before / few), 2)
-    print(json.dumps(found), flush=True)
-    found["model_states"], found["model_broken"] = 0, 0
-    for name, (world, depth, most) in worlds(not quick).items():
-        walked = explore(world.start, world.follow, depth, min(most, 12_000) if quick else most)
+    results["commit_us"] = round(commit_us(200 if quick else 2000), 1)
+    durations = elections(30 if quick else 400)
+    results["election_s"], results["election_most_s"] = round(statistics.median(durations), 3), round(max(durations), 3)
+    results["election_ticks"] = round(statistics.median(durations) / RaftSettings().heartbeat_interval, 1)
+    reopened = reopen_ms((250, 1000, 4000) if quick else (250, 1000, 4000, 16000), 3 if quick else 9)
+    results["reopen_ms"] = reopened
+    (short_length, short_ms), (long_length, long_ms) = list(reopened.items())[-2:]
+    results["reopen_each"] = round(long_ms / long_length / (short_ms / short_length), 2)
+    print(json.dumps(results), flush=True)
+    results["model_states"], results["model_broken"] = 0, 0
+    for name, (world, depth, max_states) in worlds(not quick).items():
+        exploration = explore(world.start, world.follow, depth, min(max_states, 12_000) if quick else max_states)
         print(
-            f"{name}: {walked.states} states, {walked.depth} deep{', all there are' if walked.is_complete else ''}",
-            *walked.trace,
-            *walked.violations,
+            f"{name}: {exploration.states} states, {exploration.depth} steps deep"
+            f"{', complete' if exploration.is_complete else ''}",
+            *exploration.trace,
+            *exploration.violations,
             sep="\n  ",
             flush=True,
         )
-        found["model_states"] += walked.states
-        found["model_broken"] += bool(walked.violations)
-    named = mistakes()
-    shown = [name for name, (world, depth, _) in named.items() if explore(world.start, world.follow, depth).violations]
-    found |= measure(4 if quick else 200)
-    found["seeded"] = len(named) + found["walk_seeded"]
-    found["seeded_found"] = len(shown) + found["walk_seeded_found"]
-    found |= told(6 if quick else 100)
-    found["owner_overlaps"] = sum(len(World(seed).checker.broken) for seed in range(8 if quick else 200))
+        results["model_states"] += exploration.states
+        results["model_broken"] += bool(exploration.violations)
+    model_mistakes = mistakes()
+    shown = [
+        name
+        for name, (world, depth, _) in model_mistakes.items()
+        if explore(world.start, world.follow, depth).violations
+    ]
+    results |= measure(4 if quick else 200)
+    results["seeded"] = len(model_mistakes) + results["walk_seeded"]
+    results["seeded_found"] = len(shown) + results["walk_seeded_found"]
+    results |= count_committed_commands(6 if quick else 100)
+    results["owner_overlaps"] = sum(len(World(seed).checker.broken) for seed in range(8 if quick else 200))
     seeds = range(3 if quick else 20)
-    least = RaftSettings().election_timeout_min + LEASE_S * CLOCK_DRIFT + CALL_MARGIN_S + LEADERSHIP_PROOF_S
-    two = statistics.median([recovery(seed, 2) for seed in seeds])
-    found["recovery_s"], found["recovery_ratio"] = round(two, 2), round(two / least, 2)
-    whole = statistics.median([recovery(seed, 3) for seed in seeds])
-    found["recovery_all_s"], found["recovery_all_ratio"] = (
-        round(whole, 2),
-        round(whole / RaftSettings().election_timeout_min, 2),
+    minimum_s = RaftSettings().election_timeout_min + LEASE_S * CLOCK_DRIFT + CALL_MARGIN_S + LEADERSHIP_PROOF_S
+    two_restarted_s = statistics.median([recovery_seconds(seed, 2) for seed in seeds])
+    results["recovery_s"], results["recovery_ratio"] = round(two_restarted_s, 2), round(two_restarted_s / minimum_s, 2)
+    all_restarted_s = statistics.median([recovery_seconds(seed, 3) for seed in seeds])
+    results["recovery_all_s"], results["recovery_all_ratio"] = (
+        round(all_restarted_s, 2),
+        round(all_restarted_s / RaftSettings().election_timeout_min, 2),
     )
-    found |= crash_gap.measure(2 if quick else 20)
-    print(json.dumps(found), flush=True)
-    found |= asyncio.run(added_time.measure_all(4.0 if quick else 20.0))
-    print(json.dumps(found))
+    results |= crash_gap.measure(2 if quick else 20)
+    print(json.dumps(results), flush=True)
+    results |= asyncio.run(added_time.measure_all(4.0 if quick else 20.0))
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
