--- a/tests/simulation/loop.py
+++ b/tests/simulation/loop.py
@@ -19,7 +19,7 @@
 STEPS_MOST = 3_000_000  # handles of one walk: some twenty times what a usual one runs; more is a loop without end
 
 
-class Endless(AssertionError):
+class EndlessWalkError(AssertionError):
     """A walk does not come to its end."""
 
 
@@ -111,7 +111,7 @@
             return
         self.steps += 1
         if self.steps > STEPS_MOST:
-            raise Endless(f"a walk without end: {process.name} {handle}")
+            raise EndlessWalkError(f"a walk without end: {process.name} {handle}")
         handle._run()
 
     # -- what asyncio asks of a loop
--- a/tests/simulation/programs.py
+++ b/tests/simulation/programs.py
@@ -49,13 +49,13 @@
 )
 
 
-class Exited(Exception):
+class ProgramExitedError(Exception):
     """A program ended itself at once."""
 
 
 def _exit(code: int) -> None:
     PROCESS.get().kill()
-    raise Exited(code)
+    raise ProgramExitedError(code)
 
 
 def _due(made: Any, each: int) -> bool:
--- a/tests/standins/jumps.py
+++ b/tests/standins/jumps.py
@@ -12,7 +12,7 @@
 BOUND = 120.0  # seconds of the machine's time that work on other threads may take; a calm machine needs milliseconds
 
 
-class Stuck(AssertionError):
+class StuckError(AssertionError):
     """Nothing will ever happen again: no timer, no call and no thread's work is outstanding."""
 
 
@@ -29,9 +29,9 @@
         if self.outside:
             found = super().select(BOUND)
             if not found:
-                raise Stuck(f"a thread's work took more than {BOUND:g} s")
+                raise StuckError(f"a thread's work took more than {BOUND:g} s")
         elif timeout is None:
-            raise Stuck("waits for what nobody will do")
+            raise StuckError("waits for what nobody will do")
         else:
             self.now += timeout + 1e-6  # past the moment, whatever the rounding
         return found
