--- a/knotwalk/control_plane/__main__.py
+++ b/knotwalk/control_plane/__main__.py
@@ -58,12 +58,12 @@
         self.store = Store(configuration_disk_mb(settings))
         saved = open_store(self.store, settings.data_dir, settings.initial_boot, own, founders)
         self.me = saved.me
-        self.caller = HttpClient()
+        self.http_client = HttpClient()
         seed = crc32(f"{settings.node_name}{os.getpid()}{os.urandom(4).hex()}".encode())
         self.consensus = ConsensusDriver(
             self.store,
             saved,
-            self.caller,
+            self.http_client,
             RaftSettings(target_members=settings.tolerance.members),
             seed,
             PROCESS_STARTED_AT,
@@ -73,17 +73,17 @@
         self.claims: ClaimGroups | None = None
         if KEYS_CONTRACT in settings.contracts:
             self.claims = ClaimGroups(
-                GroupContext(settings, own, founders, self.caller, seed, PROCESS_STARTED_AT, Store)
+                GroupContext(settings, own, founders, self.http_client, seed, PROCESS_STARTED_AT, Store)
             )
             self.claims.on_damage = lambda: os._exit(1)
-        self.board = ViewPublisher(os.urandom(6).hex())
+        self.view_publisher = ViewPublisher(os.urandom(6).hex())
         self.loads = LoadReports()
-        self.list_poller = ListPoller(settings, self.consensus, self.board, self.caller, self.me)
+        self.list_poller = ListPoller(settings, self.consensus, self.view_publisher, self.http_client, self.me)
         self.node_caller = HttpClient(reset_on_close=True, with_call_ids=False)  # nodes don't repeat our call ids
         self.conductor = SliceManager(
             self.me,
             self.consensus,
-            self.board,
+            self.view_publisher,
             self.loads,
             self.node_caller,
             GrantTiming.for_max_hold(settings.bounds.max_hold),
@@ -91,13 +91,20 @@
             self.propose,
             settings.zone,
         )
-        self.allowances = Allowances(self.me, settings, self.consensus, self.list_poller, self.caller)
+        self.allowances = Allowances(self.me, settings, self.consensus, self.list_poller, self.http_client)
         self.peer_api = PeerApi(
-            self.me, self.consensus, self.list_poller, self.conductor, self.board, self.loads, self.caller, self.claims
+            self.me,
+            self.consensus,
+            self.list_poller,
+            self.conductor,
+            self.view_publisher,
+            self.loads,
+            self.http_client,
+            self.claims,
         )
         memory = int(settings.machine.memory_mb * 1024 * 1024 * MEMORY_FRACTION)
         self.admissions = Admissions(
-            own, self.allowances, self.claims, Answers(memory, settings.bounds.key_period), self.caller, logs.clock
+            own, self.allowances, self.claims, Answers(memory, settings.bounds.key_period), self.http_client, logs.clock
         )
         self.peer_api.on_incarnation = self.admissions.note_incarnation
         self.peer_api.extra_handlers |= {
@@ -131,7 +138,7 @@
     def on_configuration(self) -> None:
         """Another configuration came into force: send it to the edges."""
         state = self.consensus.state
-        self.board.set_config(state.configuration_index, to_document(state.configuration))
+        self.view_publisher.set_config(state.configuration_index, to_document(state.configuration))
         self.admissions.on_configuration(state.configuration)
         if self.claims is not None:
             self.claims.on_configuration(state.configuration)
@@ -143,7 +150,7 @@
         for change in changes:
             by_service.setdefault(change.service, {})[change.slice] = (change.owner, change.open)
         for service, lines in by_service.items():
-            self.board.set_assignments(index, service, lines)
+            self.view_publisher.set_assignments(index, service, lines)
         if changes:
             self.peer_api.wake_edges()
         self.conductor.on_ledger_change()
@@ -154,7 +161,9 @@
         if state.configuration is not None:
             self.on_configuration()
         for service, slices in state.ledger.slices.items():
-            self.board.set_assignments(state.applied, service, {k: (s.owner, s.open) for k, s in enumerate(slices)})
+            self.view_publisher.set_assignments(
+                state.applied, service, {k: (s.owner, s.open) for k, s in enumerate(slices)}
+            )
         self.peer_api.wake_edges()
         self.conductor.on_ledger_change(replaced=True)
 
@@ -206,7 +215,7 @@
         await self.consensus.close()
         if self.claims is not None:
             await self.claims.close()
-        await self.caller.close()
+        await self.http_client.close()
         await self.node_caller.close()
 
     async def wait_for_release(self) -> None:
@@ -226,7 +235,7 @@
     async def watch_members(self) -> None:
         """Keep the edges' list of cores up to date as members change."""
         while True:
-            self.board.set_cores(sorted(self.consensus.machine.members.values()))
+            self.view_publisher.set_cores(sorted(self.consensus.machine.members.values()))
             due = logs.clock() + MEMBERS_POLL_INTERVAL_S
             await asyncio.sleep(MEMBERS_POLL_INTERVAL_S)
             self.loop_delay.note(logs.clock() - due)
--- a/knotwalk/control_plane/admissions.py
+++ b/knotwalk/control_plane/admissions.py
@@ -89,11 +89,11 @@
         allowances: Allowances,
         claims: ClaimGroups | None,
         answers: Answers,
-        caller: HttpClient,
+        http_client: HttpClient,
         clock: Callable[[], float],
     ):
         self.me, self.allowances, self.claims, self.answers = me, allowances, claims, answers
-        self.caller, self.clock = caller, clock
+        self.http_client, self.clock = http_client, clock
         self.pending_claims: dict[Claim, asyncio.Task[ClaimResult]] = {}  # those decided a moment ago included
         # Partitions with a claim that has waited for long, and none decided since.
         self.stuck_partitions: set[int] = set()
@@ -280,7 +280,7 @@
         """The response of the core that keeps an operation's answer; UNAVAILABLE if it does not answer."""
         requested = [[operation, holder.to_json()]]
         try:
-            responses = await self.caller.json(
+            responses = await self.http_client.json(
                 "POST", f"http://{holder.core}/answers", requested, ANSWER_CALL_TIMEOUT_S, "answers"
             )
             return AdmissionResponse.from_json(responses[0])
--- a/knotwalk/control_plane/allowances.py
+++ b/knotwalk/control_plane/allowances.py
@@ -66,9 +66,9 @@
     """A core machine's tokens of tenants' limits, and, while this machine leads, the buckets that they come from."""
 
     def __init__(
-        self, me: str, settings: Settings, consensus: ConsensusDriver, list_poller: ListPoller, caller: HttpClient
+        self, me: str, settings: Settings, consensus: ConsensusDriver, list_poller: ListPoller, http_client: HttpClient
     ):
-        self.me, self.consensus, self.list_poller, self.caller = me, consensus, list_poller, caller
+        self.me, self.consensus, self.list_poller, self.http_client = me, consensus, list_poller, http_client
         self.limits = TenantLimits(settings, consensus)
         self.escrow = Escrow(self.limits.of)
         self.buckets: Buckets | None = None  # while this machine leads
@@ -187,7 +187,7 @@
         payload = {"core": self.me, "wants": [request.to_json() for request in requests]}
         url = f"http://{machine.leader}/allowances"
         try:
-            response = await self.caller.json("POST", url, payload, LEADER_CALL_TIMEOUT_S, "allowances")
+            response = await self.http_client.json("POST", url, payload, LEADER_CALL_TIMEOUT_S, "allowances")
             return [AllowanceGrant.from_json(raw) for raw in response["grants"]]
         except (PeerError, ValueError, TypeError, KeyError):
             return None
--- a/knotwalk/control_plane/claim_group.py
+++ b/knotwalk/control_plane/claim_group.py
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True)
 class GroupContext:
-    """What all groups of a machine share: settings, peer address, founders (id -> address), caller and random seed.
+    """What all groups of a machine share: settings, peer address, founders (id -> address), HTTP client and seed.
 
     `process_started_at` is a time of the monotonic clock; `store` creates a store of that many megabytes."""
 
     settings: Settings
     address: str
     founders: dict[str, str]
-    caller: HttpClient
+    http_client: HttpClient
     seed: int
     process_started_at: float
     store: Callable[[float], Store] = Store
@@ -66,7 +66,7 @@
         self.driver = ConsensusDriver(
             store,
             saved,
-            context.caller,
+            context.http_client,
             raft_settings,
             context.seed + partition,
             context.process_started_at,
--- a/knotwalk/control_plane/claim_groups.py
+++ b/knotwalk/control_plane/claim_groups.py
@@ -37,8 +37,8 @@
     """All claim groups of this machine: has claims decided by the groups' leaders, and carries the groups' messages."""
 
     def __init__(self, context: GroupContext):
-        self.caller, self.key_period = context.caller, context.settings.bounds.key_period
-        self.lanes = PeerLanes(context.caller, MESSAGES_PATH, "claim groups", self._on_replies, pack)
+        self.http_client, self.key_period = context.http_client, context.settings.bounds.key_period
+        self.lanes = PeerLanes(context.http_client, MESSAGES_PATH, "claim groups", self._on_replies, pack)
         self.reply_buffers: dict[str, list[dict]] = {}  # by peer: messages that go back with the answer to its call
         self.persisted = asyncio.Event()
         self.calling: set[str] = set()  # leaders that a call with claims is in progress to
@@ -174,7 +174,9 @@
         payload = {"claims": [pack_claim(pending.claim) for pending in batch]}
         timeout_s = min(LEADER_CALL_TIMEOUT_S, max(pending.deadline for pending in batch) - clock())
         try:
-            response = await self.caller.json("POST", f"http://{leader}{CLAIMS_PATH}", payload, timeout_s, "claims")
+            response = await self.http_client.json(
+                "POST", f"http://{leader}{CLAIMS_PATH}", payload, timeout_s, "claims"
+            )
             return [ClaimResult.from_json(raw) for raw in response["results"]]
         except (PeerError, KeyError, TypeError, ValueError):
             return [UNAVAILABLE] * len(batch)
--- a/knotwalk/control_plane/consensus_driver.py
+++ b/knotwalk/control_plane/consensus_driver.py
@@ -77,7 +77,7 @@
         self,
         store: Store,
         saved: Any,
-        caller: HttpClient,
+        http_client: HttpClient,
         settings: RaftSettings,
         seed: int,
         process_started_at: float,
@@ -93,7 +93,7 @@
         self.next_ticket = 0
         self.writer = ThreadPoolExecutor(1, "consensus")
         self.saves: asyncio.Queue[Save] = asyncio.Queue()
-        self.lanes = PeerLanes(caller, "/consensus", "agreement", self.receive)
+        self.lanes = PeerLanes(http_client, "/consensus", "agreement", self.receive)
         self.outbox = self.lanes.outbox
         self.send = send or self.lanes.send
         self.tasks: set[asyncio.Task] = set()
@@ -110,13 +110,13 @@
         self.closing = False
 
     @property
-    def caller(self) -> HttpClient:
-        """The caller that carries messages to peers."""
-        return self.lanes.caller
+    def http_client(self) -> HttpClient:
+        """The client that carries messages to peers."""
+        return self.lanes.http_client
 
-    @caller.setter
-    def caller(self, caller: HttpClient) -> None:
-        self.lanes.caller = caller
+    @http_client.setter
+    def http_client(self, http_client: HttpClient) -> None:
+        self.lanes.http_client = http_client
 
     def start(self) -> None:
         """Start the writer, and the machine's timer."""
--- a/knotwalk/control_plane/list_poller.py
+++ b/knotwalk/control_plane/list_poller.py
@@ -36,12 +36,23 @@
 
 
 class ListPoller:
-    """Works only while this machine leads; the list goes to this core's board and to the other cores."""
+    """Works only while this machine leads; the list goes to this core's view publisher and to the other cores."""
 
     def __init__(
-        self, settings: Settings, consensus: ConsensusDriver, board: ViewPublisher, caller: HttpClient, me: str
+        self,
+        settings: Settings,
+        consensus: ConsensusDriver,
+        view_publisher: ViewPublisher,
+        http_client: HttpClient,
+        me: str,
     ):
-        self.settings, self.consensus, self.board, self.caller, self.me = settings, consensus, board, caller, me
+        self.settings, self.consensus, self.view_publisher, self.http_client, self.me = (
+            settings,
+            consensus,
+            view_publisher,
+            http_client,
+            me,
+        )
         self.conductor_leases: ConductorLeases | None = None
         self.list_revision = 0
         self.own_read: asyncio.Task | None = None
@@ -73,7 +84,7 @@
             "commit": machine.commit,
             "last": machine.log.last,
             "term": machine.term,
-            "nodes": list(self.board.nodes_order),
+            "nodes": list(self.view_publisher.nodes_order),
         }
 
     def on_conductor_left(self, conductor: str) -> None:
@@ -175,10 +186,10 @@
             if not self.is_proven or term != self.consensus.machine.term:
                 continue
             self.list_revision += 1
-            if self.board.set_nodes((term, self.list_revision), listing.nodes, True):
+            if self.view_publisher.set_nodes((term, self.list_revision), listing.nodes, True):
                 log_info(
                     "list",
-                    order=self.board.nodes_order,
+                    order=self.view_publisher.nodes_order,
                     nodes=len(listing.nodes),
                     draining=sum(n.draining for n in listing.nodes.values()),
                 )
@@ -210,7 +221,9 @@
         listing, token = NodeListing(), ""
         while token is not None:
             query = f"?page_token={token}" if token else ""
-            status, _, data = await self.caller.send("GET", f"http://{host}:{port}/nodes{query}", None, 1.0, "list")
+            status, _, data = await self.http_client.send(
+                "GET", f"http://{host}:{port}/nodes{query}", None, 1.0, "list"
+            )
             if status != 200:
                 raise PeerError("list", f"{host}:{port}", f"status {status}")
             try:
@@ -224,8 +237,8 @@
         """The list as cores send it to each other."""
         now = clock()
         return {
-            "order": list(self.board.nodes_order),
-            "nodes": {i: node_to_wire(n, now) for i, n in self.board.nodes.items()},
+            "order": list(self.view_publisher.nodes_order),
+            "nodes": {i: node_to_wire(n, now) for i, n in self.view_publisher.nodes.items()},
         }
 
     async def send_list_to_cores(self) -> None:
@@ -234,7 +247,7 @@
         own = self.consensus.machine.members.get(self.me)
         await asyncio.gather(
             *(
-                self.caller.json("POST", f"http://{address}/nodes", message, 0.6, "tell nodes")
+                self.http_client.json("POST", f"http://{address}/nodes", message, 0.6, "tell nodes")
                 for address in self.consensus.machine.members.values()
                 if address != own
             ),
@@ -245,5 +258,5 @@
         """Apply the list that the leader sent."""
         now = clock()
         nodes = {id: node_from_wire(id, raw, now) for id, raw in message["nodes"].items()}
-        if self.board.set_nodes(tuple(message["order"]), nodes):
+        if self.view_publisher.set_nodes(tuple(message["order"]), nodes):
             self.on_nodes()
--- a/knotwalk/control_plane/metrics.py
+++ b/knotwalk/control_plane/metrics.py
@@ -43,11 +43,11 @@
 
 def nodes(now: float, plane: ControlPlane) -> Metric:
     """The nodes of the platform's list, by what this core knows of them; a node may count in several states."""
-    board, grant_manager = plane.board, plane.conductor.grant_manager
+    view_publisher, grant_manager = plane.view_publisher, plane.conductor.grant_manager
     counts = {
-        "listed": len(board.nodes),
-        "draining": sum(node.draining for node in board.nodes.values()),
-        "ailing": len(board.outliers & board.nodes.keys()),
+        "listed": len(view_publisher.nodes),
+        "draining": sum(node.draining for node in view_publisher.nodes.values()),
+        "ailing": len(view_publisher.outliers & view_publisher.nodes.keys()),
         "unreachable": len(grant_manager.unreached(now)),
         "unreached by others": len(plane.conductor.peer_reachability.unreached_since(now)),
     }
@@ -167,8 +167,8 @@
         "place",
     )
     yield from operations(plane.admissions)
-    sent = {(step, "sent"): count for step, count in plane.caller.sent_bytes.items()}
-    received = {(step, "received"): count for step, count in plane.caller.received_bytes.items()}
+    sent = {(step, "sent"): count for step, count in plane.http_client.sent_bytes.items()}
+    received = {(step, "received"): count for step, count in plane.http_client.received_bytes.items()}
     yield counter("knotwalk_core_call_bytes", "bytes of bodies of calls to peers", sent | received, "step", "direction")
     answer_bytes: dict[tuple[str, ...], float] = {(path,): count for path, count in plane.peer_api.answer_bytes.items()}
     yield counter("knotwalk_core_answer_bytes", "bytes of bodies told to edges and cores", answer_bytes, "path")
--- a/knotwalk/control_plane/peer_api.py
+++ b/knotwalk/control_plane/peer_api.py
@@ -46,14 +46,14 @@
         consensus: ConsensusDriver,
         list_poller: ListPoller,
         conductor: SliceManager,
-        board: ViewPublisher,
+        view_publisher: ViewPublisher,
         loads: LoadReports,
-        caller: HttpClient,
+        http_client: HttpClient,
         claims: ClaimGroups | None = None,
     ):
         self.claims = claims
         self.me, self.consensus, self.list_poller, self.conductor = me, consensus, list_poller, conductor
-        self.board, self.loads, self.caller = board, loads, caller
+        self.view_publisher, self.loads, self.http_client = view_publisher, loads, http_client
         self.update_event = asyncio.Event()
         self.fresh_until = 0.0
         self.started_at = clock()
@@ -62,7 +62,7 @@
         self.answer_bytes: Counter[str] = Counter()  # of bodies, by path
         # Handlers of other components, by path; to be set before `app` is called.
         self.extra_handlers: dict[str, Handler] = {}
-        # By edge: when it called, and the epoch and revision of the board that it had then.
+        # By edge: when it called, and the epoch and revision of the cluster view that it had then.
         self.edge_calls: dict[str, tuple[float, str, int]] = {}
 
     def app(self) -> Sanic:
@@ -128,7 +128,9 @@
             if machine.role == "leader":
                 return await self.consensus.propose(command, 2.0)
             if machine.leader:
-                reply = await self.caller.json("POST", f"http://{machine.leader}/proposal", command, 2.2, "proposal")
+                reply = await self.http_client.json(
+                    "POST", f"http://{machine.leader}/proposal", command, 2.2, "proposal"
+                )
                 return reply["said"]
         except (NotLeaderError, OutcomeUnknownError, PeerError, KeyError):
             pass
@@ -154,7 +156,7 @@
                 grant = self.list_poller.grant_lease(self.me)
             elif machine.leader:
                 try:
-                    grant = await self.caller.json(
+                    grant = await self.http_client.json(
                         "POST", f"http://{machine.leader}/lease", {"conductor": self.me}, 0.5, "lease"
                     )
                 except PeerError:
@@ -169,7 +171,7 @@
                         self.fresh_until = sent + MAX_LEADER_SILENCE_S
                         break
                     await asyncio.sleep(0.02)
-                if tuple(grant["nodes"]) > self.board.nodes_order and machine.leader:
+                if tuple(grant["nodes"]) > self.view_publisher.nodes_order and machine.leader:
                     await self.request_nodes(machine.leader)
             await asyncio.sleep(max(0.0, sent + (LEASE_REQUEST_INTERVAL_S if grant else 0.03) - clock()))
 
@@ -177,7 +179,7 @@
         """Request the leader's list of nodes, which is newer than the one here."""
         try:
             self.list_poller.on_list_message(
-                await self.caller.json("POST", f"http://{leader}/nodes", {}, 0.6, "ask nodes")
+                await self.http_client.json("POST", f"http://{leader}/nodes", {}, 0.6, "ask nodes")
             )
         except PeerError:
             pass
@@ -193,7 +195,7 @@
     # --- edges ------------------------------------------------------------------------------------
 
     def wake_edges(self) -> None:
-        """The board has updates: wake the calls of edges that wait for them."""
+        """The cluster view has changed: wake the calls of edges that wait for them."""
         self.update_event.set()
         self.update_event = asyncio.Event()
 
@@ -213,7 +215,7 @@
         while True:
             now = clock()
             fresh = self.is_fresh(now)
-            update = self.board.changes_since(payload, now) if fresh else None
+            update = self.view_publisher.changes_since(payload, now) if fresh else None
             if update is not None or now >= until or self.leaving or not fresh and (provisional or now >= fresh_by):
                 break
             update_event = self.update_event
@@ -244,12 +246,16 @@
             return None
         if not self.may_serve_provisional():  # a leader was heard meanwhile, or this process was paused
             return None
-        return self.board.provisional_view(nodes, clock())
+        return self.view_publisher.provisional_view(nodes, clock())
 
     def has_newer_configuration(self, payload: dict) -> bool:
         """Whether the edge that calls has no view of a fresh core, and an older configuration than this core."""
         unsure = payload.get("bare") or payload.get("provisional")
-        return bool(unsure) and self.board.config is not None and payload.get("config", -1) < self.board.config[0]
+        return (
+            bool(unsure)
+            and self.view_publisher.config is not None
+            and payload.get("config", -1) < self.view_publisher.config[0]
+        )
 
     def is_fresh(self, now: float) -> bool:
         """Whether edges may rely on this core's view."""
@@ -279,7 +285,7 @@
                 self.me,
                 self.consensus.machine,
                 self.consensus.state,
-                self.board,
+                self.view_publisher,
                 self.loads,
                 self.is_fresh(now),
                 self.edge_calls,
@@ -297,7 +303,7 @@
             return json_response(
                 {"error": f"host and path must be strings, key (optional) a number below {KEY_COUNT}"}, 400
             )
-        report = status_report.explain(clock(), self.consensus.state, self.board, host, path, key)
+        report = status_report.explain(clock(), self.consensus.state, self.view_publisher, host, path, key)
         return json_response(report | {"fresh": self.is_fresh(clock())})
 
     # --- loads ------------------------------------------------------------------------------------
@@ -324,7 +330,7 @@
             if report:
                 await asyncio.gather(
                     *(
-                        self.caller.json("POST", f"http://{address}/loads", report, 0.6, "loads")
+                        self.http_client.json("POST", f"http://{address}/loads", report, 0.6, "loads")
                         for id, address in self.consensus.machine.members.items()
                         if id != self.me
                     ),
@@ -333,12 +339,12 @@
 
     def update_outliers(self) -> None:
         """Determine the outlier nodes from the reported loads; edges and the placement take them into account."""
-        before = self.board.outliers
-        if self.board.set_outliers(self.loads.outlier_detection.evaluate(clock(), self.board.nodes)):
+        before = self.view_publisher.outliers
+        if self.view_publisher.set_outliers(self.loads.outlier_detection.evaluate(clock(), self.view_publisher.nodes)):
             log_warning(
                 "ailing nodes changed",
-                ailing=sorted(self.board.outliers - before),
-                recovered=sorted(before - self.board.outliers),
+                ailing=sorted(self.view_publisher.outliers - before),
+                recovered=sorted(before - self.view_publisher.outliers),
             )
             self.wake_edges()
 
@@ -352,7 +358,7 @@
             self.list_poller.on_conductor_left(self.me)
         elif machine.leader:
             try:
-                await self.caller.json(
+                await self.http_client.json(
                     "POST", f"http://{machine.leader}/lease", {"conductor": self.me, "leaving": True}, 0.4, "leave"
                 )
             except PeerError:
--- a/knotwalk/control_plane/peer_lanes.py
+++ b/knotwalk/control_plane/peer_lanes.py
@@ -29,13 +29,13 @@
 
     def __init__(
         self,
-        caller: HttpClient,
+        http_client: HttpClient,
         path: str,
         step: str,
         on_replies: Callable[[list], None],
         pack: Callable[[dict], Any] = lambda message: message,
     ):
-        self.caller, self.path, self.step, self.on_replies, self.pack = caller, path, step, on_replies, pack
+        self.http_client, self.path, self.step, self.on_replies, self.pack = http_client, path, step, on_replies, pack
         self.outbox: dict[Lane, list[dict]] = {}
         self.sending: set[Lane] = set()
         self.tasks: set[asyncio.Task] = set()
@@ -66,7 +66,7 @@
             while messages := self.outbox.pop(lane, None):
                 try:
                     packed = [self.pack(message) for message in messages]
-                    answers = await self.caller.json(
+                    answers = await self.http_client.json(
                         "POST", f"http://{lane.address}{self.path}", packed, PEER_CALL_TIMEOUT_S, self.step
                     )
                 except PeerError:
--- a/knotwalk/control_plane/slice_manager.py
+++ b/knotwalk/control_plane/slice_manager.py
@@ -45,15 +45,21 @@
         self,
         me: str,
         consensus: ConsensusDriver,
-        board: ViewPublisher,
+        view_publisher: ViewPublisher,
         loads: LoadReports,
-        caller: HttpClient,
+        http_client: HttpClient,
         timing: GrantTiming,
         seed: int,
         propose: Callable[[dict], Awaitable[str | None]],
         zone: str = "",
     ):
-        self.me, self.consensus, self.board, self.loads, self.caller = me, consensus, board, loads, caller
+        self.me, self.consensus, self.view_publisher, self.loads, self.http_client = (
+            me,
+            consensus,
+            view_publisher,
+            loads,
+            http_client,
+        )
         self.timing, self.propose = timing, propose
         self.grant_manager = GrantManager(me, timing, seed, clock())
         self.peer_reachability = PeerReachability()
@@ -78,8 +84,8 @@
 
     def on_nodes_changed(self) -> None:
         """The platform's list of nodes changed."""
-        self.grant_manager.on_nodes_listed(clock(), self.board.nodes)
-        listed = {node.address for node in self.board.nodes.values()}
+        self.grant_manager.on_nodes_listed(clock(), self.view_publisher.nodes)
+        listed = {node.address for node in self.view_publisher.nodes.values()}
         self.call_slots = {key: slot for key, slot in self.call_slots.items() if key[0] in listed}
         self.perform_actions()
 
@@ -175,7 +181,9 @@
             # don't name their call, so each release has its own connection, on which no other answer can arrive.
             own_connection = step == "release"
             url = f"http://{host}:{port}/{step}"
-            status, headers, _ = await self.caller.send("POST", url, payload, timeout_s, step, None, own_connection)
+            status, headers, _ = await self.http_client.send(
+                "POST", url, payload, timeout_s, step, None, own_connection
+            )
             return status, headers.get("handover")
         except ConnectionRefusedPeerError:
             return REFUSED, None
@@ -187,7 +195,7 @@
         while not self.stopped:
             await asyncio.sleep(PLACEMENT_INTERVAL_S)
             now = clock()
-            if now >= self.grant_manager.lease_until or not self.board.nodes:
+            if now >= self.grant_manager.lease_until or not self.view_publisher.nodes:
                 continue
             try:
                 moves = self.plan_moves(now)
@@ -201,13 +209,23 @@
     def plan_moves(self, now: float) -> list[dict]:
         """The placer's moves, if anything that it depends on has changed."""
         ledger = self.consensus.state.ledger
-        unreachable = {id for id in self.board.nodes if self.grant_manager.is_unreachable(id)}
+        unreachable = {id for id in self.view_publisher.nodes if self.grant_manager.is_unreachable(id)}
         lapsed = self.grant_manager.lapsed_slices(now)
         avoided = frozenset(self.peer_reachability.unreached_since(now))
-        inputs = ledger, ledger.index, self.board.nodes_order, unreachable, lapsed, avoided, self.board.outliers
+        inputs = (
+            ledger,
+            ledger.index,
+            self.view_publisher.nodes_order,
+            unreachable,
+            lapsed,
+            avoided,
+            self.view_publisher.outliers,
+        )
         if not self.placer.is_due(now, inputs):
             return []
-        return self.placer.place(now, ledger, self.board.nodes, self.build_report(now, unreachable, lapsed, avoided))
+        return self.placer.place(
+            now, ledger, self.view_publisher.nodes, self.build_report(now, unreachable, lapsed, avoided)
+        )
 
     def unreached(self, now: float) -> UnreachedNodes | None:
         """The nodes that this core can't reach, for the other cores; None if it reaches all."""
@@ -226,7 +244,7 @@
             for service, slices in sums.get("demand", {}).items()
             if slices
         }
-        utilization = utilizations_by_node(sums.get("nodes", {}), spans, self.board.nodes)
+        utilization = utilizations_by_node(sums.get("nodes", {}), spans, self.view_publisher.nodes)
         return LoadReport(
             demand=demand,
             utilization=utilization,
@@ -235,5 +253,5 @@
             unreachable=unreachable,
             lapsed=lapsed,
             avoided=avoided,
-            outliers=self.board.outliers,
+            outliers=self.view_publisher.outliers,
         )
--- a/knotwalk/control_plane/status_report.py
+++ b/knotwalk/control_plane/status_report.py
@@ -1,6 +1,6 @@
 """A core's status report for operators; read-only. Pure.
 
-`leases` counts slices by conductor; an edge is `current` if it had all updates of this core's board at its last call.
+`leases` counts slices by conductor; an edge is `current` if it had all of this core's updates at its last call.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
     me: str,
     machine: Machine,
     state: ReplicatedState,
-    board: ViewPublisher,
+    view_publisher: ViewPublisher,
     loads: LoadReports,
     fresh: bool,
     edge_calls: dict[str, tuple[float, str, int]],
 ) -> dict[str, Any]:
     """The core's status. `edge_calls`: for each edge that calls here, when it called last, and the epoch and revision
-    of the board that it had then."""
+    of the cluster view that it had then."""
     edges = []
     for name, heard_at in sorted(loads.edges.items()):
         if now - heard_at >= EDGE_EXPIRY_S:
             continue
         report: dict[str, Any] = {"edge": name, "ago": round(now - heard_at, 3)}
         if name in edge_calls and now - edge_calls[name][0] < EDGE_EXPIRY_S:
-            report["current"] = edge_calls[name][1:] == (board.epoch, board.revision)
+            report["current"] = edge_calls[name][1:] == (view_publisher.epoch, view_publisher.revision)
         edges.append(report)
     leases, unopened = {}, {}
     for service, slices in state.ledger.slices.items():
@@ -57,12 +57,12 @@
         "config_order": state.configuration_index,
         "tenants": len(state.configuration.tenants) if state.configuration else 0,
         "nodes": {
-            "order": list(board.nodes_order),
-            "count": len(board.nodes),
-            "draining": sum(node.draining for node in board.nodes.values()),
-            "ailing": sorted(board.outliers),
+            "order": list(view_publisher.nodes_order),
+            "count": len(view_publisher.nodes),
+            "draining": sum(node.draining for node in view_publisher.nodes.values()),
+            "ailing": sorted(view_publisher.outliers),
         },
-        "board": {"epoch": board.epoch, "at": board.revision},
+        "board": {"epoch": view_publisher.epoch, "at": view_publisher.revision},
         "leases": leases,
         "changing_hands": unopened,
         "edges": edges,
@@ -70,7 +70,7 @@
 
 
 def explain(
-    now: float, state: ReplicatedState, board: ViewPublisher, host: str, path: str, key: int | None
+    now: float, state: ReplicatedState, view_publisher: ViewPublisher, host: str, path: str, key: int | None
 ) -> dict[str, Any]:
     """The route that this core finds for a request, and for each of its services the nodes that may run it."""
     if state.configuration is None:
@@ -86,11 +86,11 @@
             "weight": weight,
             "sharded": state.configuration.services[name].sharded,
         }
-        service_nodes = [node for node in board.nodes.values() if node.service == name]
+        service_nodes = [node for node in view_publisher.nodes.values() if node.service == name]
         report["nodes"] = {"count": len(service_nodes), "draining": sum(node.draining for node in service_nodes)}
         if report["sharded"] and key is not None and name in state.ledger.slices:
             slice = state.ledger.slices[name][key // SLICE_WIDTH]
-            node = board.nodes.get(slice.owner)
+            node = view_publisher.nodes.get(slice.owner)
             report["line"] = {
                 "slice": key // SLICE_WIDTH,
                 "first_key": key // SLICE_WIDTH * SLICE_WIDTH,
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -153,11 +153,11 @@
         leader = await self.leader()
         own = next(at for at, end in self.wire.ends.items() if end is leader)
         self.wire.cut.add(own)
-        reach, self.wire.ends[own].caller = self.wire, Cut()
+        reach, self.wire.ends[own].http_client = self.wire, Cut()
         await self.until(lambda: not leader.machine.is_commit_current)
         await self.until(lambda: any(end.machine.is_commit_current for end in self.wire.ends.values()))
         self.wire.cut.discard(own)
-        leader.caller = reach
+        leader.http_client = reach
         fresh = await self.leader()
         self.assertIsNot(fresh, leader)
         await fresh.propose({"do": "shard", "services": ["s"]})
@@ -170,7 +170,7 @@
         own = leader.machine.address
         await self.until(lambda: all(end.machine.leader == own for end in self.wire.ends.values()))
         self.wire.cut.add(own)
-        reach, leader.caller = leader.caller, Cut()
+        reach, leader.http_client = leader.http_client, Cut()
         others = [end for end in self.wire.ends.values() if end is not leader]
         answers = await asyncio.gather(*(Control(end, 8).read(None) for end in (leader, *others)))
         self.assertEqual(answers[0].status, 503)  # it has stepped down, and does not know the leader
@@ -178,7 +178,7 @@
             self.assertNotEqual(one.headers.get("location"), f"http://{own.partition(':')[0]}:8/configuration")
         await self.until(lambda: any(end.machine.is_commit_current for end in others))
         self.wire.cut.discard(own)
-        leader.caller = reach
+        leader.http_client = reach
         fresh = await self.leader()
         back = await Control(leader, 8).read(None)
         self.assertEqual(back.headers["location"], f"http://{fresh.machine.address.partition(':')[0]}:8/configuration")
@@ -360,7 +360,7 @@
                 await asyncio.sleep(0)
                 return self.status, {}, json.dumps({"instances": {"i-1": entry}, "next_token": None}).encode()
 
-        self.platform, self.board, self.machine = (
+        self.platform, self.view_publisher, self.machine = (
             Platform(),
             ViewPublisher("b"),
             SimpleNamespace(last_known_leader=None, role="follower"),
@@ -369,18 +369,18 @@
         list_poller = ListPoller(
             SimpleNamespace(platform=SimpleNamespace(address=("h", 1)), zone="z"),
             consensus,
-            self.board,
+            self.view_publisher,
             self.platform,
             "me",
         )
-        self.peer_api = PeerApi("me", consensus, list_poller, None, self.board, LoadReports(), None)
+        self.peer_api = PeerApi("me", consensus, list_poller, None, self.view_publisher, LoadReports(), None)
 
     async def ask(self, **more):
         asked = json.dumps({"edge": "e", "epoch": "", "at": 0, "wait": 0.0, "bare": True} | more).encode()
         return json.loads((await self.peer_api.handle_cluster_view(SimpleNamespace(body=asked, headers={}))).body)
 
     async def test_a_large_view_is_compressed_for_an_edge_that_accepts_it(self):
-        self.board.set_config(5, DOCUMENT | {"filler": "x" * MIN_COMPRESSED_BYTES})
+        self.view_publisher.set_config(5, DOCUMENT | {"filler": "x" * MIN_COMPRESSED_BYTES})
         asked = json.dumps({"edge": "e", "epoch": "", "at": 0, "wait": 0.0, "bare": True}).encode()
         plain, compressed = [
             await self.peer_api.handle_cluster_view(SimpleNamespace(body=asked, headers=headers))
@@ -394,7 +394,7 @@
     async def test_only_an_edge_without_a_view_gets_a_provisional_one_and_only_before_a_leader_is_known(self):
         self.assertNotIn("provisional", await self.ask())
         self.assertEqual(self.calls, 0)  # without a configuration on disk, the list is not read
-        self.board.set_config(5, DOCUMENT)
+        self.view_publisher.set_config(5, DOCUMENT)
         answers = await asyncio.gather(self.ask(), self.ask(), self.ask())
         self.assertEqual(self.calls, 1)  # one call to the platform for all of them
         for one in answers:
@@ -410,7 +410,7 @@
         self.assertEqual(self.calls, 1)
 
     async def test_without_a_readable_list_there_is_no_provisional_view(self):
-        self.board.set_config(5, DOCUMENT)
+        self.view_publisher.set_config(5, DOCUMENT)
         self.platform.status = 429
         for _ in range(3):
             self.assertNotIn("provisional", await self.ask())
@@ -614,7 +614,7 @@
             "me",
         )
         orders = []
-        list_poller.on_nodes = lambda: orders.append(list_poller.board.nodes_order)
+        list_poller.on_nodes = lambda: orders.append(list_poller.view_publisher.nodes_order)
         with (
             mock.patch.object(ListPoller, "is_proven", True),
             mock.patch("knotwalk.control_plane.list_poller.POLL_INTERVAL_S", 0),
@@ -622,9 +622,9 @@
         ):
             await list_poller.poll()
         self.assertEqual(
-            (orders, list_poller.board.nodes_order), ([(3, 1), (3, 3)], (3, 3))
+            (orders, list_poller.view_publisher.nodes_order), ([(3, 1), (3, 3)], (3, 3))
         )  # the second reading equals the first
-        self.assertTrue(list_poller.board.nodes["i-1"].draining)
+        self.assertTrue(list_poller.view_publisher.nodes["i-1"].draining)
 
     async def test_a_failed_reading_whose_callers_have_left_is_not_an_unhandled_error(self):
         """An edge's call times out before the reading of the list does, so nobody is left to handle the reading's
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -83,18 +83,18 @@
         self.consensus = ConsensusDriver(Disk(), saved, self, RaftSettings(), seed, float("-inf"))
         self.consensus.writer = Inline()
         self.consensus.machine.address = at
-        self.board, self.loads = ViewPublisher(f"b{seed}"), LoadReports()
+        self.view_publisher, self.loads = ViewPublisher(f"b{seed}"), LoadReports()
         settings = SimpleNamespace(platform=SimpleNamespace(address=("h", 1)), zone="z")
-        self.poller = ListPoller(settings, self.consensus, self.board, self, saved.me)
+        self.poller = ListPoller(settings, self.consensus, self.view_publisher, self, saved.me)
         conductor = SimpleNamespace(on_lease=lambda *_: None, on_ledger_change=lambda **_: None, stop=lambda: None)
-        self.peers = PeerApi(saved.me, self.consensus, self.poller, conductor, self.board, self.loads, self)
+        self.peers = PeerApi(saved.me, self.consensus, self.poller, conductor, self.view_publisher, self.loads, self)
         self.control = Control(self.consensus, 9)
         self.consensus.on_configuration = self.configured
         self.consensus.on_restore = self.configured
         self.consensus.on_role = lambda role: self.poller.on_leadership(role.role == "leader")
         self.poller.on_nodes = self.peers.wake_edges
         self.configured()
-        self.board.set_cores(sorted(ADDRESSES))
+        self.view_publisher.set_cores(sorted(ADDRESSES))
         self.consensus.start()
         loop = asyncio.get_running_loop()
         works = (self.peers.maintain_lease(), self.poller.poll(), self.poller.maintain_leases())
@@ -103,7 +103,7 @@
     def configured(self):
         state = self.consensus.state
         if state.configuration is not None:
-            self.board.set_config(state.configuration_index, to_document(state.configuration))
+            self.view_publisher.set_config(state.configuration_index, to_document(state.configuration))
             self.peers.wake_edges()
 
     @property
@@ -416,7 +416,12 @@
                             core = next(one for one in world.cores.values() if one is not core)
                         core.freeze() if shape == "frozen" else world.cut(core.at, shape)
                         start, fresh = clock(), []
-                        request = {"edge": "e", "epoch": core.board.epoch, "at": core.board.revision, "wait": 1.0}
+                        request = {
+                            "edge": "e",
+                            "epoch": core.view_publisher.epoch,
+                            "at": core.view_publisher.revision,
+                            "wait": 1.0,
+                        }
                         while clock() < start + 5:
                             begun = clock()
                             answer = json.loads(
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -354,14 +354,14 @@
         for reached in (0, 1):
             base = self.wire.ends[await self.leads()].state.version
             old = await self.unanswered(base, base + 2, reached)
-            self.wire.mute, self.wire.cut, self.wire.ends[old].caller = set(), {old}, Cut()
+            self.wire.mute, self.wire.cut, self.wire.ends[old].http_client = set(), {old}, Cut()
             new = await self.leads(other_than=old)
             change, rival = (base, base + 2), (base, base + 2, "/rival")
             first, second = (change, rival) if reached else (rival, change)
             turns = (second, first, second) if reached else (first, second)
             found = [(await self.send(new, *one)).status for one in turns]
             self.assertEqual(found, [412, 200, 412] if reached else [200, 412], reached)
-            self.wire.ends[old].caller = self.wire
+            self.wire.ends[old].http_client = self.wire
             self.wire.cut.clear()
             self.assertEqual([await self.clear(*first), await self.clear(*second)], [200, 412])
 
