--- a/knotwalk/decide/estimates.py
+++ b/knotwalk/decide/estimates.py
@@ -91,8 +91,7 @@
             server.capacity = server.full_capacity * server.health
             # Utilization that our slices do not explain comes from another controller, a neighbour or a slow core.
             # Where none is reported, our part is ours to fill: if each controller waited for the others, none would.
-            recent = [used * base - own for noted_at, own, _, used in server.usage_samples
-                      if noted_at > self.now - self.RECENT]
+            recent = [used * base - own for time, own, _, used in server.usage_samples if time > self.now - self.RECENT]
             # A restarted server is filled by the controller that owns it, which assumes no other load there.
             theirs = server.full_capacity * (1 - len(known) / max(1, self.total_slices))
             unreported = (0.0 if server.unmeasured and server.owned else min(server.others_load, theirs)
